--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -10,7 +10,15 @@
 import time
 
 from bench import nodesettings
-from mangobay import admission, ids, levels, ratio, routing, tickets, tries
+from mangobay import (
+    admission,
+    admissionrequest,
+    ids,
+    levels,
+    ratio,
+    routing,
+    tries,
+)
 from mangobay.generated import messages
 
 ROUNDS = 7
@@ -24,9 +32,9 @@
 )
 
 
-def make_admission() -> admission.Admission:
+def make_admission() -> admission.AdmissionController:
     """Returns an admission with 70 slots."""
-    made = admission.Admission(
+    made = admission.AdmissionController(
         nodesettings.section("admission"),
         nodesettings.section("retries"),
         nodesettings.section("recovery"),
@@ -60,9 +68,9 @@
     return router
 
 
-def ticket(number: int) -> tickets.Ticket:
+def ticket(number: int) -> admissionrequest.AdmissionRequest:
     """Returns the ticket of one of 500 clients."""
-    return tickets.Ticket(
+    return admissionrequest.AdmissionRequest(
         importance=messages.Importance(number % 4),
         depth=number % 5,
         deadline=asyncio.get_running_loop().time() + 5,
@@ -74,8 +82,8 @@
     """Slots are free."""
     made = make_admission()
     for number in range(CALLS):
-        entered = await made.enter(ticket(number))
-        entered.leave(0.02, ok=True)
+        entered = await made.acquire(ticket(number))
+        entered.release(0.02, ok=True)
 
 
 async def admit_after_waiting() -> None:
@@ -88,14 +96,16 @@
         )
 
 
-async def wait_and_leave(made: admission.Admission, number: int) -> None:
+async def wait_and_leave(
+    made: admission.AdmissionController, number: int
+) -> None:
     """Enters and leaves once; a refusal counts as well."""
     try:
-        entered = await made.enter(ticket(number))
-    except tickets.ShedError:
+        entered = await made.acquire(ticket(number))
+    except admissionrequest.ShedError:
         return
     await asyncio.sleep(0)
-    entered.leave(0.0001, ok=True)
+    entered.release(0.0001, ok=True)
 
 
 async def route() -> None:
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -109,7 +109,7 @@
 
     def new_admission(self, world: "World"):
         """Returns what makes the admission of the backend server here."""
-        return lambda: admission.Admission(
+        return lambda: admission.AdmissionController(
             world.section("admission"),
             world.section("retries"),
             world.section("recovery"),
--- a/mangobay/admission.py
+++ b/mangobay/admission.py
@@ -15,6 +15,8 @@
 import random
 
 from mangobay import (
+    admissionrequest,
+    callqueue,
     downstream,
     estimates,
     fairness,
@@ -22,47 +24,45 @@
     knee,
     levels,
     limiter,
-    pressure,
-    tickets,
-    waiting,
+    overload,
 )
 from mangobay.generated import messages, settings
 
-CALM_FACTOR = 4
+EXTENDED_WAIT_FACTOR = 4
 """Times queue_time that a call may wait while the queue does not stand, and a
 critical one always."""
-DEEP_FACTOR = 4
+DEEP_WAIT_FACTOR = 4
 """Times queue_time that a call from another hop may wait, its deadline
 permitting."""
-STANDING_FACTOR = 2
+STANDING_QUEUE_FACTOR = 2
 """Times queue_time after which a queue that was never empty stands."""
-LONGEST_RETRY_AFTER = 30.0
+MAX_RETRY_AFTER = 30.0
 """Seconds."""
-SHORTEST_RETRY_AFTER = 0.05
+MIN_RETRY_AFTER = 0.05
 """Seconds."""
 
 
-class Pass:
+class Permit:
     """The right to run one call at the backend server.
 
     Attributes:
-      waited: seconds in the queue.
-      beside: calls that ran when it was given, its own included.
+      queue_seconds: seconds in the queue.
+      concurrency: calls that ran when it was given, its own included.
     """
 
     __slots__ = (
         "admission",
-        "began",
-        "beside",
+        "admitted_at",
+        "concurrency",
         "level",
-        "open",
+        "held",
         "operation",
-        "waited",
+        "queue_seconds",
     )
 
     def __init__(
         self,
-        admission: "Admission",
+        admission: "AdmissionController",
         operation: ids.OperationName,
         level: int,
         began: float,
@@ -71,50 +71,52 @@
         self.admission = admission
         self.operation = operation
         self.level = level
-        self.began = began
-        self.waited = waited
-        self.beside = admission.running
-        self.open = True
+        self.admitted_at = began
+        self.queue_seconds = waited
+        self.concurrency = admission.running
+        self.held = True
 
-    def leave(
+    def release(
         self,
         service_seconds: float,
         ok: bool,
-        awaited: float = 0.0,
-        shed: bool = False,
-        below: int = levels.OPEN,
+        child_wait_seconds: float = 0.0,
+        backend_shed: bool = False,
+        downstream_threshold: int = levels.ADMIT_ALL,
     ) -> None:
         """Gives the slot back; only the first call counts.
 
         Args:
           service_seconds: time from the first byte to the whole answer.
           ok: it was a whole answer; other times are not learned from.
-          awaited: part of that time with child calls in flight.
-          shed: the backend server itself refused the call.
-          below: threshold with which a child call was refused, if one was.
+          child_wait_seconds: part of that time with child calls in flight.
+          backend_shed: the backend server itself refused the call.
+          downstream_threshold: threshold with which a child call was refused, if one was.
         """
-        if not self.open:
+        if not self.held:
             return
-        self.open = False
+        self.held = False
         now = asyncio.get_running_loop().time()
-        self.admission.learn(self, service_seconds, ok, awaited, now)
-        if shed:
-            self.admission.limiter.shed(self.admission.running, now)
-        used = awaited > 0 or below > levels.OPEN
+        self.admission.record_service_time(
+            self, service_seconds, ok, child_wait_seconds, now
+        )
+        if backend_shed:
+            self.admission.limiter.observe_shed(self.admission.running, now)
+        used = child_wait_seconds > 0 or downstream_threshold > levels.ADMIT_ALL
         self.admission.downstreams.observe(
-            self.operation, self.level, below, used, ok, now
+            self.operation, self.level, downstream_threshold, used, ok, now
         )
-        self.admission.left(now)
+        self.admission.release_slot(now)
 
 
-class Admission:
+class AdmissionController:
     """Admits calls to the backend server on this host.
 
     Attributes:
       running: calls that run now.
       limiter: finds how many may.
       knee: finds how many pay.
-      expected: service times by operation.
+      service_times: service times by operation.
     """
 
     def __init__(
@@ -122,37 +124,40 @@
         admission: settings.NodeAdmission,
         retries: settings.NodeRetries,
         recovery: settings.NodeRecovery,
-        dice: random.Random,
+        rng: random.Random,
     ):
         scale = 2.0 ** (1 - 2 * recovery.weight)
         self.settings = admission
         self.queue_time = admission.queue_time * scale
-        self.calm_time = self.queue_time * CALM_FACTOR
-        self.deep_time = self.queue_time * DEEP_FACTOR
-        self.dice = dice
+        self.extended_wait = self.queue_time * EXTENDED_WAIT_FACTOR
+        self.deep_wait = self.queue_time * DEEP_WAIT_FACTOR
+        self.rng = rng
         self.limiter = limiter.make(admission.policy)
-        self.knee = knee.Knee()
-        self.waiting = waiting.Waiting(admission.order == "newest")
-        self.fairness = fairness.Fairness(retries.client_share)
-        self.pressure = pressure.Pressure(
-            self.queue_time * STANDING_FACTOR, admission.reopen_time * scale
+        self.knee = knee.KneeDetector()
+        self.queue = callqueue.CallQueue(admission.order == "newest")
+        self.heavy_clients = fairness.HeavyClientDetector(retries.client_share)
+        self.overload = overload.OverloadController(
+            self.queue_time * STANDING_QUEUE_FACTOR,
+            admission.reopen_time * scale,
+        )
+        self.downstreams = downstream.DownstreamTrackers(
+            admission.reopen_time * scale
         )
-        self.downstreams = downstream.Downstreams(admission.reopen_time * scale)
-        self.expected = collections.defaultdict(estimates.ServiceTime)
+        self.service_times = collections.defaultdict(estimates.ServiceTime)
         self.running = 0
-        self.pace = estimates.Pace()
+        self.completion_interval = estimates.CompletionInterval()
 
     @property
     def threshold(self) -> int:
         """The lowest level admitted now; goes back on every reply."""
-        return self.pressure.threshold
+        return self.overload.threshold
 
     @property
     def load(self) -> int:
         """Calls that run or wait here; above the limit, they queue."""
-        return self.running + self.waiting.length
+        return self.running + self.queue.length
 
-    def below(self, operation: ids.OperationName) -> int:
+    def downstream_threshold(self, operation: ids.OperationName) -> int:
         """The lowest level of an operation that is admitted below."""
         now = asyncio.get_running_loop().time()
         return self.downstreams.threshold(operation, now)
@@ -166,9 +171,11 @@
         """Takes the slots announced by the backend server."""
         self.limiter.set_slots(slots)
         self.knee.set_slots(slots)
-        self.fill(asyncio.get_running_loop().time())
+        self.admit_waiting(asyncio.get_running_loop().time())
 
-    async def enter(self, ticket: tickets.Ticket) -> Pass:
+    async def acquire(
+        self, request: admissionrequest.AdmissionRequest
+    ) -> Permit:
         """Returns the pass of an admitted call, perhaps after a short wait.
 
         Raises:
@@ -176,41 +183,48 @@
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
-        level, rank = self.place(ticket, now)
-        self.check(ticket, level, now)
-        if not self.waiting.length and self.running < self.limit:
-            return self.admit(ticket.operation, level, now, 0.0)
-        waiter = self.line_up(ticket, level, rank, loop)
+        level, rank = self.classify(request, now)
+        self.check_admissible(request, level, now)
+        if not self.queue.length and self.running < self.limit:
+            return self.admit(request.operation, level, now, 0.0)
+        waiter = self.enqueue(request, level, rank, loop)
         return await self.wait(waiter)
 
-    def place(self, ticket: tickets.Ticket, now: float) -> tuple[int, int]:
+    def classify(
+        self, request: admissionrequest.AdmissionRequest, now: float
+    ) -> tuple[int, int]:
         """Counts the arrival; returns its level and its rank in the queue."""
         importance = messages.Importance.NORMAL
         if self.settings.by_importance:
-            importance = ticket.importance
-        self.fairness.arrived(ticket.client, now)
-        heavy = bool(self.waiting.length) and self.fairness.heavy(
-            ticket.client, now
+            importance = request.importance
+        self.heavy_clients.record_arrival(request.client, now)
+        heavy = bool(self.queue.length) and self.heavy_clients.is_heavy(
+            request.client, now
         )
-        level = importance * levels.FRACTIONS
+        level = importance * levels.LEVELS_PER_IMPORTANCE
         if not heavy:
-            level = levels.level_of(importance, ticket.tree or ticket.client)
-        depth = ticket.depth if self.settings.by_depth else 0
-        return level, waiting.rank_of(importance, heavy, depth)
+            level = levels.level_of(importance, request.tree or request.client)
+        depth = request.depth if self.settings.by_depth else 0
+        return level, callqueue.rank_of(importance, heavy, depth)
 
-    def check(self, ticket: tickets.Ticket, level: int, now: float) -> None:
+    def check_admissible(
+        self, request: admissionrequest.AdmissionRequest, level: int, now: float
+    ) -> None:
         """Refuses what would be shed anyway, or could not finish in time.
 
         Raises:
           tickets.ShedError: the call must not run.
         """
-        self.look(now)
-        self.pressure.arrived[level // pressure.STEP] += 1
-        below = self.downstreams.threshold(ticket.operation, now)
-        if level < max(self.pressure.threshold, below):
-            raise self.refusal(messages.Reason.OVERLOADED, level)
-        if now + self.expected[ticket.operation].at(now) >= ticket.deadline:
-            raise self.refusal(messages.Reason.DEADLINE_EXCEEDED, level)
+        self.update_threshold(now)
+        self.overload.arrivals[level // overload.LEVELS_PER_GROUP] += 1
+        below = self.downstreams.threshold(request.operation, now)
+        if level < max(self.overload.threshold, below):
+            raise self.make_shed_error(messages.Reason.OVERLOADED, level)
+        if (
+            now + self.service_times[request.operation].seconds_at(now)
+            >= request.deadline
+        ):
+            raise self.make_shed_error(messages.Reason.DEADLINE_EXCEEDED, level)
 
     def admit(
         self,
@@ -218,35 +232,37 @@
         level: int,
         now: float,
         waited: float,
-    ) -> Pass:
+    ) -> Permit:
         """Takes a slot."""
         self.running += 1
-        return Pass(self, operation, level, now, waited)
+        return Permit(self, operation, level, now, waited)
 
-    def line_up(
+    def enqueue(
         self,
-        ticket: tickets.Ticket,
+        request: admissionrequest.AdmissionRequest,
         level: int,
         rank: int,
         loop: asyncio.AbstractEventLoop,
-    ) -> waiting.Waiter:
+    ) -> callqueue.Waiter:
         """Puts the call into the queue, in the place of a worse one if full.
 
         Raises:
           tickets.ShedError: the queue is full of calls that are no worse.
         """
         if self.queue_time <= 0:
-            raise self.refusal(messages.Reason.OVERLOADED, level)
-        if self.waiting.length >= self.settings.queue_length:
+            raise self.make_shed_error(messages.Reason.OVERLOADED, level)
+        if self.queue.length >= self.settings.queue_length:
             self.make_room(level, rank)
         now = loop.time()
-        latest = ticket.deadline - self.expected[ticket.operation].at(now)
-        waiter = waiting.Waiter(
-            ticket.operation, rank, level, now, latest, loop.create_future()
+        latest = request.deadline - self.service_times[
+            request.operation
+        ].seconds_at(now)
+        waiter = callqueue.Waiter(
+            request.operation, rank, level, now, latest, loop.create_future()
         )
-        self.waiting.add(waiter)
-        end = min(now + self.patience(ticket, now), latest)
-        waiter.timer = loop.call_at(end, self.give_up, waiter)
+        self.queue.add(waiter)
+        end = min(now + self.max_wait(request, now), latest)
+        waiter.timer = loop.call_at(end, self.time_out, waiter)
         return waiter
 
     def make_room(self, level: int, rank: int) -> None:
@@ -255,13 +271,15 @@
         Raises:
           tickets.ShedError: the new call is the worst.
         """
-        worst = self.waiting.worst_rank()
-        better = rank > worst or (rank == worst and self.waiting.newest_first)
+        worst = self.queue.worst_rank()
+        better = rank > worst or (rank == worst and self.queue.newest_first)
         if worst < 0 or not better:
-            raise self.refusal(messages.Reason.OVERLOADED, level)
-        self.refuse(self.waiting.pop_worst(), messages.Reason.OVERLOADED)
+            raise self.make_shed_error(messages.Reason.OVERLOADED, level)
+        self.refuse(self.queue.pop_worst(), messages.Reason.OVERLOADED)
 
-    def patience(self, ticket: tickets.Ticket, now: float) -> float:
+    def max_wait(
+        self, request: admissionrequest.AdmissionRequest, now: float
+    ) -> float:
         """Returns the longest wait in seconds.
 
         A call from another hop may wait longer than a new one: giving it up
@@ -277,19 +295,19 @@
 
         Where the call says how long a wait is of use, that counts.
         """
-        service_time = self.expected[ticket.operation].at(now)
-        if ticket.patience:
-            return max(ticket.patience, self.queue_time)
-        if ticket.depth and self.settings.by_depth:
-            return max(self.deep_time, service_time)
-        critical = ticket.importance == messages.Importance.CRITICAL
+        service_time = self.service_times[request.operation].seconds_at(now)
+        if request.max_wait:
+            return max(request.max_wait, self.queue_time)
+        if request.depth and self.settings.by_depth:
+            return max(self.deep_wait, service_time)
+        critical = request.importance == messages.Importance.CRITICAL
         if critical and self.settings.by_importance:
-            return max(self.calm_time, service_time)
-        if self.pressure.standing(now):
+            return max(self.extended_wait, service_time)
+        if self.overload.is_standing(now):
             return self.queue_time
-        return self.calm_time
+        return self.extended_wait
 
-    async def wait(self, waiter: waiting.Waiter) -> Pass:
+    async def wait(self, waiter: callqueue.Waiter) -> Permit:
         """Returns the pass once it is the waiter's turn.
 
         Raises:
@@ -298,103 +316,114 @@
         try:
             return await waiter.future
         except asyncio.CancelledError:
-            self.abandon(waiter)
+            self.cancel_wait(waiter)
             raise
 
-    def abandon(self, waiter: waiting.Waiter) -> None:
+    def cancel_wait(self, waiter: callqueue.Waiter) -> None:
         """Takes a cancelled call out of the queue.
 
         The pass may have been given in the same turn of the loop in which
         the task was cancelled: nobody would ever give that slot back.
         """
-        self.waiting.remove(waiter)
+        self.queue.remove(waiter)
         waiter.timer.cancel()
         future = waiter.future
         if future.done() and not future.cancelled() and not future.exception():
-            future.result().leave(0.0, ok=False)
+            future.result().release(0.0, ok=False)
 
-    def give_up(self, waiter: waiting.Waiter) -> None:
+    def time_out(self, waiter: callqueue.Waiter) -> None:
         """Ends a wait whose time is up."""
-        if not self.waiting.remove(waiter):
+        if not self.queue.remove(waiter):
             return
         now = asyncio.get_running_loop().time()
-        late = now >= waiter.latest
+        late = now >= waiter.latest_start
         reason = messages.Reason.QUEUE_TIMEOUT
         if late:
             reason = messages.Reason.DEADLINE_EXCEEDED
         self.refuse(waiter, reason)
-        self.look(now)
+        self.update_threshold(now)
 
-    def learn(
-        self, gone: Pass, seconds: float, ok: bool, awaited: float, now: float
+    def record_service_time(
+        self,
+        permit: Permit,
+        seconds: float,
+        ok: bool,
+        awaited: float,
+        now: float,
     ) -> None:
         """Learns service times from a whole answer."""
         if not ok:
             return
         own = max(0.0, seconds - awaited)
-        self.expected[gone.operation].observe(seconds, now)
-        self.limiter.observe(own, self.running, gone.began, now)
+        self.service_times[permit.operation].observe(seconds, now)
+        self.limiter.observe(own, self.running, permit.admitted_at, now)
         if self.settings.policy == "adaptive":
-            self.knee.observe(gone.operation, own, gone.beside, now)
+            self.knee.observe(permit.operation, own, permit.concurrency, now)
 
-    def left(self, now: float) -> None:
+    def release_slot(self, now: float) -> None:
         """Takes a slot back and gives it to the best waiting call."""
         self.running -= 1
-        self.pressure.served += 1
-        self.pace.answered(now)
-        self.fill(now)
+        self.overload.served += 1
+        self.completion_interval.observe(now)
+        self.admit_waiting(now)
 
-    def fill(self, now: float) -> None:
+    def admit_waiting(self, now: float) -> None:
         """Admits waiting calls while slots are free."""
-        while self.waiting.length and self.running < self.limit:
-            waiter = self.waiting.pop_best()
+        while self.queue.length and self.running < self.limit:
+            waiter = self.queue.pop_best()
             waiter.timer.cancel()
             if waiter.future.done():
                 continue
-            if now > waiter.latest:
+            if now > waiter.latest_start:
                 self.refuse(waiter, messages.Reason.DEADLINE_EXCEEDED)
                 continue
-            waited = now - waiter.since
+            waited = now - waiter.queued_at
             waiter.future.set_result(
                 self.admit(waiter.operation, waiter.level, now, waited)
             )
-        self.look(now)
+        self.update_threshold(now)
 
-    def look(self, now: float) -> None:
+    def update_threshold(self, now: float) -> None:
         """Adjusts the threshold; refuses waiting calls that it shuts out.
 
         On arrival they would be refused.  Newer calls go before them, so that
         they would wait in vain, and each hop above holds a slot meanwhile.
         """
-        former = self.pressure.threshold
-        self.pressure.look(not self.waiting.length, now)
-        if self.pressure.threshold <= former:
+        former = self.overload.threshold
+        self.overload.update(not self.queue.length, now)
+        if self.overload.threshold <= former:
             return
-        self.refuse_below(self.pressure.threshold, messages.Reason.OVERLOADED)
+        self.refuse_below(self.overload.threshold, messages.Reason.OVERLOADED)
 
-    def shut(self) -> None:
+    def refuse_all_waiting(self) -> None:
         """Refuses every waiting call: the backend server takes no more.
 
         They can still be served elsewhere; kept in the queue they would reach
         the backend server up to a whole wait after it said that it leaves.
         """
-        self.refuse_below(levels.TOP, messages.Reason.LEAVING)
+        self.refuse_below(levels.LEVEL_COUNT, messages.Reason.LEAVING)
 
     def refuse_below(self, level: int, reason: messages.Reason) -> None:
         """Refuses every waiting call below a level."""
-        for waiter in self.waiting.below(level):
-            self.waiting.remove(waiter)
+        for waiter in self.queue.waiters_below(level):
+            self.queue.remove(waiter)
             self.refuse(waiter, reason)
 
-    def refuse(self, waiter: waiting.Waiter, reason: messages.Reason) -> None:
+    def refuse(self, waiter: callqueue.Waiter, reason: messages.Reason) -> None:
         """Ends the wait of a call that left the queue."""
         waiter.timer.cancel()
         if not waiter.future.done():
-            waiter.future.set_exception(self.refusal(reason, waiter.level))
+            waiter.future.set_exception(
+                self.make_shed_error(reason, waiter.level)
+            )
 
-    def refusal(self, reason: messages.Reason, level: int) -> tickets.ShedError:
+    def make_shed_error(
+        self, reason: messages.Reason, level: int
+    ) -> admissionrequest.ShedError:
         """Returns the error of a refusal, with a time to try again."""
-        drain = self.waiting.length * self.pace.seconds
-        seconds = drain + self.pressure.reopens_in(level)
-        seconds = min(max(seconds, SHORTEST_RETRY_AFTER), LONGEST_RETRY_AFTER)
-        return tickets.ShedError(reason, seconds * (0.5 + self.dice.random()))
+        drain = self.queue.length * self.completion_interval.seconds
+        seconds = drain + self.overload.seconds_until_admitted(level)
+        seconds = min(max(seconds, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
+        return admissionrequest.ShedError(
+            reason, seconds * (0.5 + self.rng.random())
+        )
--- a/mangobay/tickets.py
+++ b/mangobay/admissionrequest.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Ticket:
+class AdmissionRequest:
     """What admission needs to know of a call.
 
     Attributes:
@@ -32,7 +32,7 @@
       operation: what is called, among those of the service.
       tree: names the call tree, such as its trace id; when empty, the client
         stands for it.  Trees of one importance are refused by its hash.
-      patience: longest useful wait for a slot, seconds; 0: admission's own.
+      max_wait: longest useful wait for a slot, seconds; 0: admission's own.
     """
 
     importance: messages.Importance
@@ -41,4 +41,4 @@
     client: ids.ClientId
     operation: ids.OperationName = ids.OperationName("")
     tree: str = ""
-    patience: float = 0.0
+    max_wait: float = 0.0
--- a/mangobay/announcements.py
+++ b/mangobay/announcements.py
@@ -54,7 +54,7 @@
 
     said: Announcement
     renewed: float
-    admission: "admission.Admission"
+    admission: "admission.AdmissionController"
 
 
 def parse(document: typing.Any) -> Announcement:
@@ -138,7 +138,7 @@
         place = self.served.pop(service, None)
         if place is None:
             return False
-        place.admission.shut()
+        place.admission.refuse_all_waiting()
         self.tell("left", service)
         return True
 
--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -165,10 +165,10 @@
         """Closes listeners, tasks and connections."""
         raise NotImplementedError
 
-    def new_admission(self) -> admission.Admission:
+    def new_admission(self) -> admission.AdmissionController:
         """Returns the admission of a service announced here."""
         config = self.config
-        return admission.Admission(
+        return admission.AdmissionController(
             config.admission, config.retries, config.recovery, self.dice
         )
 
@@ -314,7 +314,7 @@
         """Answers whatever is still in flight: the node ends now."""
         self.serving.leaving = True
         for place in self.served.served.values():
-            place.admission.shut()
+            place.admission.refuse_all_waiting()
         await self.entry.in_flight.give_up()
 
     def seconds_to_write(self) -> float:
--- a/mangobay/waiting.py
+++ b/mangobay/callqueue.py
@@ -7,18 +7,20 @@
 from mangobay import ids
 from mangobay.generated import messages
 
-DEPTHS = 8
+DISTINCT_DEPTHS = 8
 """Deeper calls than this rank alike."""
-RANKS = len(messages.Importance) * 2 * DEPTHS
+RANK_COUNT = len(messages.Importance) * 2 * DISTINCT_DEPTHS
 
 
 def rank_of(importance: int, heavy: bool, depth: int) -> int:
     """Returns the rank: importance, then light callers, then deeper calls."""
     light = 0 if heavy else 1
-    return (importance * 2 + light) * DEPTHS + min(depth, DEPTHS - 1)
+    return (importance * 2 + light) * DISTINCT_DEPTHS + min(
+        depth, DISTINCT_DEPTHS - 1
+    )
 
 
-FIRST_CRITICAL = rank_of(messages.Importance.CRITICAL, True, 0)
+LOWEST_CRITICAL_RANK = rank_of(messages.Importance.CRITICAL, True, 0)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -29,8 +31,8 @@
       operation: what is called.
       rank: from rank_of; higher goes first.
       level: its admission level.
-      since: loop time of its arrival.
-      latest: loop time at which it could no longer finish in time.
+      queued_at: loop time of its arrival.
+      latest_start: loop time at which it could no longer finish in time.
       future: gets the pass, or the error of a refusal.
       timer: ends the wait.
     """
@@ -38,13 +40,13 @@
     operation: ids.OperationName
     rank: int
     level: int
-    since: float
-    latest: float
+    queued_at: float
+    latest_start: float
     future: asyncio.Future
     timer: asyncio.TimerHandle | None = None
 
 
-class Waiting:
+class CallQueue:
     """Waiters by rank; both ends of every rank are reached in O(1).
 
     Attributes:
@@ -56,14 +58,14 @@
 
     def __init__(self, newest_first: bool):
         self.newest_first = newest_first
-        self.ranks = [collections.OrderedDict() for _ in range(RANKS)]
-        self.occupied = 0
+        self.ranks = [collections.OrderedDict() for _ in range(RANK_COUNT)]
+        self.occupied_ranks = 0
         self.length = 0
 
     def add(self, waiter: Waiter) -> None:
         """Adds a waiter."""
         self.ranks[waiter.rank][waiter] = None
-        self.occupied |= 1 << waiter.rank
+        self.occupied_ranks |= 1 << waiter.rank
         self.length += 1
 
     def remove(self, waiter: Waiter) -> bool:
@@ -72,7 +74,7 @@
         if waiter not in rank:
             return False
         del rank[waiter]
-        self.removed(waiter.rank)
+        self.update_counts(waiter.rank)
         return True
 
     def pop_best(self) -> Waiter:
@@ -82,9 +84,9 @@
           KeyError: nobody waits.
         """
         rank = self.best_rank()
-        newest = self.newest_first and rank < FIRST_CRITICAL
+        newest = self.newest_first and rank < LOWEST_CRITICAL_RANK
         waiter, _ = self.ranks[rank].popitem(last=newest)
-        self.removed(rank)
+        self.update_counts(rank)
         return waiter
 
     def pop_worst(self) -> Waiter:
@@ -95,10 +97,10 @@
         """
         rank = self.worst_rank()
         waiter, _ = self.ranks[rank].popitem(last=not self.newest_first)
-        self.removed(rank)
+        self.update_counts(rank)
         return waiter
 
-    def below(self, level: int) -> list[Waiter]:
+    def waiters_below(self, level: int) -> list[Waiter]:
         """Returns the waiters below a level."""
         return [
             waiter
@@ -109,15 +111,15 @@
 
     def best_rank(self) -> int:
         """Returns the highest rank that waits; -1 when nobody does."""
-        return self.occupied.bit_length() - 1
+        return self.occupied_ranks.bit_length() - 1
 
     def worst_rank(self) -> int:
         """Returns the lowest rank that waits; -1 when nobody does."""
-        lowest = self.occupied & -self.occupied
+        lowest = self.occupied_ranks & -self.occupied_ranks
         return lowest.bit_length() - 1
 
-    def removed(self, rank: int) -> None:
+    def update_counts(self, rank: int) -> None:
         """Keeps the counts after one waiter left its rank."""
         self.length -= 1
         if not self.ranks[rank]:
-            self.occupied &= ~(1 << rank)
+            self.occupied_ranks &= ~(1 << rank)
--- a/mangobay/cells.py
+++ b/mangobay/cells.py
@@ -8,21 +8,23 @@
 from mangobay import findings, ids, table
 from mangobay.generated import messages
 
-MOST_DEADLINE_MS = 600_000
-MOST_TRIES = 100
-NAME = re.compile(r"[a-z][a-z0-9_.-]{0,63}")
-SEGMENT = re.compile(r"\*|\{[a-z_]+\}|[A-Za-z0-9_.~!$&'()+,;=:@-]*")
-DOTS = frozenset({".", ".."})
-CALLER_GAP = re.compile(r"[\s,;|+]+")
+MAX_DEADLINE_MS = 600_000
+MAX_TRIES = 100
+NAME_PATTERN = re.compile(r"[a-z][a-z0-9_.-]{0,63}")
+PATH_SEGMENT_PATTERN = re.compile(
+    r"\*|\{[a-z_]+\}|[A-Za-z0-9_.~!$&'()+,;=:@-]*"
+)
+DOT_SEGMENTS = frozenset({".", ".."})
+CALLER_SEPARATORS = re.compile(r"[\s,;|+]+")
 METHODS = frozenset(
     {"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 )
-RESERVED = frozenset({"mangobay", ids.OUTSIDE})
+RESERVED_SERVICES = frozenset({"mangobay", ids.OUTSIDE})
 """The node answers below /mangobay itself; `outside` names every caller."""
 IMPORTANCES = {
     importance.name.lower(): importance for importance in messages.Importance
 }
-KEY_WORDS = {"required": True, "optional": False, "": False}
+KEY_VALUES = {"required": True, "optional": False, "": False}
 
 
 class Column(enum.Enum):
@@ -41,7 +43,7 @@
     TRIES = "tries"
 
 
-def yes_or_no(text: str) -> bool:
+def parse_boolean(text: str) -> bool:
     """Returns the meaning of yes or no, as words or as spreadsheets write it.
 
     Raises:
@@ -55,7 +57,7 @@
     raise ValueError(f"{text!r} is neither yes nor no")
 
 
-def definite(text: str) -> bool:
+def parse_required_boolean(text: str) -> bool:
     """Returns yes or no where an empty cell must not be taken for no.
 
     Raises:
@@ -63,16 +65,16 @@
     """
     if not text:
         raise ValueError("must be yes or no")
-    return yes_or_no(text)
+    return parse_boolean(text)
 
 
-def name_of(text: str) -> str:
+def parse_name(text: str) -> str:
     """Returns a name of a service or operation.
 
     Raises:
       ValueError: it is none.
     """
-    if not NAME.fullmatch(text):
+    if not NAME_PATTERN.fullmatch(text):
         raise ValueError(
             f"{text!r} is not a name: a letter, then letters, digits, -, _"
             " and . in lower case, 64 at most"
@@ -80,18 +82,18 @@
     return text
 
 
-def service_of(text: str) -> str:
+def parse_service(text: str) -> str:
     """Returns the name of a service.
 
     Raises:
       ValueError: it is none, or is reserved.
     """
-    if text in RESERVED:
+    if text in RESERVED_SERVICES:
         raise ValueError(f"{text!r} is reserved")
-    return name_of(text)
+    return parse_name(text)
 
 
-def word_of(text: str, words: dict[str, object]) -> object:
+def parse_choice(text: str, words: dict[str, object]) -> object:
     """Returns what a word stands for.
 
     Raises:
@@ -107,7 +109,7 @@
         ) from None
 
 
-def method_of(text: str) -> str:
+def parse_method(text: str) -> str:
     """Returns an HTTP method.
 
     Raises:
@@ -118,7 +120,7 @@
     return text.upper()
 
 
-def path_of(text: str) -> str:
+def parse_path(text: str) -> str:
     """Returns a path pattern, its `{name}` segments written as `*`.
 
     Raises:
@@ -128,7 +130,10 @@
         raise ValueError(f"{text!r} must start with /")
     segments = text.split("/")[1:]
     for segment in segments:
-        if not SEGMENT.fullmatch(segment) or segment in DOTS:
+        if (
+            not PATH_SEGMENT_PATTERN.fullmatch(segment)
+            or segment in DOT_SEGMENTS
+        ):
             raise ValueError(
                 f"{segment!r} in {text!r} is neither a plain segment nor *"
                 " nor {name}"
@@ -136,19 +141,19 @@
     return "/" + "/".join(table.segments_of(text))
 
 
-def callers_of(text: str) -> list[str]:
+def parse_callers(text: str) -> list[str]:
     """Returns the calling services, sorted, each once.
 
     Raises:
       ValueError: one is no name.
     """
-    names = {name for name in CALLER_GAP.split(text) if name}
+    names = {name for name in CALLER_SEPARATORS.split(text) if name}
     if ids.EVERYONE in names:
         return [ids.EVERYONE]
-    return sorted(name_of(name) for name in names)
+    return sorted(parse_name(name) for name in names)
 
 
-def whole_number(text: str, low: int, high: int) -> int:
+def parse_integer(text: str, low: int, high: int) -> int:
     """Returns a whole number of a range.
 
     Raises:
@@ -160,36 +165,40 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Cell:
+class CellParser:
     """How the cells of a column are read.
 
     Attributes:
       attribute: where the value goes in messages.Operation.
-      read: makes the value; raises ValueError with what is wrong.
-      needed: whether the sheet must have the column.
+      parse: makes the value; raises ValueError with what is wrong.
+      required: whether the sheet must have the column.
     """
 
     attribute: str
-    read: collections.abc.Callable[[str], object]
-    needed: bool = True
+    parse: collections.abc.Callable[[str], object]
+    required: bool = True
 
 
-CELLS = {
-    Column.SERVICE: Cell("service", service_of),
-    Column.OPERATION: Cell("name", name_of),
-    Column.METHOD: Cell("method", method_of),
-    Column.PATH: Cell("path", path_of),
-    Column.IMPORTANCE: Cell(
-        "importance", lambda text: word_of(text, IMPORTANCES)
+CELL_PARSERS = {
+    Column.SERVICE: CellParser("service", parse_service),
+    Column.OPERATION: CellParser("name", parse_name),
+    Column.METHOD: CellParser("method", parse_method),
+    Column.PATH: CellParser("path", parse_path),
+    Column.IMPORTANCE: CellParser(
+        "importance", lambda text: parse_choice(text, IMPORTANCES)
+    ),
+    Column.IDEMPOTENT: CellParser("idempotent", parse_required_boolean),
+    Column.KEY: CellParser(
+        "key_required",
+        lambda text: parse_choice(text, KEY_VALUES),
+        required=False,
     ),
-    Column.IDEMPOTENT: Cell("idempotent", definite),
-    Column.KEY: Cell(
-        "key_required", lambda text: word_of(text, KEY_WORDS), needed=False
+    Column.CALLERS: CellParser("callers", parse_callers, required=False),
+    Column.OUTSIDE: CellParser("outside", parse_boolean, required=False),
+    Column.DEADLINE_MS: CellParser(
+        "deadline_ms", lambda text: parse_integer(text, 1, MAX_DEADLINE_MS)
     ),
-    Column.CALLERS: Cell("callers", callers_of, needed=False),
-    Column.OUTSIDE: Cell("outside", yes_or_no, needed=False),
-    Column.DEADLINE_MS: Cell(
-        "deadline_ms", lambda text: whole_number(text, 1, MOST_DEADLINE_MS)
+    Column.TRIES: CellParser(
+        "tries", lambda text: parse_integer(text, 0, MAX_TRIES)
     ),
-    Column.TRIES: Cell("tries", lambda text: whole_number(text, 0, MOST_TRIES)),
 }
--- a/mangobay/downstream.py
+++ b/mangobay/downstream.py
@@ -8,49 +8,56 @@
 
 from mangobay import ids, levels
 
-NEARLY_ALL = 0.8
+MIN_CHILD_CALL_SHARE = 0.8
 """Share of calls with child calls above which the level below counts here:
 else an operation that needs a child call only now and then would be refused
 for it always."""
-PART = 0.1
+SHARE_WEIGHT = 0.1
 """Weight of the newest call in that share."""
 
 
-class Downstream:
+class DownstreamTracker:
     """Follows the threshold of the services that one operation calls.
 
     Attributes:
-      told: the last threshold with which a child call was refused.
-      told_at: loop time of that.
-      share: of the calls below it, how many made child calls.
+      reported_threshold: the last threshold with which a child call was refused.
+      reported_at: loop time of that.
+      child_call_share: of the calls below it, how many made child calls.
     """
 
     def __init__(self, reopen_time: float):
         self.reopen_time = reopen_time
-        self.told = levels.OPEN
-        self.told_at = 0.0
-        self.share = 0.0
+        self.reported_threshold = levels.ADMIT_ALL
+        self.reported_at = 0.0
+        self.child_call_share = 0.0
 
     def observe(
-        self, level: int, below: int, used: bool, ok: bool, now: float
+        self,
+        level: int,
+        downstream_threshold: int,
+        made_child_call: bool,
+        ok: bool,
+        now: float,
     ) -> None:
         """Learns from a call that ran here.
 
         Args:
           level: of the call.
-          below: threshold with which its child call was refused, or OPEN.
-          used: it made a child call at all.
+          downstream_threshold: threshold with which its child call was refused, or OPEN.
+          made_child_call: it made a child call at all.
           ok: it was answered.
           now: loop time.
         """
-        if below:
-            self.told = below
-            self.told_at = now
-        if level >= self.told:
+        if downstream_threshold:
+            self.reported_threshold = downstream_threshold
+            self.reported_at = now
+        if level >= self.reported_threshold:
             return
-        self.share += ((1.0 if used else 0.0) - self.share) * PART
-        if used and ok and not below:
-            self.told = (self.told + level) // 2
+        self.child_call_share += (
+            (1.0 if made_child_call else 0.0) - self.child_call_share
+        ) * SHARE_WEIGHT
+        if made_child_call and ok and not downstream_threshold:
+            self.reported_threshold = (self.reported_threshold + level) // 2
 
     def threshold(self, now: float) -> int:
         """Returns the lowest level that is not refused below.
@@ -58,42 +65,48 @@
         It falls with time, so that a few calls go through and find out
         whether the services below still refuse them.
         """
-        if not self.told or self.share < NEARLY_ALL:
-            return levels.OPEN
-        height = min(self.told, levels.HIGHEST)
-        return levels.fallen(
-            height, now - self.told_at, self.reopen_time, levels.TOLD
+        if (
+            not self.reported_threshold
+            or self.child_call_share < MIN_CHILD_CALL_SHARE
+        ):
+            return levels.ADMIT_ALL
+        height = min(self.reported_threshold, levels.MAX_THRESHOLD)
+        return levels.decayed_threshold(
+            height,
+            now - self.reported_at,
+            self.reopen_time,
+            levels.REMOTE_DECAY_POWER,
         )
 
 
-class Downstreams:
+class DownstreamTrackers:
     """What is refused below each operation.
 
     Attributes:
-      known: by operation; as many as the sheet gives the service.
+      by_operation: by operation; as many as the sheet gives the service.
     """
 
     def __init__(self, reopen_time: float):
         self.reopen_time = reopen_time
-        self.known: dict[ids.OperationName, Downstream] = {}
+        self.by_operation: dict[ids.OperationName, DownstreamTracker] = {}
 
     def observe(
         self,
         operation: ids.OperationName,
         level: int,
-        below: int,
-        used: bool,
+        downstream_threshold: int,
+        made_child_call: bool,
         ok: bool,
         now: float,
     ) -> None:
         """Learns from a call that ran here, as `Downstream.observe`."""
-        found = self.known.get(operation)
+        found = self.by_operation.get(operation)
         if found is None:
-            found = Downstream(self.reopen_time)
-            self.known[operation] = found
-        found.observe(level, below, used, ok, now)
+            found = DownstreamTracker(self.reopen_time)
+            self.by_operation[operation] = found
+        found.observe(level, downstream_threshold, made_child_call, ok, now)
 
     def threshold(self, operation: ids.OperationName, now: float) -> int:
         """Returns the lowest level of an operation not refused below."""
-        found = self.known.get(operation)
-        return found.threshold(now) if found else levels.OPEN
+        found = self.by_operation.get(operation)
+        return found.threshold(now) if found else levels.ADMIT_ALL
--- a/mangobay/estimates.py
+++ b/mangobay/estimates.py
@@ -1,10 +1,10 @@
 """Running estimates that admission goes by."""
 
-FORGET_TIME = 1.0
+HALF_LIFE = 1.0
 """Seconds in which the expected service time halves without an answer."""
-PACE_PART = 0.05
+INTERVAL_WEIGHT = 0.05
 """Weight of the newest answer in the mean time between two answers."""
-LONGEST_GAP = 1.0
+MAX_INTERVAL = 1.0
 """Seconds; a longer time between two answers was idleness."""
 
 
@@ -15,38 +15,38 @@
     every deadline would refuse all calls, so that no answer could mend it.
     """
 
-    FALL = 0.3
-    RISE = 0.03
+    FALL_WEIGHT = 0.3
+    RISE_WEIGHT = 0.03
 
     def __init__(self):
         self.seconds = 0.0
-        self.seen = 0.0
+        self.updated_at = 0.0
 
     def observe(self, seconds: float, now: float) -> None:
         """Learns from one answer."""
-        part = self.FALL if seconds < self.seconds else self.RISE
+        part = self.FALL_WEIGHT if seconds < self.seconds else self.RISE_WEIGHT
         self.seconds += (seconds - self.seconds) * part
-        self.seen = now
+        self.updated_at = now
 
-    def at(self, now: float) -> float:
+    def seconds_at(self, now: float) -> float:
         """Returns the seconds that a call needs at least."""
-        return self.seconds * 0.5 ** ((now - self.seen) / FORGET_TIME)
+        return self.seconds * 0.5 ** ((now - self.updated_at) / HALF_LIFE)
 
 
-class Pace:
+class CompletionInterval:
     """The mean time between two answers.
 
     Attributes:
       seconds: that mean.
-      last: loop time of the last answer.
+      last_completion: loop time of the last answer.
     """
 
     def __init__(self):
         self.seconds = 0.0
-        self.last = 0.0
+        self.last_completion = 0.0
 
-    def answered(self, now: float) -> None:
+    def observe(self, now: float) -> None:
         """Counts an answer; now is loop time."""
-        gap = min(now - self.last, LONGEST_GAP)
-        self.last = now
-        self.seconds += (gap - self.seconds) * PACE_PART
+        gap = min(now - self.last_completion, MAX_INTERVAL)
+        self.last_completion = now
+        self.seconds += (gap - self.seconds) * INTERVAL_WEIGHT
--- a/mangobay/hosts.py
+++ b/mangobay/hosts.py
@@ -63,7 +63,7 @@
     inflight: int = 0
     limit: int = 0
     operation: ids.OperationName = ids.OperationName("")
-    below: int = levels.OPEN
+    below: int = levels.ADMIT_ALL
     status: int = 0
     size: int = 0
     crossing: int = 0
@@ -138,7 +138,7 @@
     member: messages.Member
     since: float
     outstanding: int = 0
-    threshold: int = levels.OPEN
+    threshold: int = levels.ADMIT_ALL
     told: float = 0.0
     hint: float = 0.0
     load: float = 0.0
@@ -178,9 +178,12 @@
         fell would keep it without calls for ever.
         """
         if not self.threshold:
-            return levels.OPEN
-        return levels.fallen(
-            self.threshold, now - self.told, reopen_time, levels.TOLD
+            return levels.ADMIT_ALL
+        return levels.decayed_threshold(
+            self.threshold,
+            now - self.told,
+            reopen_time,
+            levels.REMOTE_DECAY_POWER,
         )
 
     def sheds_at(self, now: float, reopen_time: float) -> float:
@@ -332,9 +335,12 @@
         """Returns the lowest level of an operation admitted below now."""
         found = self.below.get(operation)
         if found is None:
-            return levels.OPEN
-        return levels.fallen(
-            found.threshold, now - found.told, reopen_time, levels.TOLD
+            return levels.ADMIT_ALL
+        return levels.decayed_threshold(
+            found.threshold,
+            now - found.told,
+            reopen_time,
+            levels.REMOTE_DECAY_POWER,
         )
 
     def update(self, view: messages.ServiceView, now: float) -> None:
--- a/mangobay/knee.py
+++ b/mangobay/knee.py
@@ -11,26 +11,26 @@
 
 from mangobay import ids
 
-CALM = 0.85
+UNCONTENDED_SHARE = 0.85
 """Share of the slots in use up to which a call counts as undisturbed."""
-BANDS = (0.95, 0.9, CALM)
+BANDS = (0.95, 0.9, UNCONTENDED_SHARE)
 """Shares of the slots in use above which calls are looked at together: few
 enough that some seconds of full load give each of them its answers."""
-SLOWER = 1.15
+MIN_SLOWDOWN = 1.15
 """Times the undisturbed seconds from which on a band does not pay: above what
 the fifteen hundredths of the slots of all bands could add."""
-OTHER_CAUSE = 2.0
+MAX_SLOWDOWN = 2.0
 """Times the undisturbed seconds above which it is not the last slots that slow
 the calls: with fewer of them, fewer calls would be answered."""
-BATCH = 96
+BATCH_SIZE = 96
 """Answers that are looked at together; their mean is right to a twentieth."""
-CONFIRMED = 2
+BATCHES_TO_CONFIRM = 2
 """Batches in a row that must agree: a backend server that turns slow while one
 is collected looks for once as if only its last slots were slower."""
-HOLD = 20.0
+INITIAL_HOLD_TIME = 20.0
 """Seconds for which a band is left out before it is tried again; doubled each
 time.  It costs about a second of slower calls."""
-LONGEST_HOLD = 160.0
+MAX_HOLD_TIME = 160.0
 UNLIMITED = 1_000_000
 """Calls; the limit where every slot pays."""
 
@@ -40,18 +40,18 @@
     """Values that are looked at together.
 
     Attributes:
-      slow: batches in a row that were slower than they should be.
+      consecutive_slow: batches in a row that were slower than they should be.
     """
 
     total: float = 0.0
     count: int = 0
-    slow: int = 0
+    consecutive_slow: int = 0
 
     def add(self, value: float) -> float | None:
         """Takes in a value; returns the mean of a batch that is full."""
         self.total += value
         self.count += 1
-        if self.count < BATCH:
+        if self.count < BATCH_SIZE:
             return None
         mean = self.total / self.count
         self.total = 0.0
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Calm:
+class Baseline:
     """Undisturbed calls of one operation.
 
     Attributes:
@@ -71,24 +71,24 @@
     batch: Batch = dataclasses.field(default_factory=Batch)
 
 
-class Knee:
+class KneeDetector:
     """Finds how many of the slots of one backend server pay.
 
     Attributes:
       limit: calls at once above which nothing is gained.
       slots: as announced; 0 when none were.
-      calm: undisturbed calls, by operation.
+      baselines: undisturbed calls, by operation.
       bands: how many times longer the others took, by band.
     """
 
     def __init__(self):
         self.slots = 0
-        self.calm: dict[ids.OperationName, Calm] = {}
-        self.hold = HOLD
+        self.baselines: dict[ids.OperationName, Baseline] = {}
+        self.hold_time = INITIAL_HOLD_TIME
         self.held_until = 0.0
-        self.start_over()
+        self.reset()
 
-    def start_over(self) -> None:
+    def reset(self) -> None:
         """Uses every slot, and looks at new answers only."""
         self.limit = UNLIMITED
         self.bands = [Batch() for _ in BANDS]
@@ -97,7 +97,7 @@
         """Takes the slots announced; of another number nothing is known."""
         if slots != self.slots:
             self.slots = slots
-            self.start_over()
+            self.reset()
 
     def observe(
         self,
@@ -117,37 +117,37 @@
         if not self.slots:
             return
         if self.limit != UNLIMITED and now >= self.held_until:
-            self.hold = min(self.hold * 2, LONGEST_HOLD)
-            self.start_over()
+            self.hold_time = min(self.hold_time * 2, MAX_HOLD_TIME)
+            self.reset()
         used = running / self.slots
-        calm = self.calm.setdefault(operation, Calm())
-        if used <= CALM:
-            self.note_calm(calm, seconds)
+        calm = self.baselines.setdefault(operation, Baseline())
+        if used <= UNCONTENDED_SHARE:
+            self.record_uncontended(calm, seconds)
         elif calm.seconds:
-            self.note_busy(used, seconds / calm.seconds, now)
+            self.record_contended(used, seconds / calm.seconds, now)
 
-    def note_calm(self, calm: Calm, seconds: float) -> None:
+    def record_uncontended(self, calm: Baseline, seconds: float) -> None:
         """Takes in an undisturbed call."""
         mean = calm.batch.add(seconds)
         if mean is None:
             return
         former, calm.seconds = calm.seconds, mean
-        if former and not 1 / SLOWER < mean / former < SLOWER:
+        if former and not 1 / MIN_SLOWDOWN < mean / former < MIN_SLOWDOWN:
             # It works at another speed now: what was seen of the last slots
             # was measured by the former one.
             self.bands = [Batch() for _ in BANDS]
 
-    def note_busy(self, used: float, longer: float, now: float) -> None:
+    def record_contended(self, used: float, longer: float, now: float) -> None:
         """Takes in how much longer a call took beside many others."""
         place = next(n for n, share in enumerate(BANDS) if used > share)
         band = self.bands[place]
         mean = band.add(longer)
         if mean is None:
             return
-        slower = SLOWER < mean < OTHER_CAUSE
-        band.slow = band.slow + 1 if slower else 0
-        if band.slow < CONFIRMED:
+        slower = MIN_SLOWDOWN < mean < MAX_SLOWDOWN
+        band.consecutive_slow = band.consecutive_slow + 1 if slower else 0
+        if band.consecutive_slow < BATCHES_TO_CONFIRM:
             return
         self.limit = min(self.limit, max(1, int(BANDS[place] * self.slots)))
-        self.held_until = now + self.hold
+        self.held_until = now + self.hold_time
         self.bands[place] = Batch()
--- a/mangobay/levels.py
+++ b/mangobay/levels.py
@@ -9,27 +9,29 @@
 
 from mangobay.generated import messages
 
-FRACTIONS = 256
-OPEN = 0
+LEVELS_PER_IMPORTANCE = 256
+ADMIT_ALL = 0
 """The threshold that refuses nothing."""
-HIGHEST = messages.Importance.CRITICAL * FRACTIONS
+MAX_THRESHOLD = messages.Importance.CRITICAL * LEVELS_PER_IMPORTANCE
 """No threshold is higher: critical calls are refused only by the queue."""
-OWN = 2
-TOLD = 4
-TOP = (messages.Importance.CRITICAL + 1) * FRACTIONS
+LOCAL_DECAY_POWER = 2
+REMOTE_DECAY_POWER = 4
+LEVEL_COUNT = (messages.Importance.CRITICAL + 1) * LEVELS_PER_IMPORTANCE
 
 
-def fraction_of(text: str) -> int:
+def hash_byte(key: str) -> int:
     """Returns the stable fraction, 0 to 255, of a caller or call tree."""
-    return xxhash.xxh32_intdigest(text.encode()) & (FRACTIONS - 1)
+    return xxhash.xxh32_intdigest(key.encode()) & (LEVELS_PER_IMPORTANCE - 1)
 
 
-def level_of(importance: int, text: str) -> int:
+def level_of(importance: int, key: str) -> int:
     """Returns the level of a call of this importance from this caller."""
-    return importance * FRACTIONS + fraction_of(text)
+    return importance * LEVELS_PER_IMPORTANCE + hash_byte(key)
 
 
-def fallen(height: int, seconds: float, reopen_time: float, power: int) -> int:
+def decayed_threshold(
+    threshold: int, seconds: float, reopen_time: float, power: int
+) -> int:
     """Returns the threshold that was `height` this many seconds ago.
 
     It falls slowly at first and to nothing within reopen_time.  A straight
@@ -40,5 +42,5 @@
     """
     gone = seconds / reopen_time
     if gone >= 1.0:
-        return OPEN
-    return int(height * (1.0 - gone**power))
+        return ADMIT_ALL
+    return int(threshold * (1.0 - gone**power))
--- a/mangobay/pressure.py
+++ b/mangobay/overload.py
@@ -4,24 +4,24 @@
 
 from mangobay import levels
 
-PERIOD = 0.1
+ADJUST_INTERVAL = 0.1
 """Seconds between two adjustments."""
-STEP = 16
+LEVELS_PER_GROUP = 16
 """Levels in one group of the count of arrivals."""
-GROUPS = levels.TOP // STEP
-KEEP = 0.5
+GROUP_COUNT = levels.LEVEL_COUNT // LEVELS_PER_GROUP
+RETAINED_SHARE = 0.5
 """Share of the counts that is kept from one period to the next."""
-KEEP_FEW = 0.9
+RETAINED_SHARE_AT_LOW_COUNT = 0.9
 """The same where few calls are served: a count of a handful is too noisy to
 set a threshold by."""
-MANY_SERVED = 32
+LOW_COUNT = 32
 """Calls from which on a count is no longer small."""
-SPARE = 1.05
+HEADROOM_FACTOR = 1.05
 """Calls are let in for this many times what was served, so that the slots
 never run dry while the threshold is up."""
 
 
-class Pressure:
+class OverloadController:
     """Watches the queue of one backend server and sets the threshold.
 
     A queue stands when it has not been empty for `interval`.  The shortest
@@ -35,76 +35,83 @@
 
     Attributes:
       threshold: calls below this level are refused on arrival.
-      height: the threshold when the queue last stood.
-      stood: loop time of that.
+      standing_threshold: the threshold when the queue last stood.
+      last_standing: loop time of that.
     """
 
     def __init__(self, interval: float, reopen_time: float):
         self.interval = interval
         self.reopen_time = reopen_time
-        self.threshold = levels.OPEN
-        self.height = levels.OPEN
+        self.threshold = levels.ADMIT_ALL
+        self.standing_threshold = levels.ADMIT_ALL
         self.last_empty = 0.0
-        self.looked = 0.0
-        self.stood = 0.0
-        self.arrived = [0.0] * GROUPS
+        self.adjusted_at = 0.0
+        self.last_standing = 0.0
+        self.arrivals = [0.0] * GROUP_COUNT
         self.served = 0.0
 
-    def standing(self, now: float) -> bool:
+    def is_standing(self, now: float) -> bool:
         """Returns whether the queue has not been empty for `interval`."""
         return now - self.last_empty > self.interval
 
-    def look(self, empty: bool, now: float) -> None:
+    def update(self, empty: bool, now: float) -> None:
         """Notes whether the queue is empty, and adjusts the threshold."""
         if empty:
             self.last_empty = now
-        if now - self.looked >= PERIOD:
+        if now - self.adjusted_at >= ADJUST_INTERVAL:
             self.adjust(now)
 
     def adjust(self, now: float) -> None:
         """Raises or lowers the threshold by what was seen lately."""
-        self.looked = now
-        if self.standing(now):
-            self.tighten(now)
+        self.adjusted_at = now
+        if self.is_standing(now):
+            self.raise_threshold(now)
         else:
-            self.reopen(now)
-        self.forget()
+            self.lower_threshold(now)
+        self.decay_counts()
 
-    def tighten(self, now: float) -> None:
+    def raise_threshold(self, now: float) -> None:
         """Raises the threshold half way to what can be sustained.
 
         Half, since one count is noisy and the threshold never falls while
         the queue stands: jumping to each new target would keep the highest
         of many noisy ones.
         """
-        target = self.sustainable()
+        target = self.sustainable_threshold()
         if target > self.threshold:
             self.threshold += math.ceil((target - self.threshold) / 2)
-        self.height = self.threshold
-        self.stood = now
+        self.standing_threshold = self.threshold
+        self.last_standing = now
 
-    def reopen(self, now: float) -> None:
+    def lower_threshold(self, now: float) -> None:
         """Lowers the threshold by the time since the queue last stood."""
-        self.threshold = levels.fallen(
-            self.height, now - self.stood, self.reopen_time, levels.OWN
+        self.threshold = levels.decayed_threshold(
+            self.standing_threshold,
+            now - self.last_standing,
+            self.reopen_time,
+            levels.LOCAL_DECAY_POWER,
         )
 
-    def forget(self) -> None:
+    def decay_counts(self) -> None:
         """Fades the counts; slowly where few calls are served."""
-        keep = KEEP if self.served > MANY_SERVED else KEEP_FEW
-        self.arrived = [count * keep for count in self.arrived]
+        keep = (
+            RETAINED_SHARE
+            if self.served > LOW_COUNT
+            else RETAINED_SHARE_AT_LOW_COUNT
+        )
+        self.arrivals = [count * keep for count in self.arrivals]
         self.served *= keep
 
-    def sustainable(self) -> int:
+    def sustainable_threshold(self) -> int:
         """Returns the level above which no more arrived than was served."""
-        room = self.served * SPARE
-        for group in range(GROUPS - 1, -1, -1):
-            room -= self.arrived[group]
+        room = self.served * HEADROOM_FACTOR
+        for group in range(GROUP_COUNT - 1, -1, -1):
+            room -= self.arrivals[group]
             if room < 0:
-                return min(levels.HIGHEST, (group + 1) * STEP)
-        return levels.OPEN
+                return min(levels.MAX_THRESHOLD, (group + 1) * LEVELS_PER_GROUP)
+        return levels.ADMIT_ALL
 
-    def reopens_in(self, level: int) -> float:
+    def seconds_until_admitted(self, level: int) -> float:
         """Returns the seconds until the threshold may fall to the level."""
         if self.threshold <= level:
             return 0.0
--- a/mangobay/serving.py
+++ b/mangobay/serving.py
@@ -7,6 +7,7 @@
 import typing
 
 from mangobay import (
+    admissionrequest,
     announcements,
     backend,
     calls,
@@ -18,7 +19,6 @@
     invariants,
     logs,
     options,
-    tickets,
     tries,
 )
 from mangobay.generated import messages
@@ -151,7 +151,7 @@
         reply.host = self.process.host
         if place is not None:
             reply.threshold = place.admission.threshold
-            reply.below = place.admission.below(call.operation)
+            reply.below = place.admission.downstream_threshold(call.operation)
             reply.inflight = place.admission.load
             reply.limit = place.admission.limit
             now = asyncio.get_running_loop().time()
@@ -228,18 +228,18 @@
         Raises:
           Exception: whatever the gate raises; no byte was sent.
         """
-        ticket = tickets.Ticket(
+        ticket = admissionrequest.AdmissionRequest(
             importance=call.importance,
             depth=call.depth,
             deadline=deadline,
             client=call.client,
             operation=call.operation,
             tree=call.tree,
-            patience=call.patience_ms / 1000,
+            max_wait=call.patience_ms / 1000,
         )
         try:
-            permit = await place.admission.enter(ticket)
-        except tickets.ShedError as shed:
+            permit = await place.admission.acquire(ticket)
+        except admissionrequest.ShedError as shed:
             return calls.not_run(shed.reason, shed.retry_after)
         running = tries.Running(grant)
         self.parents[call.call_id] = calls.Parent(
@@ -256,12 +256,12 @@
             del self.parents[call.call_id]
             now = asyncio.get_running_loop().time()
             self.crossings.ended(call.operation, now)
-            permit.leave(
+            permit.release(
                 now - began,
                 ok=is_whole(reply),
-                awaited=running.awaited_at(now),
-                shed=reply.reason == Reason.BACKEND_SHED,
-                below=running.below,
+                child_wait_seconds=running.awaited_at(now),
+                backend_shed=reply.reason == Reason.BACKEND_SHED,
+                downstream_threshold=running.below,
             )
         reply.called_below = running.awaited > 0
         invariants.check(
--- a/mangobay/settings.py
+++ b/mangobay/settings.py
@@ -14,26 +14,26 @@
 """Section name -> its class and options, as generated from the schema."""
 Program = typing.TypeVar("Program")
 
-NO_DEFAULTS = "\0"
+NO_DEFAULT_SECTION = "\0"
 """Never a section name: [DEFAULT] would spill its keys into all sections."""
 SECTION_LINE = re.compile(r"\[(?P<name>[^\]]*)\]")
 KEY_LINE = re.compile(r"(?P<name>[^\s=#;\[][^=]*?)\s*=")
 
 
-class Place(typing.NamedTuple):
+class SettingId(typing.NamedTuple):
     """A key of a section; the section itself where `key` is empty."""
 
     section: str
     key: str = ""
 
 
-class Values(dict[Place, typing.Any]):
+class Values(dict[SettingId, typing.Any]):
     """What was read; a place whose text was faulty is missing."""
 
 
-def addresses_of(section: str, *keys: str) -> tuple[Place, ...]:
+def section_settings(section: str, *keys: str) -> tuple[SettingId, ...]:
     """Returns the places of several keys of one section."""
-    return tuple(Place(section, key) for key in keys)
+    return tuple(SettingId(section, key) for key in keys)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -41,20 +41,22 @@
     """A rule between settings.
 
     Attributes:
-      place: where its finding is shown.
-      needs: further places it reads; it is left out where one is faulty.
-      holds: whether the values obey.
+      setting: where its finding is shown.
+      depends_on: further places it reads; it is left out where one is faulty.
+      is_satisfied: whether the values obey.
       message: what is wrong and what would be right.
     """
 
-    place: Place
-    needs: tuple[Place, ...] = ()
-    holds: collections.abc.Callable[[Values], bool]
+    setting: SettingId
+    depends_on: tuple[SettingId, ...] = ()
+    is_satisfied: collections.abc.Callable[[Values], bool]
     message: str
 
-    def applies(self, values: Values) -> bool:
+    def can_evaluate(self, values: Values) -> bool:
         """Returns whether everything it reads is there."""
-        return all(place in values for place in (self.place, *self.needs))
+        return all(
+            place in values for place in (self.setting, *self.depends_on)
+        )
 
 
 def is_loopback(address: options.Address) -> bool:
@@ -62,97 +64,105 @@
     return ipaddress.ip_address(address.ip).is_loopback
 
 
-def are_distinct(values: Values, places: tuple[Place, ...]) -> bool:
+def are_distinct(values: Values, setting_ids: tuple[SettingId, ...]) -> bool:
     """Returns whether no two of the places hold the same address."""
-    addresses = [values[place] for place in places]
+    addresses = [values[place] for place in setting_ids]
     return len(set(addresses)) == len(addresses)
 
 
-NODE_LISTENERS = addresses_of("listen", "outside", "local", "peer")
-CONTROL_LISTENERS = addresses_of("listen", "peer", "operator")
-TLS_FILES = addresses_of("tls", "certificate", "key", "authority")
-GROUP_HOSTS = Place("group", "hosts")
-GROUP_SEEDS = Place("group", "seeds")
-GROUP_VOTERS = Place("group", "voters")
-ELECTION = Place("group", "election_timeout")
-HEARTBEAT = Place("group", "heartbeat_interval")
+NODE_LISTENERS = section_settings("listen", "outside", "local", "peer")
+CONTROL_LISTENERS = section_settings("listen", "peer", "operator")
+TLS_FILES = section_settings("tls", "certificate", "key", "authority")
+GROUP_HOSTS = SettingId("group", "hosts")
+GROUP_SEEDS = SettingId("group", "seeds")
+GROUP_VOTERS = SettingId("group", "voters")
+ELECTION_TIMEOUT = SettingId("group", "election_timeout")
+HEARTBEAT_INTERVAL = SettingId("group", "heartbeat_interval")
 
 
-def names_each_once(place: Place) -> Check:
+def unique_hosts_check(setting: SettingId) -> Check:
     """Returns the check that a list of hosts names none of them twice."""
     return Check(
-        place=place,
-        holds=lambda values: len(set(values[place])) == len(values[place]),
+        setting=setting,
+        is_satisfied=lambda values: (
+            len(set(values[setting])) == len(values[setting])
+        ),
         message="names a host twice",
     )
 
 
 TLS_CHECK = Check(
-    place=TLS_FILES[0],
-    needs=TLS_FILES[1:],
-    holds=lambda values: len({bool(values[place]) for place in TLS_FILES}) == 1,
+    setting=TLS_FILES[0],
+    depends_on=TLS_FILES[1:],
+    is_satisfied=lambda values: (
+        len({bool(values[place]) for place in TLS_FILES}) == 1
+    ),
     message="give certificate, key and authority together, or none of them",
 )
 
 CHECKS: dict[type, tuple[Check, ...]] = {
     generated.Node: (
         Check(
-            place=NODE_LISTENERS[1],
-            holds=lambda values: is_loopback(values[NODE_LISTENERS[1]]),
+            setting=NODE_LISTENERS[1],
+            is_satisfied=lambda values: is_loopback(values[NODE_LISTENERS[1]]),
             message="must be a loopback address: whoever connects there"
             " speaks as the backend server of this host",
         ),
         Check(
-            place=NODE_LISTENERS[0],
-            needs=NODE_LISTENERS[1:],
-            holds=lambda values: are_distinct(values, NODE_LISTENERS),
+            setting=NODE_LISTENERS[0],
+            depends_on=NODE_LISTENERS[1:],
+            is_satisfied=lambda values: are_distinct(values, NODE_LISTENERS),
             message="outside, local and peer must be three addresses",
         ),
         Check(
-            place=Place("control", "hosts"),
-            holds=lambda values: len(values[Place("control", "hosts")]) > 0,
+            setting=SettingId("control", "hosts"),
+            is_satisfied=lambda values: (
+                len(values[SettingId("control", "hosts")]) > 0
+            ),
             message="name at least one control host",
         ),
-        names_each_once(Place("control", "hosts")),
-        names_each_once(Place("control", "seeds")),
+        unique_hosts_check(SettingId("control", "hosts")),
+        unique_hosts_check(SettingId("control", "seeds")),
         TLS_CHECK,
     ),
     generated.Control: (
         Check(
-            place=CONTROL_LISTENERS[0],
-            needs=CONTROL_LISTENERS[1:],
-            holds=lambda values: are_distinct(values, CONTROL_LISTENERS),
+            setting=CONTROL_LISTENERS[0],
+            depends_on=CONTROL_LISTENERS[1:],
+            is_satisfied=lambda values: are_distinct(values, CONTROL_LISTENERS),
             message="peer and operator must be two addresses",
         ),
         Check(
-            place=GROUP_HOSTS,
-            holds=lambda values: len(values[GROUP_HOSTS]) % 2 == 1,
+            setting=GROUP_HOSTS,
+            is_satisfied=lambda values: len(values[GROUP_HOSTS]) % 2 == 1,
             message="must be an odd number of hosts, so that two halves of"
             " a cut group can never both have a majority",
         ),
-        names_each_once(GROUP_HOSTS),
-        names_each_once(GROUP_SEEDS),
+        unique_hosts_check(GROUP_HOSTS),
+        unique_hosts_check(GROUP_SEEDS),
         Check(
-            place=GROUP_SEEDS,
-            needs=(GROUP_VOTERS,),
-            holds=lambda values: (
+            setting=GROUP_SEEDS,
+            depends_on=(GROUP_VOTERS,),
+            is_satisfied=lambda values: (
                 values[GROUP_VOTERS] == 0 or len(values[GROUP_SEEDS]) > 0
             ),
             message="must name control hosts, since the group grows to"
             " [group] voters: alone, this host would found one of its own",
         ),
         Check(
-            place=GROUP_HOSTS,
-            needs=CONTROL_LISTENERS[:1],
-            holds=lambda values: (
+            setting=GROUP_HOSTS,
+            depends_on=CONTROL_LISTENERS[:1],
+            is_satisfied=lambda values: (
                 values[CONTROL_LISTENERS[0]] in values[GROUP_HOSTS]
             ),
             message="must include this host's own [listen] peer",
         ),
         Check(
-            place=ELECTION,
-            needs=(HEARTBEAT,),
-            holds=lambda values: values[ELECTION] >= 3 * values[HEARTBEAT],
+            setting=ELECTION_TIMEOUT,
+            depends_on=(HEARTBEAT_INTERVAL,),
+            is_satisfied=lambda values: (
+                values[ELECTION_TIMEOUT] >= 3 * values[HEARTBEAT_INTERVAL]
+            ),
             message="must be at least three times heartbeat_interval, or one"
             " lost heartbeat deposes a leader",
         ),
@@ -165,29 +175,29 @@
     """Reads one file against the sections of one program.
 
     Attributes:
-      found: every fault so far, with its line.
-      lines: the line of each section and key, counted from 1.
+      findings: every fault so far, with its line.
+      line_numbers: the line of each section and key, counted from 1.
     """
 
     def __init__(self, path: str, sections: Sections):
         self.path = path
         self.sections = sections
-        self.found: list[tuple[int, findings.Finding]] = []
-        self.lines: dict[Place, int] = {}
+        self.findings: list[tuple[int, findings.Finding]] = []
+        self.line_numbers: dict[SettingId, int] = {}
 
-    def report(self, place: Place, message: str, line: int = 0) -> None:
+    def report(self, setting: SettingId, message: str, line: int = 0) -> None:
         """Keeps a finding; without a line, that of the place is used."""
         line = (
             line
-            or self.lines.get(place)
-            or self.lines.get(Place(place.section), 0)
+            or self.line_numbers.get(setting)
+            or self.line_numbers.get(SettingId(setting.section), 0)
         )
         where = f"{self.path}:{line}" if line else self.path
-        if place.section:
-            where = f"{where} [{place.section}] {place.key}".rstrip()
-        self.found.append((line, findings.Finding(where, message)))
+        if setting.section:
+            where = f"{where} [{setting.section}] {setting.key}".rstrip()
+        self.findings.append((line, findings.Finding(where, message)))
 
-    def index(self, text: str) -> None:
+    def index_lines(self, text: str) -> None:
         """Finds the line of every section and key, and those given twice.
 
         configparser tells neither lines nor more than one duplicate.
@@ -196,17 +206,17 @@
         for line, content in enumerate(text.splitlines(), 1):
             if match := SECTION_LINE.match(content):
                 section = match["name"]
-                self.note(Place(section), line)
+                self.record_line(SettingId(section), line)
             elif match := KEY_LINE.match(content):
-                self.note(Place(section, match["name"]), line)
+                self.record_line(SettingId(section, match["name"]), line)
 
-    def note(self, place: Place, line: int) -> None:
+    def record_line(self, setting: SettingId, line: int) -> None:
         """Keeps the first line of a place and reports the others."""
-        if place not in self.lines:
-            self.lines[place] = line
+        if setting not in self.line_numbers:
+            self.line_numbers[setting] = line
             return
-        first = self.lines[place]
-        self.report(place, f"given already in line {first}", line)
+        first = self.line_numbers[setting]
+        self.report(setting, f"given already in line {first}", line)
 
     def parse(self, text: str) -> configparser.ConfigParser:
         """Returns the parsed file; lines that are not INI are reported."""
@@ -214,18 +224,20 @@
             strict=False,
             interpolation=None,
             delimiters=("=",),
-            default_section=NO_DEFAULTS,
+            default_section=NO_DEFAULT_SECTION,
             empty_lines_in_values=False,
         )
         parser.optionxform = str
         try:
             parser.read_string(text, self.path)
         except configparser.MissingSectionHeaderError as error:
-            self.report(Place(""), "a [section] must come first", error.lineno)
+            self.report(
+                SettingId(""), "a [section] must come first", error.lineno
+            )
         except configparser.ParsingError as error:
             for line, content in error.errors:
                 message = f"neither [section] nor `key = value`: {content}"
-                self.report(Place(""), message, line)
+                self.report(SettingId(""), message, line)
         return parser
 
     def check_names(self, parser: configparser.ConfigParser) -> None:
@@ -233,41 +245,41 @@
         for section in parser.sections():
             if section not in self.sections:
                 hint = findings.nearest(section, self.sections)
-                self.report(Place(section), f"no such section{hint}")
+                self.report(SettingId(section), f"no such section{hint}")
                 continue
             known = [option.name for option in self.sections[section][1]]
             for key in parser[section]:
                 if key not in known:
                     hint = findings.nearest(key, known)
-                    self.report(Place(section, key), f"no such key{hint}")
+                    self.report(SettingId(section, key), f"no such key{hint}")
 
-    def values(self, parser: configparser.ConfigParser) -> Values:
+    def read_values(self, parser: configparser.ConfigParser) -> Values:
         """Returns the value of each option; faulty ones are reported."""
         values = Values()
         for section, (_, known) in self.sections.items():
             for option in known:
-                place = Place(section, option.name)
+                place = SettingId(section, option.name)
                 text = parser.get(section, option.name, fallback=option.default)
                 try:
-                    values[place] = value_of(option, text)
+                    values[place] = parse_value(option, text)
                 except ValueError as error:
                     self.report(place, str(error))
         return values
 
-    def check(self, values: Values, checks: tuple[Check, ...]) -> None:
+    def check_rules(self, values: Values, checks: tuple[Check, ...]) -> None:
         """Reports the rules between settings that do not hold."""
         for check in checks:
-            if check.applies(values) and not check.holds(values):
-                self.report(check.place, check.message)
+            if check.can_evaluate(values) and not check.is_satisfied(values):
+                self.report(check.setting, check.message)
 
-    def raise_found(self) -> None:
+    def raise_findings(self) -> None:
         """Raises SettingsError with all findings by line, if there are any."""
-        if self.found:
-            by_line = sorted(self.found, key=lambda item: item[0])
+        if self.findings:
+            by_line = sorted(self.findings, key=lambda item: item[0])
             raise errors.SettingsError([finding for _, finding in by_line])
 
 
-def value_of(option: options.Option, text: str | None) -> typing.Any:
+def parse_value(option: options.Option, text: str | None) -> typing.Any:
     """Returns the value of an option's text; None means not given.
 
     Raises:
@@ -309,17 +321,17 @@
     """
     text = read_text(path)
     reader = Reader(path, sections)
-    reader.index(text)
+    reader.index_lines(text)
     parser = reader.parse(text)
     reader.check_names(parser)
-    values = reader.values(parser)
-    reader.check(values, CHECKS.get(cls, ()))
-    reader.raise_found()
+    values = reader.read_values(parser)
+    reader.check_rules(values, CHECKS.get(cls, ()))
+    reader.raise_findings()
     return cls(
         **{
             name: part(
                 **{
-                    option.name: values[Place(name, option.name)]
+                    option.name: values[SettingId(name, option.name)]
                     for option in known
                 }
             )
@@ -334,14 +346,14 @@
     for section, (_, known) in sections.items():
         lines.append(f"[{section}]")
         for option in known:
-            lines += [f"# {option.help}", f"# {kind_of(option)}"]
+            lines += [f"# {option.help}", f"# {describe_constraints(option)}"]
             prefix = "" if option.default is None else "# "
             lines.append(f"{prefix}{option.name} = {option.default or ''}")
         lines.append("")
     return "\n".join(lines).rstrip() + "\n"
 
 
-def kind_of(option: options.Option) -> str:
+def describe_constraints(option: options.Option) -> str:
     """Returns kind, unit, range and choices of an option in words."""
     parts = [option.kind.value]
     if option.unit:
--- a/mangobay/sheet.py
+++ b/mangobay/sheet.py
@@ -9,10 +9,10 @@
 from mangobay import cells, errors, findings, ids, table
 from mangobay.generated import messages
 
-MOST_BYTES = 16 * 1024 * 1024
-MOST_ROWS = 100_000
-MOST_CELL = 4096
-MOST_FINDINGS = 1000
+MAX_BYTES = 16 * 1024 * 1024
+MAX_ROWS = 100_000
+MAX_CELL_LENGTH = 4096
+MAX_FINDINGS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,47 +32,47 @@
     """Reads one sheet and collects what is wrong with it.
 
     Attributes:
-      name: of the file, for places.
-      found: every finding so far.
-      rows: the operations that were read, by their row of the sheet.
+      file_name: of the file, for places.
+      findings: every finding so far.
+      operations_by_row: the operations that were read, by their row of the sheet.
     """
 
     def __init__(self, name: str):
-        self.name = name
-        self.found: list[findings.Finding] = []
-        self.rows: dict[int, messages.Operation] = {}
+        self.file_name = name
+        self.findings: list[findings.Finding] = []
+        self.operations_by_row: dict[int, messages.Operation] = {}
 
     def report(self, message: str, row: int = 0, column: str = "") -> None:
         """Keeps a finding with its place."""
-        place = self.name
+        place = self.file_name
         if row:
             place = f"{place}:row {row}"
         if column:
             place = f"{place}, column {column}"
-        self.found.append(findings.Finding(place, message))
+        self.findings.append(findings.Finding(place, message))
 
-    def raise_found(self) -> None:
+    def raise_findings(self) -> None:
         """Raises SheetError if there are findings; a flood is cut short."""
-        if len(self.found) > MOST_FINDINGS:
-            left = len(self.found) - MOST_FINDINGS
-            del self.found[MOST_FINDINGS:]
+        if len(self.findings) > MAX_FINDINGS:
+            left = len(self.findings) - MAX_FINDINGS
+            del self.findings[MAX_FINDINGS:]
             self.report(f"and {left} more findings")
-        if self.found:
-            raise errors.SheetError(self.found)
+        if self.findings:
+            raise errors.SheetError(self.findings)
 
-    def text_of(self, data: bytes) -> str:
+    def decode(self, data: bytes) -> str:
         """Returns the text of a sheet of sound size and encoding."""
-        if len(data) > MOST_BYTES:
-            self.report(f"is longer than {MOST_BYTES} bytes")
+        if len(data) > MAX_BYTES:
+            self.report(f"is longer than {MAX_BYTES} bytes")
         try:
             return data.decode("utf-8-sig")
         except UnicodeDecodeError as error:
             row = data.count(b"\n", 0, error.start) + 1
             self.report("is not UTF-8; export it as CSV UTF-8", row)
-        self.raise_found()
+        self.raise_findings()
         return ""
 
-    def records_of(self, text: str) -> list[list[str]]:
+    def read_records(self, text: str) -> list[list[str]]:
         """Returns the cells of each row, trimmed."""
         header = text.partition("\n")[0]
         delimiter = ";" if header.count(";") >= header.count(",") else ","
@@ -83,14 +83,14 @@
         try:
             for record in reader:
                 records.append([cell.strip() for cell in record])
-                if len(records) > MOST_ROWS:
-                    self.report(f"has more than {MOST_ROWS} rows")
+                if len(records) > MAX_ROWS:
+                    self.report(f"has more than {MAX_ROWS} rows")
                     break
         except csv.Error as error:
             self.report(f"cannot be read as CSV: {error}", len(records) + 1)
         return records
 
-    def columns_of(self, header: list[str]) -> dict[int, cells.Column]:
+    def read_columns(self, header: list[str]) -> dict[int, cells.Column]:
         """Returns which column stands where."""
         known = {column.value: column for column in cells.Column}
         columns: dict[int, cells.Column] = {}
@@ -103,8 +103,8 @@
             elif title:
                 hint = findings.nearest(title, known)
                 self.report(f"no such column{hint}", 1, title)
-        for column, cell in cells.CELLS.items():
-            if cell.needed and column not in columns.values():
+        for column, cell in cells.CELL_PARSERS.items():
+            if cell.required and column not in columns.values():
                 self.report(f"the column {column.value} is missing", 1)
         return columns
 
@@ -113,30 +113,30 @@
     ) -> None:
         """Keeps the operation of a row, or reports what is wrong with it."""
         values = {}
-        faults = len(self.found)
+        faults = len(self.findings)
         for position, text in enumerate(record):
             column = columns.get(position)
             if column is None:
                 if text:
                     self.report(f"{text!r} stands outside the columns", row)
                 continue
-            if len(text) > MOST_CELL:
-                self.report(f"longer than {MOST_CELL}", row, column.value)
+            if len(text) > MAX_CELL_LENGTH:
+                self.report(f"longer than {MAX_CELL_LENGTH}", row, column.value)
                 continue
-            cell = cells.CELLS[column]
+            cell = cells.CELL_PARSERS[column]
             try:
-                values[cell.attribute] = cell.read(text)
+                values[cell.attribute] = cell.parse(text)
             except ValueError as error:
                 self.report(str(error), row, column.value)
         for position, column in columns.items():
-            if position >= len(record) and cells.CELLS[column].needed:
+            if position >= len(record) and cells.CELL_PARSERS[column].required:
                 self.report("is missing", row, column.value)
-        if len(self.found) == faults:
-            self.rows[row] = messages.Operation(**values)
+        if len(self.findings) == faults:
+            self.operations_by_row[row] = messages.Operation(**values)
 
     def check_keys(self) -> None:
         """Reports a key demanded where a repeat does no harm."""
-        for row, operation in self.rows.items():
+        for row, operation in self.operations_by_row.items():
             if operation.idempotent and operation.key_required:
                 self.report(
                     "an idempotent operation needs no key",
@@ -149,8 +149,10 @@
 
         A misspelt caller would cut that service off without a word.
         """
-        services = {operation.service for operation in self.rows.values()}
-        for row, operation in self.rows.items():
+        services = {
+            operation.service for operation in self.operations_by_row.values()
+        }
+        for row, operation in self.operations_by_row.items():
             for caller in operation.callers:
                 if caller not in services and caller != ids.EVERYONE:
                     hint = findings.nearest(caller, services)
@@ -164,7 +166,7 @@
         """Reports rows that name the same operation or the same requests."""
         names: dict[tuple, int] = {}
         requests: dict[tuple, int] = {}
-        for row, operation in self.rows.items():
+        for row, operation in self.operations_by_row.items():
             first = names.setdefault(table.sort_key(operation), row)
             if first != row:
                 self.report(
@@ -184,40 +186,40 @@
                 )
 
 
-def digest_of(operations: list[messages.Operation]) -> bytes:
+def compute_digest(operations: list[messages.Operation]) -> bytes:
     """Returns the fingerprint of operations sorted by service and name."""
     content = [dataclasses.asdict(operation) for operation in operations]
     text = json.dumps(content, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).digest()
 
 
-def parse(data: bytes, name: str) -> Sheet:
+def parse(data: bytes, file_name: str) -> Sheet:
     """Returns the checked content of a sheet.
 
     Args:
       data: the file as it is.
-      name: what findings call the file.
+      file_name: what findings call the file.
 
     Raises:
       errors.SheetError: with every finding.
     """
-    parser = Parser(name)
-    records = parser.records_of(parser.text_of(data))
+    parser = Parser(file_name)
+    records = parser.read_records(parser.decode(data))
     if not records or not any(records[0]):
         parser.report("the first row must name the columns", 1)
-        parser.raise_found()
-    columns = parser.columns_of(records[0])
-    parser.raise_found()
+        parser.raise_findings()
+    columns = parser.read_columns(records[0])
+    parser.raise_findings()
     for row, record in enumerate(records[1:], 2):
         if any(record):
             parser.read_row(row, record, columns)
-    faulty_rows = bool(parser.found)
+    faulty_rows = bool(parser.findings)
     parser.check_keys()
     parser.check_conflicts()
     if not faulty_rows:
         parser.check_callers()
-    if not parser.rows and not faulty_rows:
+    if not parser.operations_by_row and not faulty_rows:
         parser.report("has no operations; an empty sheet would stop everything")
-    parser.raise_found()
-    operations = sorted(parser.rows.values(), key=table.sort_key)
-    return Sheet(operations, digest_of(operations))
+    parser.raise_findings()
+    operations = sorted(parser.operations_by_row.values(), key=table.sort_key)
+    return Sheet(operations, compute_digest(operations))
--- a/tests/fakechain.py
+++ b/tests/fakechain.py
@@ -5,9 +5,9 @@
 import dataclasses
 import random
 
-import decisionfakes as fakes
+import routingfakes as fakes
 
-from mangobay import admission, ids, tickets
+from mangobay import admission, admissionrequest, ids
 from mangobay.generated import messages
 
 NORMAL = messages.Importance.NORMAL
@@ -39,7 +39,7 @@
         **changes,
     ):
         self.dice = random.Random(fakes.SEED)
-        self.admission = admission.Admission(
+        self.admission = admission.AdmissionController(
             fakes.section("admission", **changes),
             fakes.section("retries"),
             fakes.section("recovery"),
@@ -51,9 +51,9 @@
         self.slow = 1.0
         self.busy: collections.Counter = collections.Counter()
 
-    async def call(self, ticket: tickets.Ticket) -> None:
+    async def call(self, ticket: admissionrequest.AdmissionRequest) -> None:
         """Runs a call; raises what refuses it."""
-        entered = await self.admission.enter(ticket)
+        entered = await self.admission.acquire(ticket)
         loop = asyncio.get_running_loop()
         began = loop.time()
         awaited = 0.0
@@ -66,23 +66,29 @@
             awaited = loop.time() - middle
         except RefusedBelowError as error:
             seconds = loop.time() - began
-            entered.leave(seconds, ok=False, below=error.threshold)
+            entered.release(
+                seconds, ok=False, downstream_threshold=error.threshold
+            )
             raise
         except asyncio.CancelledError:
-            entered.leave(loop.time() - began, ok=False)
+            entered.release(loop.time() - began, ok=False)
             raise
-        entered.leave(loop.time() - began, ok=True, awaited=awaited)
+        entered.release(
+            loop.time() - began, ok=True, child_wait_seconds=awaited
+        )
 
-    async def call_child(self, ticket: tickets.Ticket) -> None:
+    async def call_child(
+        self, ticket: admissionrequest.AdmissionRequest
+    ) -> None:
         """Makes the child call, if there is one."""
         if not self.child:
             return
         child = dataclasses.replace(ticket, depth=ticket.depth + 1)
         try:
             await self.child.call(child)
-        except (tickets.ShedError, RefusedBelowError):
+        except (admissionrequest.ShedError, RefusedBelowError):
             refusing = self.child.admission
-            below = refusing.below(ticket.operation)
+            below = refusing.downstream_threshold(ticket.operation)
             threshold = max(refusing.threshold, below)
             raise RefusedBelowError(threshold) from None
 
@@ -151,7 +157,7 @@
         number = self.dice.randrange(kind.clients)
         client = ids.ClientId(f"{kind.name}-{number}")
         tree = str(self.dice.random())
-        ticket = tickets.Ticket(
+        ticket = admissionrequest.AdmissionRequest(
             importance=kind.importance,
             depth=0,
             deadline=now + kind.patience,
@@ -166,7 +172,7 @@
             if loop.time() >= ticket.deadline:
                 return
 
-    async def attempt(self, ticket: tickets.Ticket) -> bool:
+    async def attempt(self, ticket: admissionrequest.AdmissionRequest) -> bool:
         """One attempt; returns whether it was answered in time."""
         self.attempts += 1
         spent = self.spent(ticket.tree)
@@ -179,12 +185,14 @@
         """Returns the backend server seconds that a call tree took."""
         return sum(service.busy[tree] for service in self.chain)
 
-    async def is_answered(self, ticket: tickets.Ticket) -> bool:
+    async def is_answered(
+        self, ticket: admissionrequest.AdmissionRequest
+    ) -> bool:
         """Makes one call; counts why it was not answered."""
         try:
             async with asyncio.timeout_at(ticket.deadline):
                 await self.service.call(ticket)
-        except tickets.ShedError as error:
+        except admissionrequest.ShedError as error:
             self.refused[error.reason] += 1
             return False
         except RefusedBelowError:
--- a/tests/decisionfakes.py
+++ b/tests/routingfakes.py
@@ -5,15 +5,18 @@
 from mangobay.generated import messages
 
 QUOTES = ids.ServiceName("quotes")
-HOME = ids.DataCentre("lima")
-AWAY = ids.DataCentre("trujillo")
+LOCAL_DATA_CENTRE = ids.DataCentre("lima")
+REMOTE_DATA_CENTRE = ids.DataCentre("trujillo")
 SEED = 11
 
 section = nodesettings.section
 
 
 def member(
-    host: str, data_centre: str = HOME, incarnation: str = "1", slots: int = 20
+    host: str,
+    data_centre: str = LOCAL_DATA_CENTRE,
+    incarnation: str = "1",
+    slots: int = 20,
 ) -> messages.Member:
     """Returns a host that serves with these slots."""
     return messages.Member(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,10 +3,10 @@
 import asyncio
 import random
 
-import decisionfakes as fakes
 import pytest
+import routingfakes as fakes
 
-from mangobay import admission, ids, tickets
+from mangobay import admission, admissionrequest, ids
 from mangobay.generated import messages
 
 NORMAL = messages.Importance.NORMAL
@@ -14,10 +14,10 @@
 CRITICAL = messages.Importance.CRITICAL
 
 
-def make_admission(slots: int = 1, **changes) -> admission.Admission:
+def make_admission(slots: int = 1, **changes) -> admission.AdmissionController:
     """Returns an admission with a fixed number of slots."""
     settings = {"policy": "fixed"} | changes
-    made = admission.Admission(
+    made = admission.AdmissionController(
         fakes.section("admission", **settings),
         fakes.section("retries"),
         fakes.section("recovery"),
@@ -32,9 +32,9 @@
     depth: int = 0,
     patience: float = 5.0,
     client: str = "reader",
-) -> tickets.Ticket:
+) -> admissionrequest.AdmissionRequest:
     """Returns the ticket of a call that arrives now."""
-    return tickets.Ticket(
+    return admissionrequest.AdmissionRequest(
         importance=importance,
         depth=depth,
         deadline=asyncio.get_running_loop().time() + patience,
@@ -42,21 +42,23 @@
     )
 
 
-async def line_up(made: admission.Admission, *tickets) -> list[asyncio.Task]:
+async def line_up(
+    made: admission.AdmissionController, *tickets
+) -> list[asyncio.Task]:
     """Lets the calls arrive one after the other."""
     tasks = []
     for one in tickets:
-        tasks.append(asyncio.create_task(made.enter(one)))
+        tasks.append(asyncio.create_task(made.acquire(one)))
         await asyncio.sleep(0.001)
     return tasks
 
 
-async def order_of(tasks: list[asyncio.Task], first: admission.Pass) -> list:
+async def order_of(tasks: list[asyncio.Task], first: admission.Permit) -> list:
     """Frees one slot after the other; returns who got it, in order."""
     order = []
     current = first
     while len(order) < len(tasks):
-        current.leave(0.001, ok=False)
+        current.release(0.001, ok=False)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         (index,) = [
@@ -75,7 +77,7 @@
 
     async def test_importance_then_depth_then_newest(self):
         made = make_admission()
-        running = await made.enter(ticket())
+        running = await made.acquire(ticket())
         tasks = await line_up(
             made,
             ticket(NORMAL, 0),
@@ -88,13 +90,13 @@
 
     async def test_critical_calls_go_in_the_order_of_their_arrival(self):
         made = make_admission()
-        running = await made.enter(ticket())
+        running = await made.acquire(ticket())
         tasks = await line_up(made, ticket(CRITICAL), ticket(CRITICAL))
         assert await order_of(tasks, running) == [0, 1]
 
     async def test_oldest_first_by_setting(self):
         made = make_admission(order="oldest", by_depth=False)
-        running = await made.enter(ticket())
+        running = await made.acquire(ticket())
         tasks = await line_up(made, ticket(depth=0), ticket(depth=3))
         assert await order_of(tasks, running) == [0, 1]
 
@@ -105,16 +107,16 @@
         place; the next normal call of a lower kind finds no room.
         """
         made = make_admission(queue_length=2)
-        await made.enter(ticket())
+        await made.acquire(ticket())
         oldest, _, booking = await line_up(
             made, ticket(), ticket(), ticket(CRITICAL)
         )
-        with pytest.raises(tickets.ShedError) as caught:
+        with pytest.raises(admissionrequest.ShedError) as caught:
             await oldest
         assert caught.value.reason == messages.Reason.OVERLOADED
         assert not booking.done()
-        with pytest.raises(tickets.ShedError):
-            await made.enter(ticket(messages.Importance.BACKGROUND))
+        with pytest.raises(admissionrequest.ShedError):
+            await made.acquire(ticket(messages.Importance.BACKGROUND))
 
 
 @pytest.mark.looptime
@@ -123,9 +125,9 @@
 
     async def test_a_wait_is_bounded_in_time(self, looptime):
         made = make_admission(queue_time=0.05)
-        await made.enter(ticket())
-        with pytest.raises(tickets.ShedError) as caught:
-            await made.enter(ticket())
+        await made.acquire(ticket())
+        with pytest.raises(admissionrequest.ShedError) as caught:
+            await made.acquire(ticket())
         assert caught.value.reason == messages.Reason.QUEUE_TIMEOUT
         assert caught.value.retry_after > 0
         assert looptime < 0.3
@@ -139,12 +141,12 @@
         """
         made = make_admission(queue_time=0.02)
         for _ in range(300):
-            (await made.enter(ticket())).leave(1.0, ok=True)
-        first = await made.enter(ticket())
+            (await made.acquire(ticket())).release(1.0, ok=True)
+        first = await made.acquire(ticket())
         (task,) = await line_up(made, ticket(depth=2))
         await asyncio.sleep(0.5)
-        first.leave(1.0, ok=True)
-        assert (await task).open
+        first.release(1.0, ok=True)
+        assert (await task).held
 
     async def test_a_call_that_cannot_finish_is_not_run(self):
         """Calls take 100 ms and one arrives with 20 ms left.
@@ -154,10 +156,10 @@
         """
         made = make_admission(slots=4)
         for _ in range(200):
-            entered = await made.enter(ticket())
-            entered.leave(0.1, ok=True)
-        with pytest.raises(tickets.ShedError) as caught:
-            await made.enter(ticket(patience=0.02))
+            entered = await made.acquire(ticket())
+            entered.release(0.1, ok=True)
+        with pytest.raises(admissionrequest.ShedError) as caught:
+            await made.acquire(ticket(patience=0.02))
         assert caught.value.reason == messages.Reason.DEADLINE_EXCEEDED
         assert made.running == 0
 
@@ -169,23 +171,23 @@
         slots back. The important one goes on waiting.
         """
         made = make_admission(queue_time=1)
-        first = await made.enter(ticket())
+        first = await made.acquire(ticket())
         waiting = await line_up(
             made, ticket(), ticket(CRITICAL), ticket(depth=2)
         )
-        made.pressure.sustainable = lambda: CRITICAL * 256
+        made.overload.sustainable_threshold = lambda: CRITICAL * 256
         await asyncio.sleep(2.5)
         for _ in range(5):
-            made.look(asyncio.get_running_loop().time())
+            made.update_threshold(asyncio.get_running_loop().time())
             await asyncio.sleep(0.11)
-        assert made.pressure.threshold > HIGH * 256
+        assert made.overload.threshold > HIGH * 256
         await asyncio.sleep(0)
         assert [task.done() for task in waiting] == [True, False, True]
         for task in (waiting[0], waiting[2]):
-            with pytest.raises(tickets.ShedError):
+            with pytest.raises(admissionrequest.ShedError):
                 task.result()
-        first.leave(0.01, ok=True)
-        assert (await waiting[1]).open
+        first.release(0.01, ok=True)
+        assert (await waiting[1]).held
 
     async def test_who_waits_is_refused_when_the_backend_server_leaves(self):
         """A request reaches a backend server long after it said it leaves.
@@ -195,10 +197,10 @@
         served elsewhere.
         """
         made = make_admission()
-        running = await made.enter(ticket())
+        running = await made.acquire(ticket())
         tasks = await line_up(made, ticket(), ticket(HIGH))
-        made.shut()
-        running.leave(0.001, ok=True)
+        made.refuse_all_waiting()
+        running.release(0.001, ok=True)
         ends = await asyncio.gather(*tasks, return_exceptions=True)
         reasons = [end.reason for end in ends]
         assert reasons == [messages.Reason.LEAVING] * 2
@@ -213,13 +215,13 @@
             for _ in range(200):
                 one = ticket()
                 one.operation = ids.OperationName(name)
-                (await made.enter(one)).leave(seconds, ok=True)
+                (await made.acquire(one)).release(seconds, ok=True)
         late = ticket(patience=0.1)
         late.operation = ids.OperationName("price")
-        with pytest.raises(tickets.ShedError):
-            await made.enter(late)
+        with pytest.raises(admissionrequest.ShedError):
+            await made.acquire(late)
         late.operation = ids.OperationName("search")
-        assert (await made.enter(late)).open
+        assert (await made.acquire(late)).held
 
     async def test_an_estimate_above_all_deadlines_fades(self):
         """The backend server was so slow that no deadline could be met.
@@ -229,12 +231,12 @@
         """
         made = make_admission(slots=4)
         for _ in range(500):
-            entered = await made.enter(ticket(patience=100))
-            entered.leave(5.0, ok=True)
-        with pytest.raises(tickets.ShedError):
-            await made.enter(ticket(patience=1.0))
+            entered = await made.acquire(ticket(patience=100))
+            entered.release(5.0, ok=True)
+        with pytest.raises(admissionrequest.ShedError):
+            await made.acquire(ticket(patience=1.0))
         await asyncio.sleep(4)
-        await made.enter(ticket(patience=1.0))
+        await made.acquire(ticket(patience=1.0))
 
 
 @pytest.mark.looptime
@@ -248,9 +250,9 @@
         would be gone for good.
         """
         made = make_admission()
-        running = await made.enter(ticket())
+        running = await made.acquire(ticket())
         (waiter,) = await line_up(made, ticket())
-        running.leave(0.001, ok=True)
+        running.release(0.001, ok=True)
         waiter.cancel()
         with pytest.raises(asyncio.CancelledError):
             await waiter
@@ -258,10 +260,10 @@
 
     async def test_leaving_twice_frees_one_slot(self):
         made = make_admission(slots=2)
-        entered = await made.enter(ticket())
-        await made.enter(ticket())
-        entered.leave(0.1, ok=True)
-        entered.leave(0.1, ok=True)
+        entered = await made.acquire(ticket())
+        await made.acquire(ticket())
+        entered.release(0.1, ok=True)
+        entered.release(0.1, ok=True)
         assert made.running == 1
 
     async def test_never_more_than_the_limit(self):
@@ -280,17 +282,17 @@
             importance = messages.Importance(dice.randrange(4))
             try:
                 async with asyncio.timeout(dice.uniform(0.01, 0.2)):
-                    entered = await made.enter(ticket(importance))
-            except (TimeoutError, tickets.ShedError):
+                    entered = await made.acquire(ticket(importance))
+            except (TimeoutError, admissionrequest.ShedError):
                 return
             most = max(most, made.running)
             await asyncio.sleep(dice.uniform(0, 0.05))
-            entered.leave(0.02, ok=True)
+            entered.release(0.02, ok=True)
 
         await asyncio.gather(*(one() for _ in range(400)))
         assert most == 3
         assert made.running == 0
-        assert made.waiting.length == 0
+        assert made.queue.length == 0
 
 
 class TestRecoveryWeight:
@@ -299,11 +301,11 @@
     @pytest.mark.parametrize("weight, factor", [(0, 2), (0.5, 1), (1, 0.5)])
     def test_scales_queue_time_and_reopening(self, weight, factor):
         settings = fakes.section("admission", queue_time=0.1, reopen_time=2.0)
-        made = admission.Admission(
+        made = admission.AdmissionController(
             settings,
             fakes.section("retries"),
             fakes.section("recovery", weight=weight),
             random.Random(fakes.SEED),
         )
         assert made.queue_time == pytest.approx(0.1 * factor)
-        assert made.pressure.reopen_time == pytest.approx(2.0 * factor)
+        assert made.overload.reopen_time == pytest.approx(2.0 * factor)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,8 +10,8 @@
 import sys
 
 import aiohttp
-import decisionfakes
 import pytest
+import routingfakes
 
 from mangobay import (
     cmdcontrol,
@@ -136,7 +136,7 @@
         hello = messages.Hello(host="a", incarnation="1", role="node")
         transport = peers.Peers(hello)
         client = controlclient.ControlClient(
-            decisionfakes.section(
+            routingfakes.section(
                 "control",
                 hosts=tuple(addresses),
                 renew_interval=0.5,
--- a/tests/test_controlclient.py
+++ b/tests/test_controlclient.py
@@ -4,8 +4,8 @@
 import random
 
 import controlfakes
-import decisionfakes
 import pytest
+import routingfakes
 
 from mangobay import (
     controlclient,
@@ -25,7 +25,7 @@
 SECOND = options.Address("127.0.0.1", 2)
 STABLE_SECONDS = 3.0
 """After a disturbance, in which nodes may lag."""
-CONFIG = decisionfakes.section(
+CONFIG = routingfakes.section(
     "control", hosts=(FIRST, SECOND), renew_interval=1.0, patience=0.5
 )
 
@@ -148,7 +148,7 @@
             return answer
 
         transport.ask = ask_some
-        config = decisionfakes.section(
+        config = routingfakes.section(
             "control", hosts=hosts, renew_interval=1.0, patience=0.5
         )
         client = make_client(transport, config)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -3,8 +3,8 @@
 import asyncio
 import random
 
-import decisionfakes
 import pytest
+import routingfakes
 
 from mangobay import crossings, ids, routing
 from mangobay.generated import messages
@@ -27,14 +27,14 @@
 
     def __init__(self):
         self.router = routing.Router(
-            decisionfakes.section("routing"),
-            decisionfakes.section("admission"),
-            decisionfakes.HOME,
+            routingfakes.section("routing"),
+            routingfakes.section("admission"),
+            routingfakes.LOCAL_DATA_CENTRE,
             random.Random(5),
         )
-        near = decisionfakes.member("near")
-        far = decisionfakes.member("far", decisionfakes.AWAY)
-        self.router.update(decisionfakes.view(1, near, far))
+        near = routingfakes.member("near")
+        far = routingfakes.member("far", routingfakes.REMOTE_DATA_CENTRE)
+        self.router.update(routingfakes.view(1, near, far))
         self.learned = {"near": crossings.Crossings()}
         self.learned["far"] = crossings.Crossings()
         self.carried = 0
@@ -45,13 +45,13 @@
         """Places one run and counts what crosses."""
         now = asyncio.get_running_loop().time()
         member = self.router.pick(
-            decisionfakes.QUOTES,
+            routingfakes.QUOTES,
             frozenset(),
             messages.Importance.NORMAL,
             0,
             operation=READ,
         )
-        self.router.began(decisionfakes.QUOTES, member.host)
+        self.router.began(routingfakes.QUOTES, member.host)
         learned = self.learned[member.host]
         if member.host == "far":
             self.carried += crossings.CALL_BYTES + ANSWER
@@ -69,7 +69,7 @@
             limit=20,
             crossing=learned.per_run(READ, now),
         )
-        self.router.ended(decisionfakes.QUOTES, member.host, seen)
+        self.router.ended(routingfakes.QUOTES, member.host, seen)
         return member.host
 
     async def seconds(self, count):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -4,12 +4,13 @@
 import random
 import types
 
-import decisionfakes
 import pytest
+import routingfakes
 from adapter import words
 
 from mangobay import (
     admission,
+    admissionrequest,
     calls,
     decisions,
     departure,
@@ -18,7 +19,6 @@
     leanhttp,
     metrics,
     routes,
-    tickets,
     tries,
 )
 from mangobay.generated import messages
@@ -35,10 +35,10 @@
     """Runs calls at one service below, which has a few slots."""
 
     def __init__(self):
-        self.admission = admission.Admission(
-            decisionfakes.section("admission"),
-            decisionfakes.section("retries", client_share=0),
-            decisionfakes.section("recovery"),
+        self.admission = admission.AdmissionController(
+            routingfakes.section("admission"),
+            routingfakes.section("retries", client_share=0),
+            routingfakes.section("recovery"),
             random.Random(3),
         )
         self.admission.set_slots(SLOTS)
@@ -46,21 +46,21 @@
 
     async def handle(self, request):
         self.seen.append(request)
-        ticket = tickets.Ticket(
+        ticket = admissionrequest.AdmissionRequest(
             importance=request.importance,
             depth=request.depth,
             deadline=request.deadline,
             client=request.client,
             operation=request.operation.name,
             tree=request.tree,
-            patience=0.15,
+            max_wait=0.15,
         )
         try:
-            permit = await self.admission.enter(ticket)
-        except tickets.ShedError as error:
+            permit = await self.admission.acquire(ticket)
+        except admissionrequest.ShedError as error:
             return calls.not_run(error.reason, error.retry_after)
         await asyncio.sleep(INNER_SECONDS)
-        permit.leave(INNER_SECONDS, ok=True)
+        permit.release(INNER_SECONDS, ok=True)
         return messages.Reply(outcome=messages.Outcome.ANSWERED, status=200)
 
 
--- a/tests/test_knee.py
+++ b/tests/test_knee.py
@@ -3,10 +3,10 @@
 import asyncio
 import random
 
-import decisionfakes
 import pytest
+import routingfakes
 
-from mangobay import admission, ids, knee, tickets
+from mangobay import admission, admissionrequest, ids, knee
 from mangobay.generated import messages
 
 READ = ids.OperationName("read")
@@ -19,7 +19,7 @@
     """Feeds a knee with answers at any number of calls at once."""
 
     def __init__(self, seconds):
-        self.knee = knee.Knee()
+        self.knee = knee.KneeDetector()
         self.knee.set_slots(SLOTS)
         self.seconds = seconds
         self.dice = random.Random(4)
@@ -49,7 +49,7 @@
         backend.run(SLOTS, 300)
         assert backend.knee.limit == 21
         backend.seconds = lambda running: 1.0
-        backend.now += knee.HOLD
+        backend.now += knee.INITIAL_HOLD_TIME
         backend.run(21, 200)
         backend.run(SLOTS, 200)
         assert backend.knee.limit == knee.UNLIMITED
@@ -83,10 +83,10 @@
         With all slots in use it slows by a third and answers fewer than it
         could: a queue stands, and callers are refused.
         """
-        made = admission.Admission(
-            decisionfakes.section("admission"),
-            decisionfakes.section("retries", client_share=0),
-            decisionfakes.section("recovery"),
+        made = admission.AdmissionController(
+            routingfakes.section("admission"),
+            routingfakes.section("retries", client_share=0),
+            routingfakes.section("recovery"),
             random.Random(3),
         )
         made.set_slots(SLOTS)
@@ -95,7 +95,7 @@
 
         async def call(since):
             loop = asyncio.get_running_loop()
-            ticket = tickets.Ticket(
+            ticket = admissionrequest.AdmissionRequest(
                 importance=messages.Importance.NORMAL,
                 depth=0,
                 deadline=loop.time() + 1,
@@ -104,14 +104,14 @@
                 tree=str(dice.random()),
             )
             try:
-                permit = await made.enter(ticket)
-            except tickets.ShedError:
+                permit = await made.acquire(ticket)
+            except admissionrequest.ShedError:
                 return
             took = 0.05 * dice.uniform(0.6, 1.4)
             if made.running > 0.95 * SLOTS:
                 took *= 1.5
             await asyncio.sleep(took)
-            permit.leave(took, ok=True)
+            permit.release(took, ok=True)
             served.append(since)
 
         async with asyncio.TaskGroup() as group:
--- a/tests/test_leases_random.py
+++ b/tests/test_leases_random.py
@@ -4,8 +4,8 @@
 import random
 
 import controlfakes
-import decisionfakes
 import pytest
+import routingfakes
 
 from mangobay import clock, controlclient, errors, ids, leases, machine, options
 from mangobay.generated import messages
@@ -31,7 +31,7 @@
         self.world = world
         self.cut = False
         self.client = controlclient.ControlClient(
-            decisionfakes.section(
+            routingfakes.section(
                 "control",
                 hosts=CONTROL,
                 renew_interval=0.5,
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -69,7 +69,7 @@
     def test_goes_below_what_the_backend_server_refused(self):
         backend = Backend()
         backend.run(2)
-        backend.limiter.shed(30, backend.now)
+        backend.limiter.observe_shed(30, backend.now)
         assert backend.limiter.limit == 29
 
 
@@ -93,7 +93,7 @@
     def test_one_that_is_full_gets_fewer(self):
         backend = Backend()
         backend.run(1)
-        backend.limiter.shed(SLOTS, backend.now + 1)
+        backend.limiter.observe_shed(SLOTS, backend.now + 1)
         assert backend.limiter.limit < SLOTS
 
     def test_one_with_free_slots_keeps_its_limit(self):
@@ -106,5 +106,5 @@
         backend = Backend()
         backend.run(1)
         for number in range(50):
-            backend.limiter.shed(SLOTS // 2, backend.now + number)
+            backend.limiter.observe_shed(SLOTS // 2, backend.now + number)
         assert backend.limiter.limit == SLOTS
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -43,7 +43,7 @@
         assert load.share("booking", 1, 5) >= 0.99
         assert load.share("reader", 1, 5) < 0.9
         assert load.share("reader", 7, 8) >= 0.99
-        assert not any(service.admission.waiting.length for service in chain)
+        assert not any(service.admission.queue.length for service in chain)
         assert not any(service.admission.running for service in chain)
 
     async def test_slots_serve_whole_requests_meanwhile(self):
--- a/tests/test_ratio.py
+++ b/tests/test_ratio.py
@@ -2,8 +2,8 @@
 
 import random
 
-import decisionfakes
 import pytest
+import routingfakes
 
 from mangobay import ratio
 from mangobay.generated import messages
@@ -19,13 +19,13 @@
         through, then one try for each ten requests.
         """
         kept = ratio.RetryRatio(
-            decisionfakes.section("retries", ratio=0.1, burst=5)
+            routingfakes.section("retries", ratio=0.1, burst=5)
         )
-        taken = sum(kept.take(decisionfakes.QUOTES) for _ in range(100))
+        taken = sum(kept.take(routingfakes.QUOTES) for _ in range(100))
         assert taken == 5
         for _ in range(11):
-            kept.asked(decisionfakes.QUOTES)
-        taken = sum(kept.take(decisionfakes.QUOTES) for _ in range(100))
+            kept.asked(routingfakes.QUOTES)
+        taken = sum(kept.take(routingfakes.QUOTES) for _ in range(100))
         assert taken == 1
 
     def test_a_share_of_the_ratio_is_left_unspent(self):
@@ -34,13 +34,13 @@
         Whoever counts looks at windows that begin at other moments.
         """
         kept = ratio.RetryRatio(
-            decisionfakes.section("retries", ratio=0.2, spent=0.9, burst=50)
+            routingfakes.section("retries", ratio=0.2, spent=0.9, burst=50)
         )
-        while kept.take(decisionfakes.QUOTES):
+        while kept.take(routingfakes.QUOTES):
             pass
         for _ in range(101):
-            kept.asked(decisionfakes.QUOTES)
-        taken = sum(kept.take(decisionfakes.QUOTES) for _ in range(100))
+            kept.asked(routingfakes.QUOTES)
+        taken = sum(kept.take(routingfakes.QUOTES) for _ in range(100))
         assert taken == 18
 
     def test_critical_calls_are_tried_again_first(self):
@@ -50,7 +50,7 @@
         each tried again as seldom as a reader's, it would be lost.
         """
         kept = ratio.RetryRatio(
-            decisionfakes.section("retries", ratio=0.2, burst=4)
+            routingfakes.section("retries", ratio=0.2, burst=4)
         )
         taken = {importance: 0 for importance in messages.Importance}
         for number in range(1000):
@@ -58,8 +58,8 @@
             importance = messages.Importance.NORMAL
             if number % 8 == 0:
                 importance = messages.Importance.CRITICAL
-            kept.asked(decisionfakes.QUOTES)
-            if kept.take(decisionfakes.QUOTES, importance, now):
+            kept.asked(routingfakes.QUOTES)
+            if kept.take(routingfakes.QUOTES, importance, now):
                 taken[importance] += 1
         assert taken[messages.Importance.CRITICAL] == 125
         assert taken[messages.Importance.NORMAL] > 50
@@ -72,12 +72,12 @@
         attempts came at the service at once.
         """
         kept = ratio.RetryRatio(
-            decisionfakes.section("retries", burst=4, slack=100)
+            routingfakes.section("retries", burst=4, slack=100)
         )
         kept.share_slack(nodes)
         for _ in range(100):
-            kept.asked(decisionfakes.QUOTES)
-        tries = [kept.take(decisionfakes.QUOTES) for _ in range(10)]
+            kept.asked(routingfakes.QUOTES)
+        tries = [kept.take(routingfakes.QUOTES) for _ in range(10)]
         assert sum(tries) == taken
 
     @pytest.mark.parametrize("slack", [0, 100])
@@ -87,18 +87,18 @@
         What is kept for those must not let one of the others through.
         """
         kept = ratio.RetryRatio(
-            decisionfakes.section("retries", burst=0, slack=slack)
+            routingfakes.section("retries", burst=0, slack=slack)
         )
         kept.share_slack(10)
         critical = messages.Importance.CRITICAL
         for importance in (critical, messages.Importance.NORMAL) * 3:
-            kept.asked(decisionfakes.QUOTES)
-            assert not kept.take(decisionfakes.QUOTES, importance, 5.0)
+            kept.asked(routingfakes.QUOTES)
+            assert not kept.take(routingfakes.QUOTES, importance, 5.0)
 
     def test_nothing_is_kept_where_no_critical_call_fails(self):
-        kept = ratio.RetryRatio(decisionfakes.section("retries", burst=4))
+        kept = ratio.RetryRatio(routingfakes.section("retries", burst=4))
         for _ in range(4):
-            assert kept.take(decisionfakes.QUOTES)
+            assert kept.take(routingfakes.QUOTES)
 
     def test_calls_of_a_repeated_run_count_as_tries(self):
         """A run is tried again, and makes four calls of its own once more.
@@ -107,25 +107,25 @@
         calls are paid before anybody there is tried again.
         """
         kept = ratio.RetryRatio(
-            decisionfakes.section("retries", ratio=0.5, burst=2)
+            routingfakes.section("retries", ratio=0.5, burst=2)
         )
         for _ in range(4):
-            kept.asked(decisionfakes.QUOTES, repeat=True)
+            kept.asked(routingfakes.QUOTES, repeat=True)
         for _ in range(5):
-            assert not kept.take(decisionfakes.QUOTES)
-            kept.asked(decisionfakes.QUOTES)
-        kept.asked(decisionfakes.QUOTES)
-        assert kept.take(decisionfakes.QUOTES)
+            assert not kept.take(routingfakes.QUOTES)
+            kept.asked(routingfakes.QUOTES)
+        kept.asked(routingfakes.QUOTES)
+        assert kept.take(routingfakes.QUOTES)
 
 
 class TestBackoff:
     """The wait before another try."""
 
     def test_stays_inside_the_time_left(self):
-        dice = random.Random(decisionfakes.SEED)
+        dice = random.Random(routingfakes.SEED)
         waits = [ratio.backoff(0.01, 40, 0.3, dice) for _ in range(200)]
         assert all(0 <= wait < 0.3 for wait in waits)
 
     def test_no_time_left(self):
-        dice = random.Random(decisionfakes.SEED)
+        dice = random.Random(routingfakes.SEED)
         assert ratio.backoff(0.01, 1, 0.0, dice) is None
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -5,8 +5,8 @@
 import dataclasses
 import random
 
-import decisionfakes as fakes
 import pytest
+import routingfakes as fakes
 
 from mangobay import ids, routing
 from mangobay.generated import messages
@@ -19,7 +19,7 @@
     router = routing.Router(
         fakes.section("routing", **changes),
         fakes.section("admission"),
-        fakes.HOME,
+        fakes.LOCAL_DATA_CENTRE,
         random.Random(fakes.SEED),
     )
     router.update(fakes.view(1, *members))
@@ -61,7 +61,9 @@
     """When a call leaves its data centre."""
 
     def make(self):
-        return make_router(fakes.member("a"), fakes.member("b", fakes.AWAY))
+        return make_router(
+            fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
+        )
 
     async def test_while_calls_queue_at_the_near_host(self):
         """One data centre's callers wait while another's hosts stand idle.
@@ -117,7 +119,9 @@
         Their own host needs four times as long as before, and has so few
         calls that none waits; another data centre's host answers in time.
         """
-        router = make_router(fakes.member("a"), fakes.member("b", fakes.AWAY))
+        router = make_router(
+            fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
+        )
         late = [self.call(router, slow="a") for _ in range(300)]
         assert late[:5] == [True] * 5
         assert sum(late[100:]) < 60
@@ -127,7 +131,9 @@
 
         What each late answer adds fades before the next one comes.
         """
-        router = make_router(fakes.member("a"), fakes.member("b", fakes.AWAY))
+        router = make_router(
+            fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
+        )
         late = []
         for number in range(60):
             slow = "a" if number % 2 else "none"
@@ -136,7 +142,9 @@
         assert sum(late[20:]) <= 12
 
     async def test_where_all_are_slow_callers_stay(self):
-        router = make_router(fakes.member("a"), fakes.member("b", fakes.AWAY))
+        router = make_router(
+            fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
+        )
         hosts = []
         for _ in range(300):
             hosts.append(pick(router))
@@ -165,11 +173,15 @@
     """Which host a call goes to."""
 
     async def test_own_data_centre_first(self):
-        router = make_router(fakes.member("a"), fakes.member("b", fakes.AWAY))
+        router = make_router(
+            fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
+        )
         assert {pick(router) for _ in range(50)} == {"a"}
 
     async def test_spills_over_when_the_near_host_refuses(self):
-        router = make_router(fakes.member("a"), fakes.member("b", fakes.AWAY))
+        router = make_router(
+            fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
+        )
         answer(router, ids.HostId("a"), refusing(2 * 256))
         assert {pick(router) for _ in range(50)} == {"b"}
 
@@ -179,7 +191,9 @@
         Calls go to the other data centre, and after a while without news
         some try the near one again.
         """
-        router = make_router(fakes.member("a"), fakes.member("b", fakes.AWAY))
+        router = make_router(
+            fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
+        )
         shed = routing.Observation(
             outcome=messages.Outcome.NOT_RUN,
             reason=messages.Reason.BACKEND_SHED,
@@ -433,7 +447,9 @@
         else:
             made = fakes.member(
                 name,
-                self.dice.choice([fakes.HOME, fakes.AWAY]),
+                self.dice.choice(
+                    [fakes.LOCAL_DATA_CENTRE, fakes.REMOTE_DATA_CENTRE]
+                ),
                 str(self.dice.randrange(3)),
             )
             made.leaving = self.dice.random() < 0.3
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -28,9 +28,16 @@
         self.left: list[bool] = []
         self.below: list[int] = []
 
-    def leave(self, seconds, ok, awaited=0.0, shed=False, below=0):
+    def release(
+        self,
+        seconds,
+        ok,
+        child_wait_seconds=0.0,
+        backend_shed=False,
+        downstream_threshold=0,
+    ):
         self.left.append(ok)
-        self.below.append(below)
+        self.below.append(downstream_threshold)
 
 
 class Gatekeeper:
@@ -45,13 +52,13 @@
     def __init__(self):
         self.permit = Permit()
 
-    async def enter(self, ticket):
+    async def acquire(self, ticket):
         return self.permit
 
     def set_slots(self, slots):
         pass
 
-    def below(self, operation):
+    def downstream_threshold(self, operation):
         return self.told_below
 
 
@@ -292,7 +299,7 @@
         async def never(ticket):
             await asyncio.sleep(60)
 
-        place.admission.enter = never
+        place.admission.acquire = never
         reply = await made.serve(call(idempotent=False))
         assert (reply.outcome, reply.reason) == (
             Outcome.NOT_RUN,
--- a/tests/test_sheet.py
+++ b/tests/test_sheet.py
@@ -105,7 +105,7 @@
             (text_of(), "no operations"),
             (text_of(*ROWS) + b"\xff", "UTF-8"),
             (text_of('a;"b'), "CSV"),
-            (b"x" * (sheet.MOST_BYTES + 1), "longer"),
+            (b"x" * (sheet.MAX_BYTES + 1), "longer"),
             (text_of(ROWS[0] + ";more"), "outside the columns"),
         ],
     )
