--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -15,9 +15,9 @@
     admissionrequest,
     ids,
     levels,
-    ratio,
+    retryallowance,
+    retrybudget,
     routing,
-    tries,
 )
 from mangobay.generated import messages
 
@@ -64,7 +64,7 @@
     view = messages.ServiceView(
         service=SERVICE, version=ids.ViewVersion(1), members=members
     )
-    router.update({SERVICE: view})
+    router.update_views({SERVICE: view})
     return router
 
 
@@ -115,23 +115,23 @@
         member = router.pick(
             SERVICE, NOBODY, messages.Importance.HIGH, 1, tree="client-1"
         )
-        router.began(SERVICE, member.host)
-        router.ended(SERVICE, member.host, ANSWERED)
+        router.record_call_start(SERVICE, member.host)
+        router.record_call_end(SERVICE, member.host, ANSWERED)
 
 
 async def count_tries() -> None:
     """One call with one child call."""
-    grants = tries.Grants()
-    kept = ratio.RetryRatio(nodesettings.section("retries"))
+    grants = retryallowance.RunningCalls()
+    kept = retrybudget.RetryBudget(nodesettings.section("retries"))
     for number in range(CALLS):
         name = ids.CallId(str(number))
-        running = grants.open(name, tries.Grant(3))
+        running = grants.start(name, retryallowance.RetryAllowance(3))
         found = grants.find(name)
-        found.child("GET", "/prices/1", b"")
-        lent = running.grant.lend()
-        running.grant.give_back(lent)
-        grants.close(name)
-        kept.asked(SERVICE)
+        found.allow_child("GET", "/prices/1", b"")
+        lent = running.allowance.lend()
+        running.allowance.reclaim(lent)
+        grants.finish(name)
+        kept.record_request(SERVICE)
 
 
 async def take_levels() -> None:
--- a/bench/fleet/network.py
+++ b/bench/fleet/network.py
@@ -3,7 +3,7 @@
 import asyncio
 import typing
 
-from mangobay import crossings, ids, options
+from mangobay import ids, options, remotetraffic
 from mangobay.generated import messages
 
 IN_DATA_CENTRE = 0.0003
@@ -44,5 +44,5 @@
             await asyncio.sleep(delay)
         if place != self.home:
             bodies = len(call.body) + len(reply.body)
-            self.network.crossed += crossings.CALL_BYTES + bodies
+            self.network.crossed += remotetraffic.CALL_OVERHEAD_BYTES + bodies
         return reply
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -12,7 +12,7 @@
     announcements,
     calls,
     decisions,
-    entry,
+    dispatch,
     gateway,
     ids,
     leanclient,
@@ -20,7 +20,7 @@
     lease,
     metrics,
     options,
-    ratio,
+    retrybudget,
     routes,
     routing,
     traces,
@@ -125,18 +125,18 @@
             self.dice,
         )
         retries = world.section("retries")
-        entry_side = entry.Entry(
+        entry_side = dispatch.Dispatcher(
             retries,
-            entry.Tools(
+            dispatch.Dependencies(
                 process=self.process,
                 router=self.router,
-                ratio=ratio.RetryRatio(retries),
+                retry_budget=retrybudget.RetryBudget(retries),
                 transport=network.Link(world.network, self.home),
                 serving=self.serving,
                 lease=lease.Unneeded(),
                 views=world,
                 tracer=traces.Tracer(),
-                dice=self.dice,
+                rng=self.dice,
             ),
         )
         made = gateway.Gateway(
@@ -258,8 +258,10 @@
         now = asyncio.get_running_loop().time()
         for node in self.nodes:
             node.announce()
-            node.router.update(self.value)
-            node.gateway.entry.tools.ratio.share_slack(len(self.nodes))
+            node.router.update_views(self.value)
+            node.gateway.dispatcher.dependencies.retry_budget.set_node_count(
+                len(self.nodes)
+            )
             node.server.began = now
 
     @property
--- a/bench/nodeslopes.py
+++ b/bench/nodeslopes.py
@@ -45,7 +45,7 @@
             ids.DataCentre("centre-01"),
             random.Random(1),
         )
-        router.update(views)
+        router.update_views(views)
         return views, router
 
     return series.heap(build)
--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -14,7 +14,7 @@
     announcements,
     calls,
     controlclient,
-    entry,
+    dispatch,
     errors,
     ids,
     joining,
@@ -25,7 +25,7 @@
     nodegauges,
     once,
     peers,
-    ratio,
+    retrybudget,
     routing,
     tenure,
     tls,
@@ -74,7 +74,7 @@
             ids.DataCentre(config.host.data_centre),
             ids.Incarnation(secrets.token_hex(INCARNATION_BYTES)),
         )
-        self.dice = random.Random()
+        self.rng = random.Random()
         self.metrics = metrics.Metrics()
         self.ledger = ledger.Ledger(self.process.host)
         self.tasks: list[asyncio.Task] = []
@@ -120,7 +120,7 @@
                 peer_address=config.listen.peer,
             ),
             self.peers,
-            self.dice,
+            self.rng,
         )
 
     def make_serving(self) -> None:
@@ -169,7 +169,7 @@
         """Returns the admission of a service announced here."""
         config = self.config
         return admission.AdmissionController(
-            config.admission, config.retries, config.recovery, self.dice
+            config.admission, config.retries, config.recovery, self.rng
         )
 
     def serves(self, served: list[messages.ServedService]) -> None:
@@ -183,7 +183,7 @@
             config.routing,
             config.admission,
             self.process.data_centre,
-            self.dice,
+            self.rng,
         )
         self.tracer = traces.Tracer()
         if config.trace.file:
@@ -191,22 +191,22 @@
                 self.tracer = traces.to_file(config.trace.file, self.process)
             except OSError as error:
                 raise errors.StartError(f"trace file: {error}") from None
-        self.entry = entry.Entry(
+        self.dispatcher = dispatch.Dispatcher(
             config.retries,
-            entry.Tools(
+            dispatch.Dependencies(
                 process=self.process,
                 router=self.router,
-                ratio=ratio.RetryRatio(config.retries),
+                retry_budget=retrybudget.RetryBudget(config.retries),
                 transport=self.peers,
                 serving=self.serving,
                 lease=self.entry_lease(),
                 views=self.control.views,
                 tracer=self.tracer,
-                dice=self.dice,
+                rng=self.rng,
             ),
         )
 
-    def entry_lease(self) -> entry.Lease:
+    def entry_lease(self) -> dispatch.Lease:
         """Returns what entry asks before a non-idempotent call."""
         if self.config.control.cut_off == "serve":
             return lease.Unneeded()
@@ -283,7 +283,7 @@
     def busy(self) -> bool:
         """Returns whether a call or a request is in flight."""
         return bool(
-            self.entry.in_flight.open
+            self.dispatcher.in_flight.open
             or not self.serving.idle
             or any(each.busy for each in self.caller_listeners())
         )
@@ -296,7 +296,9 @@
             parent.call.operation for parent in self.serving.parents.values()
         ]
         now = asyncio.get_running_loop().time()
-        entered_at = [each.entered_at for each in self.entry.in_flight.open]
+        entered_at = [
+            each.entered_at for each in self.dispatcher.in_flight.open
+        ]
         self.cut = len(entered_at) + len(running)
         logs.say(
             logs.Part.NODE,
@@ -315,7 +317,7 @@
         self.serving.leaving = True
         for place in self.served.served.values():
             place.admission.refuse_all_waiting()
-        await self.entry.in_flight.give_up()
+        await self.dispatcher.in_flight.give_up()
 
     def seconds_to_write(self) -> float:
         """Returns how long answers still have to leave this process."""
--- a/mangobay/calls.py
+++ b/mangobay/calls.py
@@ -7,7 +7,7 @@
 from mangobay.generated import messages
 
 if typing.TYPE_CHECKING:
-    from mangobay import tries
+    from mangobay import retryallowance
 
 Outcome = messages.Outcome
 Reason = messages.Reason
@@ -30,7 +30,7 @@
         self.retry_after = retry_after
 
 
-LEARNED_REFUSALS = frozenset({Reason.OVERLOADED, Reason.QUEUE_TIMEOUT})
+THRESHOLD_REFUSALS = frozenset({Reason.OVERLOADED, Reason.QUEUE_TIMEOUT})
 """Refusals that say what the services below admit."""
 
 
@@ -63,11 +63,11 @@
       importance: of the whole call tree.
       depth: hops from the first node.
       deadline: loop time.
-      grant: extra tries for this call and what is below it.
+      allowance: extra tries for this call and what is below it.
       key: idempotency key, empty without.
       trace: where the call stands in its trace.
       tree: names the call tree to admission and routing.
-      parent: the operation of whose run here it is a part, empty for none.
+      parent_operation: the operation of whose run here it is a part, empty for none.
       repeat: it is made by a run that is itself another attempt.
     """
 
@@ -81,23 +81,23 @@
     importance: messages.Importance
     depth: int
     deadline: float
-    grant: "tries.Grant"
+    allowance: "retryallowance.RetryAllowance"
     key: ids.IdempotencyKey
     trace: fields.Trace
     tree: ids.TreeId = ids.TreeId("")
-    parent: ids.OperationName = ids.OperationName("")
+    parent_operation: ids.OperationName = ids.OperationName("")
     repeat: bool = False
 
-    def follow(self, run: messages.Call) -> None:
+    def inherit_from(self, parent_call: messages.Call) -> None:
         """Takes the rank of the run that the call is made for."""
-        self.importance = run.importance
-        self.depth = run.depth + 1
-        self.tree = run.tree
-        self.parent = run.operation
-        self.repeat = run.repeat
+        self.importance = parent_call.importance
+        self.depth = parent_call.depth + 1
+        self.tree = parent_call.tree
+        self.parent_operation = parent_call.operation
+        self.repeat = parent_call.repeat
 
     @property
-    def owned(self) -> bool:
+    def requires_owner(self) -> bool:
         """Whether only the owner of its key may run it."""
         return bool(self.key) and not self.operation.idempotent
 
@@ -109,12 +109,12 @@
     Attributes:
       call: as it came.
       deadline: loop time.
-      running: its tries and its child calls.
+      running_call: its tries and its child calls.
     """
 
     call: messages.Call
     deadline: float
-    running: "tries.Running"
+    running_call: "retryallowance.RunningCall"
 
     @property
     def trace(self) -> fields.Trace:
@@ -122,7 +122,7 @@
         return fields.own_trace(self.call.traceparent, self.call.call_id)
 
 
-def not_run(reason: Reason, retry_after: float = 0.0) -> messages.Reply:
+def not_run_reply(reason: Reason, retry_after: float = 0.0) -> messages.Reply:
     """Returns the reply of a call of which nothing ran; retry_after seconds."""
     return messages.Reply(
         outcome=Outcome.NOT_RUN,
@@ -131,6 +131,6 @@
     )
 
 
-def unknown(reason: Reason) -> messages.Reply:
+def unknown_reply(reason: Reason) -> messages.Reply:
     """Returns the reply of a call that may have run."""
     return messages.Reply(outcome=Outcome.UNKNOWN, reason=reason)
--- a/mangobay/entry.py
+++ b/mangobay/dispatch.py
@@ -8,7 +8,6 @@
 
 from mangobay import (
     calls,
-    crossings,
     errors,
     fields,
     hosts,
@@ -16,8 +15,9 @@
     inflight,
     options,
     peers,
-    ratio,
-    retrying,
+    remotetraffic,
+    retrybudget,
+    retrypolicy,
     routing,
     serving,
     slots,
@@ -28,16 +28,16 @@
 Outcome = messages.Outcome
 Reason = messages.Reason
 
-MOST_REDIRECTS = 3
+MAX_REDIRECTS = 3
 """Free attempts of one call after hosts that cannot have touched it.
 
 A host that is leaving, is not the owner or cannot be reached did no work, so
 going on to another one multiplies nothing; the bound keeps stale views from
 sending a call around for long.
 """
-OWNER_WAIT = 0.05
+OWNER_LOOKUP_DELAY = 0.05
 """Seconds before the owner of a key is looked up again; tripled each time."""
-WAIT_SHARE = 0.5
+QUEUE_WAIT_SHARE = 0.5
 """Of an operation's target latency that a call may wait for a slot: a call in
 the middle of a chain that is refused wastes the work of all above it, and one
 that waits longer than this comes too late as well."""
@@ -59,65 +59,67 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Tools:
+class Dependencies:
     """What the entry side works with."""
 
     process: calls.Process
     router: routing.Router
-    ratio: ratio.RetryRatio
+    retry_budget: retrybudget.RetryBudget
     transport: peers.Transport
     serving: serving.Serving
     lease: Lease
     views: Views
     tracer: traces.Tracer
-    dice: random.Random
+    rng: random.Random
 
 
 @dataclasses.dataclass(slots=True)
-class Attempts:
+class RetryState:
     """How one call has fared so far.
 
     Attributes:
       excluded: hosts that are not tried again.
       retries: extra tries used here.
       redirects: free attempts used.
-      broken: the reply of an attempt that may have run.
-      paid: a try was taken for the attempt that comes next.
-      began: loop time of the first attempt.
+      unknown_reply: the reply of an attempt that may have run.
+      retry_reserved: a try was taken for the attempt that comes next.
+      started_at: loop time of the first attempt.
     """
 
     excluded: set[ids.HostId] = dataclasses.field(default_factory=set)
     retries: int = 0
     redirects: int = 0
-    broken: messages.Reply | None = None
-    paid: bool = False
-    began: float = 0.0
+    unknown_reply: messages.Reply | None = None
+    retry_reserved: bool = False
+    started_at: float = 0.0
 
-    def note(self, reply: messages.Reply) -> None:
+    def record(self, reply: messages.Reply) -> None:
         """Remembers an attempt whose fate is unknown."""
         if reply.outcome == Outcome.UNKNOWN:
-            self.broken = reply
+            self.unknown_reply = reply
 
-    def told(self, reply: messages.Reply) -> messages.Reply:
+    def final_reply(self, reply: messages.Reply) -> messages.Reply:
         """Returns what the caller is told.
 
         A refusal by the last host is true of that host only.  After an
         attempt that may have run, `not_run` would be a lie to the caller.
         """
         refused = reply.outcome == Outcome.NOT_RUN
-        return self.broken if refused and self.broken else reply
+        return self.unknown_reply if refused and self.unknown_reply else reply
 
 
-class Entry:
+class Dispatcher:
     """Brings calls to hosts; the only place that repeats an attempt.
 
     Attributes:
       in_flight: the calls that have no reply yet.
     """
 
-    def __init__(self, retries: settings.NodeRetries, tools: Tools):
+    def __init__(
+        self, retries: settings.NodeRetries, dependencies: Dependencies
+    ):
         self.retries = retries
-        self.tools = tools
+        self.dependencies = dependencies
         self.in_flight = inflight.Calls()
 
     async def handle(self, request: calls.Request) -> messages.Reply:
@@ -127,44 +129,50 @@
         """
         operation = request.operation
         if operation.key_required and not request.key:
-            return calls.not_run(Reason.KEY_REQUIRED)
+            return calls.not_run_reply(Reason.KEY_REQUIRED)
         if self.in_flight.given_up:
-            return calls.not_run(Reason.LEAVING)
-        if not operation.idempotent and not self.tools.lease.holds():
-            return calls.not_run(Reason.NO_LEASE)
-        self.tools.ratio.asked(operation.service, request.repeat)
-        run = self.run_owned if request.owned else self.run_routed
+            return calls.not_run_reply(Reason.LEAVING)
+        if not operation.idempotent and not self.dependencies.lease.holds():
+            return calls.not_run_reply(Reason.NO_LEASE)
+        self.dependencies.retry_budget.record_request(
+            operation.service, request.repeat
+        )
+        run = (
+            self.try_key_owner
+            if request.requires_owner
+            else self.try_routed_hosts
+        )
         return await self.in_flight.carry(run(request))
 
-    async def run_routed(self, request: calls.Request) -> messages.Reply:
+    async def try_routed_hosts(self, request: calls.Request) -> messages.Reply:
         """Tries hosts that the router picks."""
-        made = Attempts(began=asyncio.get_running_loop().time())
+        made = RetryState(started_at=asyncio.get_running_loop().time())
         reply = None
         while True:
-            member = self.pick(request, made.excluded)
+            member = self.pick_or_refuse(request, made.excluded)
             if isinstance(member, messages.Reply):
-                if made.paid:
-                    self.put_back(request)
-                return made.told(reply or member)
-            made.paid = False
+                if made.retry_reserved:
+                    self.refund_retry(request)
+                return made.final_reply(reply or member)
+            made.retry_reserved = False
             made.excluded.add(member.host)
             reply = await self.attempt(request, member)
-            made.note(reply)
-            wait = self.wait_before_next(request, reply, made)
+            made.record(reply)
+            wait = self.delay_before_next(request, reply, made)
             if wait is None:
-                return made.told(reply)
+                return made.final_reply(reply)
             if wait and not await self.in_flight.pause(wait):
-                return made.told(reply)
+                return made.final_reply(reply)
 
-    def pick(
+    def pick_or_refuse(
         self, request: calls.Request, excluded: set[ids.HostId]
     ) -> messages.Member | messages.Reply:
         """Returns the host to try, or the refusal where there is none."""
         service = request.operation.service
-        if self.prefers_own(request.operation, excluded):
-            return messages.Member(host=self.tools.process.host)
+        if self.prefers_own_host(request.operation, excluded):
+            return messages.Member(host=self.dependencies.process.host)
         try:
-            return self.tools.router.pick(
+            return self.dependencies.router.pick(
                 service,
                 excluded,
                 request.importance,
@@ -174,13 +182,13 @@
                 tree=request.tree,
             )
         except routing.EarlyRefusalError as error:
-            reply = calls.not_run(Reason.OVERLOADED, error.retry_after)
+            reply = calls.not_run_reply(Reason.OVERLOADED, error.retry_after)
             reply.threshold = error.threshold
             return reply
         except routing.NoHostError:
-            return calls.not_run(Reason.NO_BACKEND)
+            return calls.not_run_reply(Reason.NO_BACKEND)
 
-    def prefers_own(
+    def prefers_own_host(
         self, operation: messages.Operation, excluded: set[ids.HostId]
     ) -> bool:
         """Whether the backend server here serves well: that saves a hop.
@@ -189,66 +197,73 @@
         that enter here: up to a third of a service's callers are beside its
         backend servers, and the router never got to choose for them.
         """
-        here = self.tools.serving
+        here = self.dependencies.serving
         place = here.served.find(operation.service)
-        host = self.tools.process.host
+        host = self.dependencies.process.host
         if place is None or here.leaving or host in excluded:
             return False
         if not place.said.healthy or place.admission.threshold:
             return False
         if place.admission.running >= place.admission.limit:
             return False
-        known = self.tools.router.services.get(operation.service)
-        found = known.known.get(host) if known else None
+        known = self.dependencies.router.services.get(operation.service)
+        found = known.hosts.get(host) if known else None
         if found is None:
             return True
         now = asyncio.get_running_loop().time()
-        if found.failing(operation.name, now) >= routing.FAILING_MARGIN:
+        if (
+            found.failure_rate_at(operation.name, now)
+            >= routing.FAILURE_RATE_MARGIN
+        ):
             return False
-        return known.usable(found, excluded, now)
+        return known.is_usable(found, excluded, now)
 
-    def wait_before_next(
-        self, request: calls.Request, reply: messages.Reply, made: Attempts
+    def delay_before_next(
+        self, request: calls.Request, reply: messages.Reply, made: RetryState
     ) -> float | None:
         """Returns the seconds before another attempt, None for none."""
         now = asyncio.get_running_loop().time()
         failed = reply.outcome is Outcome.ANSWERED
-        if failed and not retrying.is_quick_failure(
-            request, reply, now - made.began
+        if failed and not retrypolicy.is_fast_failure(
+            request, reply, now - made.started_at
         ):
             return None
         left = request.deadline - now
         if left <= 0 or self.in_flight.given_up:
             return None
-        if retrying.is_redirect(reply) and made.redirects < MOST_REDIRECTS:
+        if retrypolicy.is_redirect(reply) and made.redirects < MAX_REDIRECTS:
             made.redirects += 1
             return 0.0
-        if not failed and not retrying.may_retry(request, reply):
+        if not failed and not retrypolicy.may_retry(request, reply):
             return None
         if made.retries >= self.retries.hop_tries:
             return None
-        wait = ratio.backoff(
-            self.retries.backoff, made.retries + 1, left, self.tools.dice
+        wait = retrybudget.backoff(
+            self.retries.backoff, made.retries + 1, left, self.dependencies.rng
         )
         if wait is None:
             return None
         service = request.operation.service
-        if request.grant.left < 1:
+        if request.allowance.remaining < 1:
             return None
-        if not self.tools.ratio.take(service, request.importance, now):
+        if not self.dependencies.retry_budget.try_withdraw(
+            service, request.importance, now
+        ):
             return None
-        request.grant.take()
+        request.allowance.try_withdraw()
         made.retries += 1
-        made.paid = True
-        request.repeat = request.repeat or retrying.reached_backend(reply)
+        made.retry_reserved = True
+        request.repeat = request.repeat or retrypolicy.may_have_reached_backend(
+            reply
+        )
         return wait
 
-    def put_back(self, request: calls.Request) -> None:
+    def refund_retry(self, request: calls.Request) -> None:
         """Takes back the try of an attempt for which there was no host."""
-        request.grant.put_back()
-        self.tools.ratio.put_back(request.operation.service)
+        request.allowance.refund()
+        self.dependencies.retry_budget.refund(request.operation.service)
 
-    async def run_owned(self, request: calls.Request) -> messages.Reply:
+    async def try_key_owner(self, request: calls.Request) -> messages.Reply:
         """Brings a keyed call to the owner of its key.
 
         The owner's own refusals are final here: the same host is never tried
@@ -256,17 +271,21 @@
         """
         service = request.operation.service
         slot = slots.slot_of(request.key)
-        for redirect in range(MOST_REDIRECTS + 1):
-            view = self.tools.views.value.get(service)
+        for redirect in range(MAX_REDIRECTS + 1):
+            view = self.dependencies.views.value.get(service)
             owner = slots.owner(view, slot) if view else None
             if owner is None:
-                reply = calls.not_run(Reason.NO_BACKEND)
+                reply = calls.not_run_reply(Reason.NO_BACKEND)
             else:
                 reply = await self.attempt(request, owner)
-            if not retrying.is_redirect(reply) or redirect == MOST_REDIRECTS:
+            if not retrypolicy.is_redirect(reply) or redirect == MAX_REDIRECTS:
                 return reply
             left = request.deadline - asyncio.get_running_loop().time()
-            wait = OWNER_WAIT * 3**redirect * self.tools.dice.uniform(0.5, 1)
+            wait = (
+                OWNER_LOOKUP_DELAY
+                * 3**redirect
+                * self.dependencies.rng.uniform(0.5, 1)
+            )
             if wait >= left or not await self.in_flight.pause(wait):
                 return reply
         return reply
@@ -279,22 +298,22 @@
         began = loop.time()
         left = request.deadline - began
         if left <= 0:
-            return calls.not_run(Reason.DEADLINE_EXCEEDED)
+            return calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
         service = request.operation.service
-        lent = request.grant.lend()
-        call = self.to_call(request, left, lent)
-        router = self.tools.router
-        router.began(service, member.host)
+        lent = request.allowance.lend()
+        call = self.make_call(request, left, lent)
+        router = self.dependencies.router
+        router.record_call_start(service, member.host)
         reply = serving.CANCELLED
         try:
             reply = await self.deliver(call, member, left)
         finally:
-            router.ended(
+            router.record_call_end(
                 service,
                 member.host,
-                seen(request, reply, loop.time() - began),
+                make_observation(request, reply, loop.time() - began),
             )
-            self.note_crossing(request, member, reply)
+            self.record_remote_bytes(request, member, reply)
             if request.trace.sampled:
                 attempt = traces.Attempt(
                     request=request,
@@ -303,31 +322,40 @@
                     reply=reply,
                     began=began,
                 )
-                self.tools.tracer.record(attempt)
-        request.grant.give_back(min(reply.tries_left, lent))
+                self.dependencies.tracer.record(attempt)
+        request.allowance.reclaim(min(reply.tries_left, lent))
         return reply
 
-    def note_crossing(
+    def record_remote_bytes(
         self,
         request: calls.Request,
         member: messages.Member,
         reply: messages.Reply,
     ) -> None:
         """Counts what a call of a run here carried to a far host."""
-        if not request.parent:
+        if not request.parent_operation:
             return
         size = reply.crossing
-        if member.data_centre not in ("", self.tools.process.data_centre):
-            size += crossings.CALL_BYTES + len(request.body) + len(reply.body)
+        if member.data_centre not in (
+            "",
+            self.dependencies.process.data_centre,
+        ):
+            size += (
+                remotetraffic.CALL_OVERHEAD_BYTES
+                + len(request.body)
+                + len(reply.body)
+            )
         if size:
-            self.tools.serving.crossings.crossed(request.parent, size)
+            self.dependencies.serving.remote_traffic.record_bytes(
+                request.parent_operation, size
+            )
 
-    def to_call(
+    def make_call(
         self, request: calls.Request, left: float, lent: int
     ) -> messages.Call:
         """Returns the message of one attempt."""
         operation = request.operation
-        view = self.tools.views.value.get(operation.service)
+        view = self.dependencies.views.value.get(operation.service)
         call_id = fields.new_span()
         return messages.Call(
             service=operation.service,
@@ -342,14 +370,16 @@
             deadline_ms=max(int(left * 1000), 1),
             tries=lent,
             idempotent=operation.idempotent,
-            key=request.key if request.owned else ids.IdempotencyKey(""),
+            key=request.key
+            if request.requires_owner
+            else ids.IdempotencyKey(""),
             traceparent=request.trace.traceparent(call_id),
             revision=request.revision,
             call_id=call_id,
             view_version=view.version if view else ids.ViewVersion(0),
             client=request.client,
             tree=request.tree,
-            patience_ms=int(operation.target_ms * WAIT_SHARE),
+            patience_ms=int(operation.target_ms * QUEUE_WAIT_SHARE),
             repeat=request.repeat,
         )
 
@@ -357,46 +387,48 @@
         self, call: messages.Call, member: messages.Member, left: float
     ) -> messages.Reply:
         """Hands the call to this host's serving side or to a peer."""
-        if member.host == self.tools.process.host:
-            return await self.tools.serving.serve(call)
+        if member.host == self.dependencies.process.host:
+            return await self.dependencies.serving.serve(call)
         try:
-            reply = await self.tools.transport.ask(
-                address_of(member.peer_address), call, left + REPLY_GRACE
+            reply = await self.dependencies.transport.ask(
+                parse_peer_address(member.peer_address),
+                call,
+                left + REPLY_GRACE,
             )
         except errors.PeerUnreachableError:
-            reply = calls.not_run(Reason.CONNECTION_FAILED)
+            reply = calls.not_run_reply(Reason.CONNECTION_FAILED)
             reply.tries_left = call.tries
             return reply
         except errors.PeerError:
-            return calls.unknown(Reason.CONNECTION_BROKEN)
+            return calls.unknown_reply(Reason.CONNECTION_BROKEN)
         except TimeoutError:
-            return calls.unknown(Reason.DEADLINE_EXCEEDED)
+            return calls.unknown_reply(Reason.DEADLINE_EXCEEDED)
         if not isinstance(reply, messages.Reply):
-            return calls.unknown(Reason.INTERNAL)
+            return calls.unknown_reply(Reason.INTERNAL)
         return reply
 
 
-def seen(
+def make_observation(
     request: calls.Request, reply: messages.Reply, seconds: float
 ) -> hosts.Observation:
     """Returns what the reply shows of its host."""
     return hosts.Observation(
         operation=request.operation.name,
-        below=reply.below,
+        downstream_threshold=reply.below,
         outcome=reply.outcome,
         reason=reply.reason,
-        seconds=seconds,
+        latency_seconds=seconds,
         threshold=reply.threshold,
         inflight=reply.inflight,
         limit=reply.limit,
         status=reply.status,
-        size=len(reply.body),
-        crossing=reply.crossing,
+        response_bytes=len(reply.body),
+        remote_bytes=reply.crossing,
         late=0 < request.operation.target_ms < seconds * 1000,
     )
 
 
 @functools.lru_cache(maxsize=65536)
-def address_of(text: str) -> options.Address:
+def parse_peer_address(text: str) -> options.Address:
     """Returns a member's peer address."""
     return options.parse_address(text)
--- a/mangobay/edges.py
+++ b/mangobay/edges.py
@@ -10,7 +10,7 @@
 
 from mangobay import (
     calls,
-    entry,
+    dispatch,
     errors,
     fields,
     httpserver,
@@ -19,9 +19,9 @@
     ledger,
     logs,
     metrics,
+    retryallowance,
     serving,
     table,
-    tries,
 )
 from mangobay.generated import messages, settings
 
@@ -53,7 +53,7 @@
         self,
         limits: settings.NodeLimits,
         directory: Directory,
-        entry_side: entry.Entry,
+        dispatcher: dispatch.Dispatcher,
         serving_side: serving.Serving,
         counts: metrics.Metrics,
         record: ledger.Ledger,
@@ -61,7 +61,7 @@
     ):
         self.limits = limits
         self.directory = directory
-        self.entry = entry_side
+        self.dispatcher = dispatcher
         self.serving = serving_side
         self.metrics = counts
         self.ledger = record
@@ -74,11 +74,11 @@
         try:
             reply = await self.call(request)
         except calls.RequestError as error:
-            reply = calls.not_run(error.reason)
+            reply = calls.not_run_reply(error.reason)
             detail = str(error)
         except errors.MangobayError as error:
             logs.say(logs.Part.CALL, "call failed", why=str(error))
-            reply = calls.unknown(Reason.INTERNAL)
+            reply = calls.unknown_reply(Reason.INTERNAL)
         return httpserver.to_response(reply, self.dice, detail)
 
     async def call(self, request: web.BaseRequest) -> messages.Reply:
@@ -105,9 +105,9 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         # What a caller that hung up would have been told: it may have run.
-        reply = calls.unknown(Reason.CANCELLED)
+        reply = calls.unknown_reply(Reason.CANCELLED)
         try:
-            reply = await self.entry.handle(request)
+            reply = await self.dispatcher.handle(request)
         finally:
             self.metrics.ended(request.operation, reply, loop.time() - began)
             self.ledger.count(
@@ -187,7 +187,7 @@
                 importance=operation.importance,
                 depth=0,
                 deadline=deadline,
-                grant=tries.Grant(operation.tries),
+                allowance=retryallowance.RetryAllowance(operation.tries),
                 key=key,
                 trace=self.trace_of(received),
                 tree=fields.new_tree(),
@@ -263,7 +263,7 @@
             importance=operation.importance,
             depth=0,
             deadline=deadline,
-            grant=tries.Grant(0),
+            allowance=retryallowance.RetryAllowance(0),
             key=key,
             trace=fields.new_trace(self.sample),
             tree=fields.new_tree(),
@@ -277,25 +277,25 @@
         self, call: calls.Request, parent: calls.Parent
     ) -> messages.Reply:
         """Brings in a call that is part of a tree, with part of its tries."""
-        running = parent.running
+        running = parent.running_call
         where = f"{call.operation.service}{call.target}"
-        if not running.child(call.operation.method, where, call.body):
-            return calls.not_run(Reason.TRIES_EXHAUSTED)
+        if not running.allow_child(call.operation.method, where, call.body):
+            return calls.not_run_reply(Reason.TRIES_EXHAUSTED)
         call.client = parent.call.client
-        call.follow(parent.call)
+        call.inherit_from(parent.call)
         call.deadline = min(call.deadline, parent.deadline)
         call.trace = parent.trace
-        call.grant = tries.Grant(running.grant.lend())
+        call.allowance = retryallowance.RetryAllowance(running.allowance.lend())
         loop = asyncio.get_running_loop()
-        running.child_began(loop.time())
+        running.child_started(loop.time())
         try:
             reply = await self.run(call)
-            if reply.reason in calls.LEARNED_REFUSALS:
+            if reply.reason in calls.THRESHOLD_REFUSALS:
                 running.child_refused(max(reply.threshold, reply.below))
             return reply
         finally:
             running.child_ended(loop.time())
-            running.grant.give_back(call.grant.close())
+            running.allowance.reclaim(call.allowance.close())
 
     def caller_of(
         self, received: fields.Fields, parent: calls.Parent | None
--- a/mangobay/ejection.py
+++ b/mangobay/ejection.py
@@ -6,39 +6,39 @@
 from mangobay import ids
 from mangobay.generated import settings
 
-LONGEST_DOUBLING = 6
+MAX_DOUBLINGS = 6
 """The time out of use is doubled at most this often."""
 
 
-class State(enum.Enum):
+class HostState(enum.Enum):
     """Whether a host gets calls."""
 
     IN_USE = "in use"
     EJECTED = "ejected"
-    DUE = "due"
+    PROBE_DUE = "due"
     """Its time is up: one idempotent call may probe it."""
-    PROBED = "probed"
+    PROBING = "probed"
     """That call is in flight."""
 
 
 @dataclasses.dataclass(slots=True)
-class Record:
+class HostRecord:
     """What was observed of one host.
 
     Attributes:
       state: as of the last event; EJECTED may be due by now.
-      failures: consecutive ones.
-      until: loop time at which a probe, or another one, is due.
-      ejections: in a row, each longer than the one before.
+      consecutive_failures: consecutive ones.
+      probe_at: loop time at which a probe, or another one, is due.
+      consecutive_ejections: in a row, each longer than the one before.
     """
 
-    state: State = State.IN_USE
-    failures: int = 0
-    until: float = 0.0
-    ejections: int = 0
+    state: HostState = HostState.IN_USE
+    consecutive_failures: int = 0
+    probe_at: float = 0.0
+    consecutive_ejections: int = 0
 
 
-class Ejection:
+class OutlierDetector:
     """The hosts of one service.
 
     A host that fails fast looks idle and draws calls, so it must go.  But
@@ -46,73 +46,73 @@
     hosts, and the rest would drown in the calls of those ejected.
 
     Attributes:
-      hosts: number of hosts of the service.
+      host_count: number of hosts of the service.
       records: only of hosts that failed lately.
     """
 
     def __init__(self, routing: settings.NodeRouting):
         self.settings = routing
-        self.hosts = 0
-        self.records: dict[ids.HostId, Record] = {}
+        self.host_count = 0
+        self.records: dict[ids.HostId, HostRecord] = {}
 
-    def state(self, host: ids.HostId, now: float) -> State:
+    def state(self, host: ids.HostId, now: float) -> HostState:
         """Returns whether the host gets calls."""
         record = self.records.get(host)
         if record is None:
-            return State.IN_USE
-        if record.state != State.IN_USE and now >= record.until:
-            return State.DUE
+            return HostState.IN_USE
+        if record.state != HostState.IN_USE and now >= record.probe_at:
+            return HostState.PROBE_DUE
         return record.state
 
-    def probe(self, host: ids.HostId, now: float) -> None:
+    def start_probe(self, host: ids.HostId, now: float) -> None:
         """Notes that a probing call goes to a host that is due.
 
         A probe that is cancelled says nothing; after a while the next call
         may probe, else the host would stay out of use for ever.
         """
         record = self.records[host]
-        record.state = State.PROBED
-        record.until = now + self.settings.eject_time
+        record.state = HostState.PROBING
+        record.probe_at = now + self.settings.eject_time
 
-    def failed(self, host: ids.HostId, now: float) -> bool:
+    def record_failure(self, host: ids.HostId, now: float) -> bool:
         """Counts a failure; returns whether it ejected the host."""
-        record = self.records.setdefault(host, Record())
-        record.failures += 1
-        if record.state == State.PROBED:
+        record = self.records.setdefault(host, HostRecord())
+        record.consecutive_failures += 1
+        if record.state == HostState.PROBING:
             self.eject(record, now)
             return True
-        enough = 0 < self.settings.eject_after <= record.failures
-        if record.state == State.IN_USE and enough and self.room():
+        enough = 0 < self.settings.eject_after <= record.consecutive_failures
+        if record.state == HostState.IN_USE and enough and self.may_eject():
             self.eject(record, now)
             return True
         return False
 
-    def succeeded(self, host: ids.HostId) -> bool:
+    def record_success(self, host: ids.HostId) -> bool:
         """Counts an answer; returns whether it brought the host back.
 
         Only a probe brings a host back: an answer to a call that was sent
         before the ejection says nothing about now.
         """
         record = self.records.get(host)
-        if record is None or record.state == State.EJECTED:
+        if record is None or record.state == HostState.EJECTED:
             return False
         del self.records[host]
-        return record.state == State.PROBED
+        return record.state == HostState.PROBING
 
     def forget(self, host: ids.HostId) -> None:
         """Forgets a host that left, or restarted as another incarnation."""
         self.records.pop(host, None)
 
-    def room(self) -> bool:
+    def may_eject(self) -> bool:
         """Returns whether one more host may go out of use."""
         out = sum(
-            record.state != State.IN_USE for record in self.records.values()
+            record.state != HostState.IN_USE for record in self.records.values()
         )
-        return out + 1 <= self.settings.eject_share * self.hosts
+        return out + 1 <= self.settings.eject_share * self.host_count
 
-    def eject(self, record: Record, now: float) -> None:
+    def eject(self, record: HostRecord, now: float) -> None:
         """Takes a host out of use, longer each time in a row."""
-        doublings = min(record.ejections, LONGEST_DOUBLING)
-        record.state = State.EJECTED
-        record.until = now + self.settings.eject_time * 2**doublings
-        record.ejections += 1
+        doublings = min(record.consecutive_ejections, MAX_DOUBLINGS)
+        record.state = HostState.EJECTED
+        record.probe_at = now + self.settings.eject_time * 2**doublings
+        record.consecutive_ejections += 1
--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -10,7 +10,7 @@
     calls,
     decisions,
     departure,
-    entry,
+    dispatch,
     fields,
     ids,
     leanclient,
@@ -18,9 +18,9 @@
     leanserver,
     metrics,
     refusals,
+    retryallowance,
     routes,
     serving,
-    tries,
 )
 from mangobay.generated import messages
 
@@ -104,19 +104,19 @@
         return [*call.headers, *added]
 
     def reply_of(
-        self, answer: backend.Answer, running: tries.Running
+        self, answer: backend.Answer, running: retryallowance.RunningCall
     ) -> messages.Reply:
         """Returns the reply that says what a backend server answered."""
         del running
         if answer.shed:
-            return calls.not_run(Reason.BACKEND_SHED)
+            return calls.not_run_reply(Reason.BACKEND_SHED)
         if answer.status in PROMISES:
             # Passed on it would tell the caller that the request never ran,
             # which only the field of its own says.
-            return calls.unknown(Reason.INCOMPLETE_ANSWER)
+            return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
         signed = fields.find(answer.headers, self.vocabulary.backend.signature)
         if answer.status < FIRST_REDIRECT and not signed:
-            return calls.unknown(Reason.INCOMPLETE_ANSWER)
+            return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
         return messages.Reply(
             outcome=Outcome.ANSWERED,
             status=answer.status,
@@ -141,7 +141,7 @@
         vocabulary: Vocabulary,
         caller: ids.ServiceName,
         run_of: FindRun,
-        entry_side: entry.Entry,
+        dispatcher: dispatch.Dispatcher,
         counts: metrics.Metrics,
         log: decisions.DecisionLog,
         times: departure.Departure,
@@ -150,7 +150,7 @@
         self.replaced = vocabulary.replaced
         self.caller = ids.CallerName(caller)
         self.run_of = run_of
-        self.entry = entry_side
+        self.dispatcher = dispatcher
         self.metrics = counts
         self.log = log
         self.departure = times
@@ -166,24 +166,24 @@
             self.check_taken(parent)
             call = self.call_of(request, attempt, client)
         except calls.RequestError as error:
-            reply = calls.not_run(error.reason, error.retry_after)
+            reply = calls.not_run_reply(error.reason, error.retry_after)
             self.log.refused_unread(attempt, error, self.table)
             return refusals.response(reply)
         loop = asyncio.get_running_loop()
         began = loop.time()
         if parent is not None:
-            call.follow(parent.call)
+            call.inherit_from(parent.call)
             if not self.departure.takes_work(began):
                 last = self.departure.last_deadline()
                 call.deadline = min(call.deadline, last)
-            parent.running.child_began(began)
-        reply = calls.unknown(Reason.CANCELLED)
+            parent.running_call.child_started(began)
+        reply = calls.unknown_reply(Reason.CANCELLED)
         try:
-            reply = await self.entry.handle(call)
+            reply = await self.dispatcher.handle(call)
         finally:
             now = loop.time()
             if parent is not None:
-                parent.running.child_ended(now)
+                parent.running_call.child_ended(now)
             seconds = now - began
             self.metrics.ended(call.operation, reply, seconds)
             if not serving.is_whole(reply):
@@ -246,7 +246,7 @@
             importance=operation.importance,
             depth=int(found.has_spent_time(told)),
             deadline=asyncio.get_running_loop().time() + left,
-            grant=tries.Grant(operation.tries),
+            allowance=retryallowance.RetryAllowance(operation.tries),
             key=ids.IdempotencyKey(""),
             trace=UNTRACED,
             tree=fields.new_tree(),
--- a/mangobay/httpserver.py
+++ b/mangobay/httpserver.py
@@ -75,9 +75,9 @@
     def handle_error(self, request, status=500, exc=None, message=None):
         """Returns the answer to what is no HTTP request."""
         reason = messages.Reason.INTERNAL
-        reply = calls.unknown(reason)
+        reply = calls.unknown_reply(reason)
         if status < 500:
-            reply = calls.not_run(messages.Reason.MALFORMED)
+            reply = calls.not_run_reply(messages.Reason.MALFORMED)
         else:
             logs.say(logs.Part.CALL, "request failed", why=repr(exc))
         detail = "not an HTTP request" if status < 500 else ""
@@ -248,11 +248,11 @@
 
 
 def to_response(
-    reply: messages.Reply, dice: random.Random, detail: str = ""
+    reply: messages.Reply, rng: random.Random, detail: str = ""
 ) -> web.Response:
     """Returns the HTTP answer that says what a reply says."""
     if reply.outcome is not messages.Outcome.ANSWERED:
-        shown = problems.problem(reply, dice, detail)
+        shown = problems.problem(reply, rng, detail)
         return web.Response(
             status=shown.status, headers=shown.headers, body=shown.body
         )
--- a/mangobay/inflight.py
+++ b/mangobay/inflight.py
@@ -51,7 +51,7 @@
             if not self.given_up:
                 raise
             entered.task.uncancel()
-            return calls.unknown(messages.Reason.LEAVING)
+            return calls.unknown_reply(messages.Reason.LEAVING)
         finally:
             self.open.discard(entered)
 
--- a/mangobay/node.py
+++ b/mangobay/node.py
@@ -35,7 +35,7 @@
         parts = (
             config.limits,
             self.control,
-            self.entry,
+            self.dispatcher,
             self.serving,
             self.metrics,
             self.ledger,
@@ -80,7 +80,7 @@
         await self.peer_listener.start()
         await self.local_listener.start()
         await self.outside_listener.start()
-        self.control.views.subscribe(self.router.update)
+        self.control.views.subscribe(self.router.update_views)
         self.control.views.subscribe(self.once.update)
         self.control.draining.subscribe(self.drained)
         for work in (
--- a/mangobay/once.py
+++ b/mangobay/once.py
@@ -170,7 +170,7 @@
         if refusal is not None:
             return refusal
         if share.registry.full:
-            return calls.not_run(messages.Reason.OVERLOADED)
+            return calls.not_run_reply(messages.Reason.OVERLOADED)
         record = self.claim(share, slot, call)
         task = self.spawn(self.first(share, record, execute))
         return await self.watch(task, record)
@@ -189,16 +189,16 @@
         )
         while True:
             if not self.lease.holds():
-                return calls.not_run(messages.Reason.NO_LEASE)
+                return calls.not_run_reply(messages.Reason.NO_LEASE)
             if not share.owns(slot):
-                return calls.not_run(messages.Reason.NOT_OWNER)
+                return calls.not_run_reply(messages.Reason.NOT_OWNER)
             if share.ready(slot):
                 return None
             try:
                 async with asyncio.timeout_at(patience):
                     await share.moved.wait()
             except TimeoutError:
-                return calls.not_run(messages.Reason.OWNER_CHANGED)
+                return calls.not_run_reply(messages.Reason.OWNER_CHANGED)
 
     def refusal_by_age(
         self,
@@ -211,10 +211,10 @@
         window_ms = int(self.options.window * 1000)
         age = keys.age(key, now_ms, self.skew_ms)
         if not age.foreign and age.minted_ms < now_ms - window_ms:
-            return calls.unknown(messages.Reason.KEY_EXPIRED)
+            return calls.unknown_reply(messages.Reason.KEY_EXPIRED)
         floor_ms = share.floors.get(slot, 0)
         if age.before(floor_ms, window_ms, now_ms):
-            return calls.unknown(messages.Reason.OWNER_CHANGED)
+            return calls.unknown_reply(messages.Reason.OWNER_CHANGED)
         return None
 
     def claim(
@@ -253,12 +253,12 @@
     ) -> messages.Reply:
         """Returns the reply of the run that the key had."""
         if record.digest != records.digest_of(call):
-            return calls.not_run(messages.Reason.KEY_REUSED)
+            return calls.not_run_reply(messages.Reason.KEY_REUSED)
         try:
             async with asyncio.timeout_at(deadline):
                 await record.settled.wait()
         except TimeoutError:
-            return calls.unknown(messages.Reason.RUNNING)
+            return calls.unknown_reply(messages.Reason.RUNNING)
         return record.reply
 
     async def first(
@@ -271,7 +271,7 @@
         try:
             reply = await execute(gate.open)
         except startgate.RefusedError as refused:
-            reply = calls.not_run(refused.reason)
+            reply = calls.not_run_reply(refused.reason)
         except BaseException:
             self.settle(share, record, self.broken_off(record))
             raise
@@ -281,8 +281,8 @@
     def broken_off(self, record: records.Record) -> messages.Reply:
         """Returns the reply of a run that ended with an error."""
         if record.state is records.State.CLAIMED:
-            return calls.not_run(messages.Reason.CANCELLED)
-        return calls.unknown(messages.Reason.INTERNAL)
+            return calls.not_run_reply(messages.Reason.CANCELLED)
+        return calls.unknown_reply(messages.Reason.INTERNAL)
 
     def settle(
         self,
--- a/mangobay/records.py
+++ b/mangobay/records.py
@@ -112,7 +112,7 @@
 def entry_reply(entry: messages.OnceEntry) -> messages.Reply:
     """Returns the reply that a settled entry holds."""
     if entry.state is messages.OnceState.UNKNOWN:
-        return calls.unknown(messages.Reason.OWNER_CHANGED)
+        return calls.unknown_reply(messages.Reason.OWNER_CHANGED)
     return messages.Reply(
         outcome=messages.Outcome.ANSWERED,
         status=entry.status,
@@ -206,7 +206,7 @@
     def withdraw(self, record: Record) -> None:
         """Drops a call that its runner did not start; tells who waits."""
         self.forget(record)
-        record.reply = calls.not_run(messages.Reason.OWNER_CHANGED)
+        record.reply = calls.not_run_reply(messages.Reason.OWNER_CHANGED)
         record.settled.set()
 
     def expire(self, now: float) -> None:
--- a/mangobay/crossings.py
+++ b/mangobay/remotetraffic.py
@@ -9,66 +9,68 @@
 
 from mangobay import ids
 
-PART = 0.1
+NEWEST_RUN_WEIGHT = 0.1
 """Weight of the newest run: some ten runs tell what an operation's calls
 carry."""
 HALF_LIFE = 10.0
 """Seconds in which a figure that no run renews fades to its half: a data centre
 that lost a host of a service seldom has it back sooner, and each look costs the
 crossings of some runs."""
-CALL_BYTES = 800
+CALL_OVERHEAD_BYTES = 800
 """Of one call besides the body of its answer: both messages, their fields, and
 the heads of their packets."""
-WORTH_IT = 1.5
+MIN_SAVINGS_RATIO = 1.5
 """Times what the run itself would carry that its calls must carry for it to go
 elsewhere: two figures that are about equal change places at random."""
 
 
 @dataclasses.dataclass(slots=True)
-class Figure:
+class DecayingBytes:
     """A figure in bytes that fades.
 
     Attributes:
-      size: bytes.
-      told: loop time at which it was right.
+      value: bytes.
+      updated_at: loop time at which it was right.
     """
 
-    size: float = 0.0
-    told: float = 0.0
+    value: float = 0.0
+    updated_at: float = 0.0
 
-    def at(self, now: float) -> float:
+    def value_at(self, now: float) -> float:
         """Returns the bytes, faded since they were told."""
-        if not self.size:
+        if not self.value:
             return 0.0
-        return self.size * 0.5 ** ((now - self.told) / HALF_LIFE)
+        return self.value * 0.5 ** ((now - self.updated_at) / HALF_LIFE)
 
 
 @dataclasses.dataclass(slots=True)
-class Operation:
+class OperationTraffic:
     """The runs of one operation at the backend server here.
 
     Attributes:
-      per_run: bytes that the calls of one run carry.
-      carried: bytes that calls have carried since the last run ended.
+      bytes_per_run: bytes that the calls of one run carry.
+      bytes_since_run_end: bytes that calls have carried since the last run ended.
     """
 
-    per_run: Figure = dataclasses.field(default_factory=Figure)
-    carried: int = 0
+    bytes_per_run: DecayingBytes = dataclasses.field(
+        default_factory=DecayingBytes
+    )
+    bytes_since_run_end: int = 0
 
 
-class Crossings:
+class RemoteTraffic:
     """What the calls of the backend server here carry, by its operations."""
 
     def __init__(self):
-        self.operations: dict[ids.OperationName, Operation] = {}
+        self.operations: dict[ids.OperationName, OperationTraffic] = {}
 
-    def crossed(self, operation: ids.OperationName, size: int) -> None:
+    def record_bytes(self, operation: ids.OperationName, size: int) -> None:
         """Notes bytes carried for a run of an operation."""
         if operation not in self.operations:
-            self.operations[operation] = Operation()
-        self.operations[operation].carried += size
+            self.operations[operation] = OperationTraffic()
+        self.operations[operation].bytes_since_run_end += size
 
-    def ended(self, operation: ids.OperationName, now: float) -> None:
+    def record_run_end(self, operation: ids.OperationName, now: float) -> None:
         """Notes the end of a run.
 
         Runs overlap, so that what was carried since the last one ended is not
@@ -77,23 +79,27 @@
         known = self.operations.get(operation)
         if known is None:
             return
-        former = known.per_run.at(now)
-        size = former + (known.carried - former) * PART
-        known.per_run = Figure(size, now)
-        known.carried = 0
+        former = known.bytes_per_run.value_at(now)
+        size = former + (known.bytes_since_run_end - former) * NEWEST_RUN_WEIGHT
+        known.bytes_per_run = DecayingBytes(size, now)
+        known.bytes_since_run_end = 0
 
-    def per_run(self, operation: ids.OperationName, now: float) -> int:
+    def bytes_per_run(self, operation: ids.OperationName, now: float) -> int:
         """Returns the bytes that the calls of a run carry."""
         known = self.operations.get(operation)
-        return int(known.per_run.at(now)) if known else 0
+        return int(known.bytes_per_run.value_at(now)) if known else 0
 
 
-def pays(near: float, far: float, answer: float) -> bool:
+def should_move_run(
+    local_bytes: float, remote_bytes: float, response_bytes: float
+) -> bool:
     """Returns whether a run should cross in place of its calls.
 
     Args:
-      near: bytes that its calls carry from a near host.
-      far: bytes that they carry from a far host.
-      answer: bytes of the run's own answer.
+      local_bytes: bytes that its calls carry from a near host.
+      remote_bytes: bytes that they carry from a far host.
+      response_bytes: bytes of the run's own answer.
     """
-    return near - far > WORTH_IT * (answer + CALL_BYTES)
+    return local_bytes - remote_bytes > MIN_SAVINGS_RATIO * (
+        response_bytes + CALL_OVERHEAD_BYTES
+    )
--- a/mangobay/tries.py
+++ b/mangobay/retryallowance.py
@@ -10,16 +10,16 @@
 
 from mangobay import ids, invariants
 
-MOST_CHILDREN = 1024
+MAX_CHILDREN = 1024
 """Child calls remembered for one parent; further ones count as repeats."""
 
 
-class Grant:
+class RetryAllowance:
     """Extra tries of one subtree at one node.
 
     Attributes:
       granted: what came with the call.
-      left: what may still be used or lent here.
+      remaining: what may still be used or lent here.
       used: tries made by this node.
       lent: tries that went down with child calls and did not come back.
       returned: tries that went up with the reply.
@@ -30,7 +30,7 @@
     __slots__ = (
         "closed",
         "granted",
-        "left",
+        "remaining",
         "lent",
         "lost",
         "returned",
@@ -39,60 +39,60 @@
 
     def __init__(self, granted: int):
         self.granted = granted
-        self.left = granted
+        self.remaining = granted
         self.used = 0
         self.lent = 0
         self.returned = 0
         self.lost = 0
         self.closed = False
 
-    def take(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Uses one try here; returns whether there was one."""
-        if self.left < 1:
+        if self.remaining < 1:
             return False
-        self.left -= 1
+        self.remaining -= 1
         self.used += 1
-        self.check()
+        self.assert_conserved()
         return True
 
-    def put_back(self) -> None:
+    def refund(self) -> None:
         """Takes back a try that was taken here and made no attempt."""
         self.used -= 1
-        self.left += 1
-        self.check()
+        self.remaining += 1
+        self.assert_conserved()
 
     def lend(self) -> int:
         """Returns the tries for a child call: half, rounded up."""
-        tries = (self.left + 1) // 2
-        self.left -= tries
+        tries = (self.remaining + 1) // 2
+        self.remaining -= tries
         self.lent += tries
-        self.check()
+        self.assert_conserved()
         return tries
 
-    def give_back(self, tries: int) -> None:
+    def reclaim(self, retries: int) -> None:
         """Takes back what a child's reply returns.
 
         A reply that is lost gives nothing back.  A reply that returns more
         than was lent would make tries out of nothing, so the rest is cut.
         """
-        tries = max(0, min(tries, self.lent))
-        self.lent -= tries
+        retries = max(0, min(retries, self.lent))
+        self.lent -= retries
         if self.closed:
-            self.lost += tries
+            self.lost += retries
         else:
-            self.left += tries
-        self.check()
+            self.remaining += retries
+        self.assert_conserved()
 
     def close(self) -> int:
         """Returns the tries left for the reply; none are left afterwards."""
-        tries = self.left
-        self.left = 0
+        tries = self.remaining
+        self.remaining = 0
         self.returned += tries
         self.closed = True
-        self.report()
+        self.record_check()
         return tries
 
-    def check(self) -> None:
+    def assert_conserved(self) -> None:
         """Asserts that no try was made or forgotten.
 
         Raises:
@@ -100,9 +100,9 @@
         """
         if self.is_conserved():
             return
-        self.report()
+        self.record_check()
 
-    def report(self) -> None:
+    def record_check(self) -> None:
         """Counts one check of the sum; done once a call where it holds.
 
         Raises:
@@ -117,102 +117,104 @@
     def is_conserved(self) -> bool:
         """Returns whether the tries add up to what was granted."""
         gone = self.returned + self.lost
-        total = self.left + self.used + self.lent + gone
-        return total == self.granted and self.left >= 0
+        total = self.remaining + self.used + self.lent + gone
+        return total == self.granted and self.remaining >= 0
 
 
-class Running:
+class RunningCall:
     """A call that runs at the backend server, and its child calls.
 
     Attributes:
-      grant: the extra tries of the subtree.
-      attempts: how often each child call was made, by its fingerprint.
-      awaited: seconds during which at least one child call was in flight.
-      below: highest threshold with which a child call was refused; kept here
+      allowance: the extra tries of the subtree.
+      child_attempts: how often each child call was made, by its fingerprint.
+      child_wait_seconds: seconds during which at least one child call was in flight.
+      downstream_threshold: highest threshold with which a child call was refused; kept here
         for admission, which hears of it when the call leaves.
     """
 
     __slots__ = (
-        "attempts",
-        "awaited",
-        "below",
-        "grant",
-        "inflight",
-        "since",
+        "child_attempts",
+        "child_wait_seconds",
+        "downstream_threshold",
+        "allowance",
+        "children_in_flight",
+        "child_wait_since",
     )
 
-    def __init__(self, grant: Grant):
-        self.grant = grant
-        self.attempts: dict[bytes, int] = {}
-        self.awaited = 0.0
-        self.below = 0
-        self.inflight = 0
-        self.since = 0.0
+    def __init__(self, allowance: RetryAllowance):
+        self.allowance = allowance
+        self.child_attempts: dict[bytes, int] = {}
+        self.child_wait_seconds = 0.0
+        self.downstream_threshold = 0
+        self.children_in_flight = 0
+        self.child_wait_since = 0.0
 
-    def child(self, method: str, target: str, body: bytes) -> bool:
+    def allow_child(self, method: str, target: str, body: bytes) -> bool:
         """Returns whether the backend server may make this child call.
 
         The first call of a kind is free.  The same method, target and body
         again is a repeat by the backend server and costs a try: otherwise
         its own retry loop would multiply with those of the nodes.
         """
-        fingerprint = digest(method, target, body)
-        made = self.attempts.get(fingerprint, 0)
-        if made == 0 and len(self.attempts) < MOST_CHILDREN:
-            self.attempts[fingerprint] = 1
+        fingerprint = request_fingerprint(method, target, body)
+        made = self.child_attempts.get(fingerprint, 0)
+        if made == 0 and len(self.child_attempts) < MAX_CHILDREN:
+            self.child_attempts[fingerprint] = 1
             return True
-        if not self.grant.take():
+        if not self.allowance.try_withdraw():
             return False
         if made:
-            self.attempts[fingerprint] = made + 1
+            self.child_attempts[fingerprint] = made + 1
         return True
 
-    def child_began(self, now: float) -> None:
+    def child_started(self, now: float) -> None:
         """Notes that a child call is in flight; now is loop time."""
-        if self.inflight == 0:
-            self.since = now
-        self.inflight += 1
+        if self.children_in_flight == 0:
+            self.child_wait_since = now
+        self.children_in_flight += 1
 
     def child_ended(self, now: float) -> None:
         """Notes that a child call ended; now is loop time."""
-        self.inflight -= 1
-        if self.inflight == 0:
-            self.awaited += now - self.since
+        self.children_in_flight -= 1
+        if self.children_in_flight == 0:
+            self.child_wait_seconds += now - self.child_wait_since
 
     def child_refused(self, threshold: int) -> None:
         """Notes that a child call was refused with this threshold."""
-        self.below = max(self.below, threshold)
+        self.downstream_threshold = max(self.downstream_threshold, threshold)
 
-    def awaited_at(self, now: float) -> float:
+    def child_wait_seconds_at(self, now: float) -> float:
         """Returns the seconds spent with child calls in flight until now."""
-        if self.inflight == 0:
-            return self.awaited
-        return self.awaited + now - self.since
+        if self.children_in_flight == 0:
+            return self.child_wait_seconds
+        return self.child_wait_seconds + now - self.child_wait_since
 
 
-class Grants:
+class RunningCalls:
     """The calls that run at the backend server on this host."""
 
     def __init__(self):
-        self.running: dict[ids.CallId, Running] = {}
+        self.calls_by_id: dict[ids.CallId, RunningCall] = {}
 
-    def open(self, call_id: ids.CallId, grant: Grant) -> Running:
+    def start(
+        self, call_id: ids.CallId, allowance: RetryAllowance
+    ) -> RunningCall:
         """Notes that the call starts to run."""
-        running = Running(grant)
-        self.running[call_id] = running
+        running = RunningCall(allowance)
+        self.calls_by_id[call_id] = running
         return running
 
-    def find(self, call_id: ids.CallId) -> Running | None:
+    def find(self, call_id: ids.CallId) -> RunningCall | None:
         """Returns the running call; None when it is not known here."""
-        return self.running.get(call_id)
+        return self.calls_by_id.get(call_id)
 
-    def close(self, call_id: ids.CallId) -> int:
+    def finish(self, call_id: ids.CallId) -> int:
         """Forgets the call; returns the tries left, for its reply."""
-        running = self.running.pop(call_id, None)
-        return running.grant.close() if running else 0
+        running = self.calls_by_id.pop(call_id, None)
+        return running.allowance.close() if running else 0
 
 
-def digest(method: str, target: str, body: bytes) -> bytes:
+def request_fingerprint(method: str, target: str, body: bytes) -> bytes:
     """Returns the fingerprint that tells a repeat from another call."""
     state = xxhash.xxh3_128(f"{method} {target}\n".encode())
     state.update(body)
--- a/mangobay/ratio.py
+++ b/mangobay/retrybudget.py
@@ -6,20 +6,20 @@
 from mangobay import ids
 from mangobay.generated import messages, settings
 
-LONGEST_BACKOFF = 1.0
+MAX_BACKOFF = 1.0
 """Seconds; doubling stops here."""
-KEPT_SHARE = 0.5
+CRITICAL_RESERVE_SHARE = 0.5
 """Share of the burst that is kept for critical calls."""
 SLACK_SHARE = 0.8
 """Of the slack, what the nodes share: they do not count each other at the same
 moment."""
-LEAST_BURST = 1.0
+MIN_BURST = 1.0
 """Below it nothing could ever be tried again."""
-KEPT_SECONDS = 1.0
+CRITICAL_RESERVE_SECONDS = 1.0
 """For this time after a critical call wanted a try."""
 
 
-class RetryRatio:
+class RetryBudget:
     """A token bucket for each service, filled by requests.
 
     However a service fails, it gets no more attempts than its callers made
@@ -39,13 +39,13 @@
 
     def __init__(self, retries: settings.NodeRetries):
         self.ratio = retries.ratio * retries.spent
-        self.most = float(retries.burst)
+        self.max_burst = float(retries.burst)
         self.slack = retries.slack
-        self.burst = self.most
+        self.burst = self.max_burst
         self.tokens: dict[ids.ServiceName, float] = {}
-        self.wanted_at: dict[ids.ServiceName, float] = {}
+        self.critical_request_times: dict[ids.ServiceName, float] = {}
 
-    def share_slack(self, nodes: int) -> None:
+    def set_node_count(self, nodes: int) -> None:
         """Takes the number of nodes that save up tries.
 
         Each with a few of them, many nodes would spend hundreds at the moment
@@ -53,9 +53,11 @@
         """
         if self.slack:
             share = SLACK_SHARE * self.slack / max(nodes, 1)
-            self.burst = min(self.most, max(LEAST_BURST, share))
+            self.burst = min(self.max_burst, max(MIN_BURST, share))
 
-    def asked(self, service: ids.ServiceName, repeat: bool = False) -> None:
+    def record_request(
+        self, service: ids.ServiceName, repeat: bool = False
+    ) -> None:
         """Counts a request, which pays for `ratio` tries.
 
         Args:
@@ -66,7 +68,7 @@
         change = -1.0 if repeat else self.ratio
         self.tokens[service] = min(self.burst, saved + change)
 
-    def take(
+    def try_withdraw(
         self,
         service: ids.ServiceName,
         importance: messages.Importance = messages.Importance.NORMAL,
@@ -76,23 +78,26 @@
         saved = self.tokens.get(service, self.burst)
         kept = 0.0
         if importance is messages.Importance.CRITICAL:
-            self.wanted_at[service] = now
-        elif now - self.wanted_at.get(service, -math.inf) < KEPT_SECONDS:
-            room = max(self.burst - LEAST_BURST, 0.0)
-            kept = min(KEPT_SHARE * self.burst, room)
+            self.critical_request_times[service] = now
+        elif (
+            now - self.critical_request_times.get(service, -math.inf)
+            < CRITICAL_RESERVE_SECONDS
+        ):
+            room = max(self.burst - MIN_BURST, 0.0)
+            kept = min(CRITICAL_RESERVE_SHARE * self.burst, room)
         if saved < 1 + kept:
             return False
         self.tokens[service] = saved - 1
         return True
 
-    def put_back(self, service: ids.ServiceName) -> None:
+    def refund(self, service: ids.ServiceName) -> None:
         """Takes back a try that was taken and made no attempt."""
         saved = self.tokens.get(service, self.burst)
         self.tokens[service] = min(self.burst, saved + 1)
 
 
 def backoff(
-    base: float, attempt: int, remaining: float, dice: random.Random
+    base: float, attempt: int, remaining: float, rng: random.Random
 ) -> float | None:
     """Returns the wait before another try, in seconds, with full jitter.
 
@@ -100,7 +105,7 @@
       base: longest first wait, seconds; doubled with each attempt.
       attempt: tries made so far, from 1.
       remaining: time to the deadline less the time a try needs, seconds.
-      dice: the source of the jitter.
+      rng: the source of the jitter.
 
     Returns:
       The wait, always below `remaining`; None when no time is left.
@@ -108,5 +113,5 @@
     if remaining <= 0:
         return None
     doublings = min(max(attempt, 1) - 1, 30)
-    longest = min(base * 2**doublings, LONGEST_BACKOFF, remaining)
-    return dice.random() * longest
+    longest = min(base * 2**doublings, MAX_BACKOFF, remaining)
+    return rng.random() * longest
--- a/mangobay/retrying.py
+++ b/mangobay/retrypolicy.py
@@ -6,7 +6,7 @@
 Outcome = messages.Outcome
 Reason = messages.Reason
 
-REDIRECTS = frozenset(
+REDIRECT_REASONS = frozenset(
     {
         Reason.LEAVING,
         Reason.NOT_OWNER,
@@ -14,7 +14,7 @@
         Reason.CONNECTION_FAILED,
     }
 )
-RETRIED_REFUSALS = frozenset(
+RETRYABLE_REFUSALS = frozenset(
     {
         Reason.OVERLOADED,
         Reason.QUEUE_TIMEOUT,
@@ -23,28 +23,28 @@
         Reason.CONNECTION_FAILED,
     }
 )
-RETRIED_UNKNOWNS = frozenset(
+RETRYABLE_UNKNOWNS = frozenset(
     {Reason.CONNECTION_BROKEN, Reason.INCOMPLETE_ANSWER, Reason.INTERNAL}
 )
 """Only for idempotent calls."""
-FAILED = 500
+FAILED_STATUS = 500
 """Status of an answer that another backend server may not give."""
-QUICK_SHARE = 0.3
+FAST_FAILURE_SHARE = 0.3
 """Of the target latency: a try that begins later seldom ends within it."""
 
 
 def is_redirect(reply: messages.Reply) -> bool:
     """Returns whether the host cannot have touched the call."""
-    return reply.outcome is Outcome.NOT_RUN and reply.reason in REDIRECTS
+    return reply.outcome is Outcome.NOT_RUN and reply.reason in REDIRECT_REASONS
 
 
-def reached_backend(reply: messages.Reply) -> bool:
+def may_have_reached_backend(reply: messages.Reply) -> bool:
     """Returns whether a backend server may have seen the call."""
     refused = reply.outcome is Outcome.NOT_RUN
     return not refused or reply.reason is Reason.BACKEND_SHED
 
 
-def is_quick_failure(
+def is_fast_failure(
     request: calls.Request, reply: messages.Reply, seconds: float
 ) -> bool:
     """Returns whether a failed answer is worth another try.
@@ -55,11 +55,11 @@
     again, of a service that has just failed one.
     """
     operation = request.operation
-    if reply.status != FAILED or not operation.idempotent:
+    if reply.status != FAILED_STATUS or not operation.idempotent:
         return False
     if reply.called_below:
         return False
-    return seconds < QUICK_SHARE * operation.target_ms / 1000
+    return seconds < FAST_FAILURE_SHARE * operation.target_ms / 1000
 
 
 def may_retry(request: calls.Request, reply: messages.Reply) -> bool:
@@ -70,5 +70,5 @@
     """
     if reply.outcome == Outcome.NOT_RUN:
         refused_below = reply.below > reply.threshold
-        return reply.reason in RETRIED_REFUSALS and not refused_below
-    return request.operation.idempotent and reply.reason in RETRIED_UNKNOWNS
+        return reply.reason in RETRYABLE_REFUSALS and not refused_below
+    return request.operation.idempotent and reply.reason in RETRYABLE_UNKNOWNS
--- a/mangobay/routednode.py
+++ b/mangobay/routednode.py
@@ -92,7 +92,7 @@
             self.dialect.vocabulary,
             ids.ServiceName(config.backend.service),
             self.serving.run_of,
-            self.entry,
+            self.dispatcher,
             self.metrics,
             decisions.DecisionLog(),
             self.serving.departure,
@@ -140,7 +140,7 @@
         await self.peer_listener.start()
         for listener in self.listeners:
             await listener.start()
-        self.control.views.subscribe(self.router.update)
+        self.control.views.subscribe(self.router.update_views)
         self.control.views.subscribe(self.share_slack)
         self.control.routes.subscribe(self.take_routes)
         self.control.draining.subscribe(self.drained)
@@ -153,7 +153,7 @@
     ) -> None:
         """Takes the number of nodes from the views."""
         nodes = sum(len(view.members) for view in views.values())
-        self.entry.tools.ratio.share_slack(nodes)
+        self.dispatcher.dependencies.retry_budget.set_node_count(nodes)
 
     def take_routes(self, change: messages.RoutesChange) -> None:
         """Puts a routes document in force."""
--- a/mangobay/routing.py
+++ b/mangobay/routing.py
@@ -6,36 +6,36 @@
 import random
 import typing
 
-from mangobay import crossings, errors, hosts, ids, levels, logs
+from mangobay import errors, hosts, ids, levels, logs, remotetraffic
 from mangobay.generated import messages, settings
 
-MOST_LOOKED_AT = 64
+MAX_SCANNED_HOSTS = 64
 """Hosts; bounds the time of a pick in a large service in trouble."""
-SPILL_SHEDS = 0.5
+SPILL_SHED_RATE = 0.5
 """Share of sheds from which on a call tries the other data centres."""
 SPILL_LOAD = 0.8
 """Share of its limit in use from which on a near host may be passed over: a
 little before its calls begin to wait, or callers of the worst served data centre
 wait while other hosts stand idle."""
-FAR_MARGIN = 0.2
+REMOTE_LOAD_MARGIN = 0.2
 """A far host must be less loaded by this much: the way there takes longer."""
-FAR_MARGIN_A_KB = 0.1
+REMOTE_LOAD_MARGIN_PER_KB = 0.1
 """The same for each 1,000 bytes of the answer, which cross to another data
 centre: large answers cost more there than a wait near by is worth."""
-FAILING_MARGIN = 0.05
+FAILURE_RATE_MARGIN = 0.05
 """A host is passed over for one where this share fewer of the calls fail: one
 in twenty is above what a handful of broken answers makes of the share."""
-FAILING_MARGIN_A_KB = 0.03
+FAILURE_RATE_MARGIN_PER_KB = 0.03
 """The same for each 1,000 bytes of the answer, towards another data centre."""
-FAILING_NOISE = 0.25
+FAILURE_RATE_NOISE = 0.25
 """Two deviations of the difference of two shares, over the root of
 share x (1 - share): where half of all calls fail everywhere, two shares differ
 by a tenth without any reason."""
-FAILING_COST = 8.0
+FAILURE_PENALTY = 8.0
 """A host where every call fails counts as this much busier among its like."""
 PROBE_SHARE = 0.02
 """Share of the calls that go on although every threshold is above them."""
-SHORTEST_RETRY_AFTER = 0.05
+MIN_RETRY_AFTER = 0.05
 """Seconds."""
 ANY_OPERATION = ids.OperationName("")
 
@@ -43,18 +43,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Choice:
+class PickCriteria:
     """What one pick looks for.
 
     Attributes:
-      excluding: hosts already tried.
+      excluded: hosts already tried.
       level: of the call.
       idempotent: may probe.
       now: loop time.
       operation: what is called.
     """
 
-    excluding: typing.AbstractSet[ids.HostId]
+    excluded: typing.AbstractSet[ids.HostId]
     level: int
     idempotent: bool
     now: float
@@ -90,18 +90,18 @@
         self,
         routing: settings.NodeRouting,
         admission: settings.NodeAdmission,
-        home: ids.DataCentre,
-        dice: random.Random,
+        data_centre: ids.DataCentre,
+        rng: random.Random,
     ):
         self.settings = routing
         self.early_refusal = admission.early_refusal
         self.by_importance = admission.by_importance
         self.reopen_time = admission.reopen_time
-        self.home = home
-        self.dice = dice
+        self.data_centre = data_centre
+        self.rng = rng
         self.services: dict[ids.ServiceName, hosts.ServiceHosts] = {}
 
-    def update(
+    def update_views(
         self, views: dict[ids.ServiceName, messages.ServiceView]
     ) -> None:
         """Takes the views as committed by the control group."""
@@ -111,14 +111,14 @@
         for service, view in views.items():
             if service not in self.services:
                 self.services[service] = hosts.ServiceHosts(
-                    self.settings, self.home
+                    self.settings, self.data_centre
                 )
             self.services[service].update(view, now)
 
     def pick(
         self,
         service: ids.ServiceName,
-        excluding: typing.AbstractSet[ids.HostId],
+        excluded: typing.AbstractSet[ids.HostId],
         importance: messages.Importance,
         depth: int,
         *,
@@ -130,7 +130,7 @@
 
         Args:
           service: the service called.
-          excluding: hosts already tried for this call.
+          excluded: hosts already tried for this call.
           importance: of the call tree.
           depth: hops from the first node.
           operation: what is called.
@@ -142,24 +142,29 @@
           EarlyRefusalError: the call would be refused wherever it went.
         """
         known = self.services.get(service)
-        if known is None or not known.near:
+        if known is None or not known.local_hosts:
             raise NoHostError(f"no host serves {service}")
         now = asyncio.get_running_loop().time()
         level = self.level(importance, tree)
-        choice = Choice(excluding, level, idempotent, now, operation)
-        below = known.below_at(operation, now, self.reopen_time)
+        choice = PickCriteria(excluded, level, idempotent, now, operation)
+        below = known.downstream_threshold_at(operation, now, self.reopen_time)
         if below > level:
-            self.refuse_early(below, choice)
-        return self.choose(known, choice).member
+            self.maybe_refuse_early(below, choice)
+        return self.choose_host(known, choice).member
 
-    def began(self, service: ids.ServiceName, host: ids.HostId) -> None:
+    def record_call_start(
+        self, service: ids.ServiceName, host: ids.HostId
+    ) -> None:
         """Counts a call sent to the host."""
-        found = self.find(service, host)
+        found = self.find_host(service, host)
         if found:
             found.outstanding += 1
 
-    def ended(
-        self, service: ids.ServiceName, host: ids.HostId, seen: Observation
+    def record_call_end(
+        self,
+        service: ids.ServiceName,
+        host: ids.HostId,
+        observation: Observation,
     ) -> None:
         """Learns from a call that began; every one must end here.
 
@@ -168,51 +173,54 @@
         no calls in flight then, so they are told by that.
         """
         known = self.services.get(service)
-        found = known.known.get(host) if known else None
+        found = known.hosts.get(host) if known else None
         if found is None or not found.outstanding:
             return
         now = asyncio.get_running_loop().time()
         found.outstanding -= 1
-        found.observe(seen, now)
-        known.observe_below(seen, now)
-        if seen.reason in hosts.GONE_REASONS and not found.member.leaving:
-            known.gone(found)
-        self.judge(known, service, host, seen, now)
-
-    def judge(
+        found.observe(observation, now)
+        known.observe_operation(observation, now)
+        if (
+            observation.reason in hosts.LEAVING_REASONS
+            and not found.member.leaving
+        ):
+            known.mark_leaving(found)
+        self.update_ejection(known, service, host, observation, now)
+
+    def update_ejection(
         self,
         known: hosts.ServiceHosts,
         service: ids.ServiceName,
         host: ids.HostId,
-        seen: Observation,
+        observation: Observation,
         now: float,
     ) -> None:
         """Ejects a host that keeps failing, or takes it back."""
-        answered = seen.outcome == messages.Outcome.ANSWERED
-        if answered and not known.ejection.records:
+        answered = observation.outcome == messages.Outcome.ANSWERED
+        if answered and not known.outliers.records:
             return
-        if hosts.is_failure(seen):
-            if known.ejection.failed(host, now):
-                self.say("host ejected", service, host)
-        elif seen.outcome == messages.Outcome.UNKNOWN:
+        if hosts.is_failure(observation):
+            if known.outliers.record_failure(host, now):
+                self.log_host_change("host ejected", service, host)
+        elif observation.outcome == messages.Outcome.UNKNOWN:
             return
-        elif known.ejection.succeeded(host):
-            known.known[host].since = now
-            known.known[host].failures.clear()
-            self.say("host back", service, host)
+        elif known.outliers.record_success(host):
+            known.hosts[host].first_seen_at = now
+            known.hosts[host].failure_rates.clear()
+            self.log_host_change("host back", service, host)
 
-    def say(
+    def log_host_change(
         self, sentence: str, service: ids.ServiceName, host: ids.HostId
     ) -> None:
         """Logs a change of a host's state; rare, by the time out of use."""
         logs.say(logs.Part.ROUTING, sentence, service=service, host=host)
 
-    def find(
+    def find_host(
         self, service: ids.ServiceName, host: ids.HostId
     ) -> hosts.Host | None:
         """Returns what is known of a host of a service."""
         known = self.services.get(service)
-        return known.known.get(host) if known else None
+        return known.hosts.get(host) if known else None
 
     def level(self, importance: messages.Importance, tree: str) -> int:
         """Returns the level of a call, as the called host will see it."""
@@ -220,10 +228,10 @@
             importance = messages.Importance.NORMAL
         return levels.level_of(importance, tree)
 
-    def choose(
+    def choose_host(
         self,
         known: hosts.ServiceHosts,
-        choice: Choice,
+        choice: PickCriteria,
     ) -> hosts.Host:
         """Returns a host to probe, else a near one, else a far one.
 
@@ -231,31 +239,33 @@
           NoHostError: all are excluded or ejected.
           EarlyRefusalError: all refuse calls of this level.
         """
-        if choice.idempotent and known.ejection.records:
-            due = known.due(choice.excluding, choice.now)
+        if choice.idempotent and known.outliers.records:
+            due = known.find_probe_due(choice.excluded, choice.now)
             if due:
-                known.ejection.probe(due.member.host, choice.now)
+                known.outliers.start_probe(due.member.host, choice.now)
                 return due
-        near = self.draw(known, known.near, choice)
-        if near and self.is_fine(near, choice):
-            if not near.carried:
+        near = self.pick_of_two(known, known.local_hosts, choice)
+        if near and self.is_good_enough(near, choice):
+            if not near.remote_bytes_per_run:
                 return near
-            return self.with_less_crossing(known, near, choice)
-        far = self.draw(known, known.far, choice)
-        if far and self.has_room(far, choice):
-            if near is None or not self.has_room(near, choice):
+            return self.reduce_remote_traffic(known, near, choice)
+        far = self.pick_of_two(known, known.remote_hosts, choice)
+        if far and self.has_capacity(far, choice):
+            if near is None or not self.has_capacity(near, choice):
                 return far
-            if self.is_better(known, far, near, choice):
+            if self.is_remote_better(known, far, near, choice):
                 return far
         fallback = near or far
         if fallback is None:
             raise NoHostError("every host was tried or is out of use")
         if self.threshold(fallback, choice.now) > choice.level:
-            self.refuse_early(self.threshold(fallback, choice.now), choice)
+            self.maybe_refuse_early(
+                self.threshold(fallback, choice.now), choice
+            )
         return fallback
 
-    def with_less_crossing(
-        self, known: hosts.ServiceHosts, near: hosts.Host, choice: Choice
+    def reduce_remote_traffic(
+        self, known: hosts.ServiceHosts, near: hosts.Host, choice: PickCriteria
     ) -> hosts.Host:
         """Returns a far host where the calls of the run stay near, or `near`.
 
@@ -263,30 +273,35 @@
         a run crosses; the run itself crosses once.
         """
         now, operation = choice.now, choice.operation
-        carried = near.crossing(operation, now)
-        answer = known.sizes.get(operation, 0.0)
-        if not crossings.pays(carried, 0.0, answer):
+        carried = near.remote_bytes_at(operation, now)
+        answer = known.response_sizes.get(operation, 0.0)
+        if not remotetraffic.should_move_run(carried, 0.0, answer):
             return near
-        far = self.draw(known, known.far, choice)
-        if far is None or not self.is_fine(far, choice):
+        far = self.pick_of_two(known, known.remote_hosts, choice)
+        if far is None or not self.is_good_enough(far, choice):
             return near
-        elsewhere = far.crossing(operation, now)
-        return far if crossings.pays(carried, elsewhere, answer) else near
+        elsewhere = far.remote_bytes_at(operation, now)
+        return (
+            far
+            if remotetraffic.should_move_run(carried, elsewhere, answer)
+            else near
+        )
 
-    def is_fine(self, host: hosts.Host, choice: Choice) -> bool:
+    def is_good_enough(self, host: hosts.Host, choice: PickCriteria) -> bool:
         """Returns whether no other host need be looked at."""
         return (
-            self.has_room(host, choice)
+            self.has_capacity(host, choice)
             and host.load_at(choice.now) < SPILL_LOAD
-            and host.failing(choice.operation, choice.now) < FAILING_MARGIN
+            and host.failure_rate_at(choice.operation, choice.now)
+            < FAILURE_RATE_MARGIN
         )
 
-    def is_better(
+    def is_remote_better(
         self,
         known: hosts.ServiceHosts,
         far: hosts.Host,
         near: hosts.Host,
-        choice: Choice,
+        choice: PickCriteria,
     ) -> bool:
         """Returns whether a far host serves the caller enough better.
 
@@ -294,28 +309,30 @@
         the other way round.
         """
         now = choice.now
-        kilobytes = known.sizes.get(choice.operation, 0.0) / 1000
-        share = near.failing(choice.operation, now)
-        fails_less = share - far.failing(choice.operation, now)
+        kilobytes = known.response_sizes.get(choice.operation, 0.0) / 1000
+        share = near.failure_rate_at(choice.operation, now)
+        fails_less = share - far.failure_rate_at(choice.operation, now)
         waits_less = near.load_at(now) - far.load_at(now)
-        margin = FAILING_MARGIN + FAILING_MARGIN_A_KB * kilobytes
-        margin += FAILING_NOISE * math.sqrt(share * (1 - share))
+        margin = FAILURE_RATE_MARGIN + FAILURE_RATE_MARGIN_PER_KB * kilobytes
+        margin += FAILURE_RATE_NOISE * math.sqrt(share * (1 - share))
         if fails_less >= margin:
             return far.load_at(now) < 1.0 or waits_less > 0
         full = near.load_at(now) >= SPILL_LOAD
-        margin = FAR_MARGIN + FAR_MARGIN_A_KB * kilobytes
-        return full and waits_less > margin and fails_less >= -FAILING_MARGIN
+        margin = REMOTE_LOAD_MARGIN + REMOTE_LOAD_MARGIN_PER_KB * kilobytes
+        return (
+            full and waits_less > margin and fails_less >= -FAILURE_RATE_MARGIN
+        )
 
-    def has_room(self, host: hosts.Host, choice: Choice) -> bool:
+    def has_capacity(self, host: hosts.Host, choice: PickCriteria) -> bool:
         """Returns whether the call need not spill over from this host."""
-        if not host.threshold and not host.sheds:
+        if not host.threshold and not host.shed_rate:
             return True
         if self.threshold(host, choice.now) > choice.level:
             return False
-        sheds = host.sheds_at(choice.now, self.reopen_time)
-        return sheds < SPILL_SHEDS
+        sheds = host.shed_rate_at(choice.now, self.reopen_time)
+        return sheds < SPILL_SHED_RATE
 
-    def refuse_early(self, threshold: int, choice: Choice) -> None:
+    def maybe_refuse_early(self, threshold: int, choice: PickCriteria) -> None:
         """Refuses a call below a threshold of every host, but for a few.
 
         Those few find out that a threshold fell, so that refusals end soon
@@ -324,21 +341,21 @@
         Raises:
           EarlyRefusalError: nearly always.
         """
-        if not self.early_refusal or self.dice.random() < PROBE_SHARE:
+        if not self.early_refusal or self.rng.random() < PROBE_SHARE:
             return
         share = (threshold - choice.level) / threshold
-        wait = max(SHORTEST_RETRY_AFTER, share * self.reopen_time)
-        raise EarlyRefusalError(wait * (0.5 + self.dice.random()), threshold)
+        wait = max(MIN_RETRY_AFTER, share * self.reopen_time)
+        raise EarlyRefusalError(wait * (0.5 + self.rng.random()), threshold)
 
     def threshold(self, host: hosts.Host, now: float) -> int:
         """Returns what the host admits now, as far as is known."""
         return host.threshold_at(now, self.reopen_time)
 
-    def draw(
+    def pick_of_two(
         self,
         known: hosts.ServiceHosts,
         group: list[hosts.Host],
-        choice: Choice,
+        choice: PickCriteria,
     ) -> hosts.Host | None:
         """Returns the less busy of two random hosts that admit the call.
 
@@ -348,70 +365,72 @@
         count = len(group)
         if not count:
             return None
-        place = int(self.dice.random() * count)
+        place = int(self.rng.random() * count)
         first = group[place]
-        if count == 1 or not self.fits(known, first, choice):
-            return self.look_through(known, group, choice)
+        if count == 1 or not self.is_eligible(known, first, choice):
+            return self.scan_hosts(known, group, choice)
         if self.settings.policy == "random":
             return first
-        place += 1 + int(self.dice.random() * (count - 1))
+        place += 1 + int(self.rng.random() * (count - 1))
         second = group[place % count]
-        if not self.fits(known, second, choice):
-            return self.look_through(known, group, choice)
+        if not self.is_eligible(known, second, choice):
+            return self.scan_hosts(known, group, choice)
         return self.less_busy(first, second, choice)
 
     def less_busy(
-        self, first: hosts.Host, second: hosts.Host, choice: Choice
+        self, first: hosts.Host, second: hosts.Host, choice: PickCriteria
     ) -> hosts.Host:
         """Returns the host with the lower score."""
         slow_start = self.settings.slow_start
         now = choice.now
         score = first.score(first.ramp(now, slow_start))
         other = second.score(second.ramp(now, slow_start))
-        fails_more = first.failing(choice.operation, now) - second.failing(
+        fails_more = first.failure_rate_at(
             choice.operation, now
-        )
+        ) - second.failure_rate_at(choice.operation, now)
         # Hosts that fail about equally often share the calls: by every small
         # difference the better of two would get all of them.
-        if fails_more >= FAILING_MARGIN:
-            score *= 1 + FAILING_COST * fails_more
-        elif fails_more <= -FAILING_MARGIN:
-            other *= 1 - FAILING_COST * fails_more
+        if fails_more >= FAILURE_RATE_MARGIN:
+            score *= 1 + FAILURE_PENALTY * fails_more
+        elif fails_more <= -FAILURE_RATE_MARGIN:
+            other *= 1 - FAILURE_PENALTY * fails_more
         return first if score <= other else second
 
-    def fits(
-        self, known: hosts.ServiceHosts, host: hosts.Host, choice: Choice
+    def is_eligible(
+        self, known: hosts.ServiceHosts, host: hosts.Host, choice: PickCriteria
     ) -> bool:
         """Returns whether the host is usable, warm and admits the call."""
-        if not known.usable(host, choice.excluding, choice.now):
+        if not known.is_usable(host, choice.excluded, choice.now):
             return False
         ramp = host.ramp(choice.now, self.settings.slow_start)
-        if ramp < 1.0 and self.dice.random() >= ramp:
+        if ramp < 1.0 and self.rng.random() >= ramp:
             return False
         if not host.threshold:
             return True
         return self.threshold(host, choice.now) <= choice.level
 
-    def look_through(
+    def scan_hosts(
         self,
         known: hosts.ServiceHosts,
         group: list[hosts.Host],
-        choice: Choice,
+        choice: PickCriteria,
     ) -> hosts.Host | None:
         """Does what draw does where a host drawn first does not fit.
 
         It looks at no more than MOST_LOOKED_AT hosts, from a random one on.
         """
-        start = int(self.dice.random() * len(group))
-        looked = (group[start:] + group[:start])[:MOST_LOOKED_AT]
+        start = int(self.rng.random() * len(group))
+        looked = (group[start:] + group[:start])[:MAX_SCANNED_HOSTS]
         usable = [
             host
             for host in looked
-            if known.usable(host, choice.excluding, choice.now)
+            if known.is_usable(host, choice.excluded, choice.now)
+        ]
+        fitting = [
+            host for host in usable if self.is_eligible(known, host, choice)
         ]
-        fitting = [host for host in usable if self.fits(known, host, choice)]
         if len(fitting) > 1:
-            first, second = self.dice.sample(fitting, 2)
+            first, second = self.rng.sample(fitting, 2)
             return self.less_busy(first, second, choice)
         if fitting:
             return fitting[0]
--- a/mangobay/serving.py
+++ b/mangobay/serving.py
@@ -11,7 +11,6 @@
     announcements,
     backend,
     calls,
-    crossings,
     departure,
     errors,
     fields,
@@ -19,7 +18,8 @@
     invariants,
     logs,
     options,
-    tries,
+    remotetraffic,
+    retryallowance,
 )
 from mangobay.generated import messages
 
@@ -33,7 +33,7 @@
 
 Outcome = messages.Outcome
 Reason = messages.Reason
-CANCELLED = calls.unknown(Reason.CANCELLED)
+CANCELLED = calls.unknown_reply(Reason.CANCELLED)
 """What is known of a call until its reply comes; never handed out."""
 Execute = collections.abc.Callable[
     [backend.Gate | None], collections.abc.Awaitable[messages.Reply]
@@ -71,7 +71,7 @@
       parents: calls that run at the backend server, by id.
       started: tasks of non-idempotent calls without a key.
       entered: calls that have not been replied to.
-      crossings: what the calls of runs here carry to other data centres.
+      remote_traffic: what the calls of runs here carry to other data centres.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self.parents: dict[ids.CallId, calls.Parent] = {}
         self.started: set[asyncio.Task] = set()
         self.entered = 0
-        self.crossings = crossings.Crossings()
+        self.remote_traffic = remotetraffic.RemoteTraffic()
 
     @property
     def idle(self) -> bool:
@@ -105,16 +105,18 @@
         """
         place = self.served.find(call.service)
         if self.leaving:
-            return self.refuse(call, place, calls.not_run(Reason.LEAVING))
+            return self.refuse(call, place, calls.not_run_reply(Reason.LEAVING))
         if place is None:
-            return self.refuse(call, place, calls.not_run(Reason.NO_BACKEND))
+            return self.refuse(
+                call, place, calls.not_run_reply(Reason.NO_BACKEND)
+            )
         if not call.deadline_ms:
-            late = calls.not_run(Reason.DEADLINE_EXCEEDED)
+            late = calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
             return self.refuse(call, place, late)
         deadline = asyncio.get_running_loop().time() + call.deadline_ms / 1000
         if not self.departure.outlasts(deadline):
-            return self.refuse(call, place, calls.not_run(Reason.LEAVING))
-        grant = tries.Grant(call.tries)
+            return self.refuse(call, place, calls.not_run_reply(Reason.LEAVING))
+        grant = retryallowance.RetryAllowance(call.tries)
         execute = functools.partial(self.execute, call, place, grant, deadline)
         self.entered += 1
         try:
@@ -155,7 +157,9 @@
             reply.inflight = place.admission.load
             reply.limit = place.admission.limit
             now = asyncio.get_running_loop().time()
-            reply.crossing = self.crossings.per_run(call.operation, now)
+            reply.crossing = self.remote_traffic.bytes_per_run(
+                call.operation, now
+            )
         return reply
 
     async def serve_started(
@@ -185,7 +189,7 @@
         try:
             return dataclasses.replace(await waiting)
         except asyncio.CancelledError:
-            return calls.unknown(Reason.DEADLINE_EXCEEDED)
+            return calls.unknown_reply(Reason.DEADLINE_EXCEEDED)
 
     async def serve_unkeyed(
         self, execute: Execute, deadline: float
@@ -209,17 +213,17 @@
         if task.done():
             return task.result()
         if started.is_set():
-            return calls.unknown(Reason.DEADLINE_EXCEEDED)
+            return calls.unknown_reply(Reason.DEADLINE_EXCEEDED)
         # A cancelled task does not reach its gate any more, so that what is
         # said here stays true.
         task.cancel()
-        return calls.not_run(Reason.DEADLINE_EXCEEDED)
+        return calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
 
     async def execute(
         self,
         call: messages.Call,
         place: announcements.Served,
-        grant: tries.Grant,
+        grant: retryallowance.RetryAllowance,
         deadline: float,
         gate: backend.Gate | None,
     ) -> messages.Reply:
@@ -240,12 +244,12 @@
         try:
             permit = await place.admission.acquire(ticket)
         except admissionrequest.ShedError as shed:
-            return calls.not_run(shed.reason, shed.retry_after)
-        running = tries.Running(grant)
+            return calls.not_run_reply(shed.reason, shed.retry_after)
+        running = retryallowance.RunningCall(grant)
         self.parents[call.call_id] = calls.Parent(
             call=call,
             deadline=deadline,
-            running=running,
+            running_call=running,
         )
         attempt = backend.Attempt(gate)
         began = asyncio.get_running_loop().time()
@@ -255,15 +259,15 @@
         finally:
             del self.parents[call.call_id]
             now = asyncio.get_running_loop().time()
-            self.crossings.ended(call.operation, now)
+            self.remote_traffic.record_run_end(call.operation, now)
             permit.release(
                 now - began,
                 ok=is_whole(reply),
-                child_wait_seconds=running.awaited_at(now),
+                child_wait_seconds=running.child_wait_seconds_at(now),
                 backend_shed=reply.reason == Reason.BACKEND_SHED,
-                downstream_threshold=running.below,
+                downstream_threshold=running.downstream_threshold,
             )
-        reply.called_below = running.awaited > 0
+        reply.called_below = running.child_wait_seconds > 0
         invariants.check(
             invariants.Promise.NOT_RUN_IS_TRUE,
             reply.outcome != Outcome.NOT_RUN
@@ -277,7 +281,7 @@
         self,
         call: messages.Call,
         place: announcements.Served,
-        running: tries.Running,
+        running: retryallowance.RunningCall,
         attempt: backend.Attempt,
         deadline: float,
     ) -> messages.Reply:
@@ -300,15 +304,15 @@
             return broken(error, attempt)
         except errors.InvariantError as error:
             logs.say(logs.Part.CALL, "stopped", why=str(error))
-            return calls.unknown(Reason.INTERNAL)
+            return calls.unknown_reply(Reason.INTERNAL)
         return self.reply_of(answer, running)
 
     def reply_of(
-        self, answer: backend.Answer, running: tries.Running
+        self, answer: backend.Answer, running: retryallowance.RunningCall
     ) -> messages.Reply:
         """Returns the reply that says what a backend server answered."""
-        if answer.shed and not running.attempts:
-            return calls.not_run(Reason.BACKEND_SHED)
+        if answer.shed and not running.child_attempts:
+            return calls.not_run_reply(Reason.BACKEND_SHED)
         # A backend server may pass the refusal of a deeper service on as its
         # own. After child calls some of its work was done, so its word that
         # nothing ran does not count, and the answer is its answer.
@@ -375,5 +379,5 @@
         case _:
             reason = Reason.CONNECTION_FAILED
     if attempt.sent:
-        return calls.unknown(reason)
-    return calls.not_run(reason)
+        return calls.unknown_reply(reason)
+    return calls.not_run_reply(reason)
--- a/mangobay/tenure.py
+++ b/mangobay/tenure.py
@@ -105,7 +105,9 @@
             started = record.state is records.State.STARTED
             if started and runner_of(record) not in alive:
                 reason = messages.Reason.OWNER_CHANGED
-                record.settle(records.State.UNKNOWN, calls.unknown(reason))
+                record.settle(
+                    records.State.UNKNOWN, calls.unknown_reply(reason)
+                )
 
     def merge(self, entry: messages.OnceEntry, now: float) -> None:
         """Takes in what another process knows of a key.
--- a/tests/fakechain.py
+++ b/tests/fakechain.py
@@ -26,19 +26,19 @@
     """A backend server with slots, its admission, and the next service.
 
     Attributes:
-      seconds: own time of a call without strain.
-      slow: times that the own time takes now.
-      busy: own seconds spent, by call tree.
+      service_seconds: own time of a call without strain.
+      slowdown: times that the own time takes now.
+      busy_seconds: own seconds spent, by call tree.
     """
 
     def __init__(
         self,
         slots: int,
-        seconds: float,
+        service_seconds: float,
         child: "FakeService | None" = None,
         **changes,
     ):
-        self.dice = random.Random(fakes.SEED)
+        self.rng = random.Random(fakes.SEED)
         self.admission = admission.AdmissionController(
             fakes.section("admission", **changes),
             fakes.section("retries"),
@@ -46,10 +46,10 @@
             random.Random(fakes.SEED),
         )
         self.admission.set_slots(slots)
-        self.seconds = seconds
+        self.service_seconds = service_seconds
         self.child = child
-        self.slow = 1.0
-        self.busy: collections.Counter = collections.Counter()
+        self.slowdown = 1.0
+        self.busy_seconds: collections.Counter = collections.Counter()
 
     async def call(self, ticket: admissionrequest.AdmissionRequest) -> None:
         """Runs a call; raises what refuses it."""
@@ -58,9 +58,13 @@
         began = loop.time()
         awaited = 0.0
         try:
-            spent = self.seconds * self.slow * self.dice.uniform(0.5, 1.5)
+            spent = (
+                self.service_seconds
+                * self.slowdown
+                * self.rng.uniform(0.5, 1.5)
+            )
             await asyncio.sleep(spent)
-            self.busy[ticket.tree] += spent
+            self.busy_seconds[ticket.tree] += spent
             middle = loop.time()
             await self.call_child(ticket)
             awaited = loop.time() - middle
@@ -94,26 +98,26 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Kind:
+class CallerGroup:
     """One kind of callers.
 
     Attributes:
       importance: of their calls.
       rate: calls a second, open loop.
-      repeats: how often a refused call is made again.
+      max_retries: how often a refused call is made again.
       clients: number of callers that share the rate.
-      patience: seconds until the deadline.
+      timeout_seconds: seconds until the deadline.
     """
 
     importance: messages.Importance
     rate: float
-    repeats: int = 0
+    max_retries: int = 0
     clients: int = 200
-    patience: float = 1.0
+    timeout_seconds: float = 1.0
     name: str = "reader"
 
 
-class Load:
+class LoadGenerator:
     """Callers of one service.
 
     Attributes:
@@ -121,50 +125,50 @@
       answered: whole requests by kind and second of their arrival.
       attempts: calls made, repeats included.
       refused: attempts that failed, by reason.
-      wasted: backend server seconds of attempts that failed.
+      wasted_seconds: backend server seconds of attempts that failed.
     """
 
     def __init__(self, chain: list[FakeService]):
         self.chain = chain
         self.service = chain[0]
-        self.dice = random.Random(fakes.SEED)
+        self.rng = random.Random(fakes.SEED)
         self.sent: collections.Counter = collections.Counter()
         self.answered: collections.Counter = collections.Counter()
         self.attempts = 0
         self.refused: collections.Counter = collections.Counter()
-        self.wasted = 0.0
+        self.wasted_seconds = 0.0
 
-    async def run(self, kinds: list[Kind], until: float) -> None:
+    async def run(self, kinds: list[CallerGroup], until: float) -> None:
         """Sends all kinds until this loop time, then waits for the rest."""
         async with asyncio.TaskGroup() as group:
             for kind in kinds:
                 group.create_task(self.send(kind, until))
 
-    async def send(self, kind: Kind, until: float) -> None:
+    async def send(self, kind: CallerGroup, until: float) -> None:
         """Sends one kind."""
         loop = asyncio.get_running_loop()
         async with asyncio.TaskGroup() as group:
             while loop.time() < until:
-                await asyncio.sleep(self.dice.expovariate(kind.rate))
+                await asyncio.sleep(self.rng.expovariate(kind.rate))
                 group.create_task(self.request(kind))
 
-    async def request(self, kind: Kind) -> None:
+    async def request(self, kind: CallerGroup) -> None:
         """One request with its repeats, up to its deadline."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         second = int(now)
         self.sent[kind.name, second] += 1
-        number = self.dice.randrange(kind.clients)
+        number = self.rng.randrange(kind.clients)
         client = ids.ClientId(f"{kind.name}-{number}")
-        tree = str(self.dice.random())
+        tree = str(self.rng.random())
         ticket = admissionrequest.AdmissionRequest(
             importance=kind.importance,
             depth=0,
-            deadline=now + kind.patience,
+            deadline=now + kind.timeout_seconds,
             client=client,
             tree=tree,
         )
-        for _ in range(1 + kind.repeats):
+        for _ in range(1 + kind.max_retries):
             if await self.attempt(ticket):
                 self.answered[kind.name, second] += 1
                 return
@@ -175,15 +179,15 @@
     async def attempt(self, ticket: admissionrequest.AdmissionRequest) -> bool:
         """One attempt; returns whether it was answered in time."""
         self.attempts += 1
-        spent = self.spent(ticket.tree)
+        spent = self.spent_seconds(ticket.tree)
         if await self.is_answered(ticket):
             return True
-        self.wasted += self.spent(ticket.tree) - spent
+        self.wasted_seconds += self.spent_seconds(ticket.tree) - spent
         return False
 
-    def spent(self, tree: str) -> float:
+    def spent_seconds(self, tree: str) -> float:
         """Returns the backend server seconds that a call tree took."""
-        return sum(service.busy[tree] for service in self.chain)
+        return sum(service.busy_seconds[tree] for service in self.chain)
 
     async def is_answered(
         self, ticket: admissionrequest.AdmissionRequest
@@ -203,7 +207,7 @@
             return False
         return True
 
-    def share(self, name: str, first: int, last: int) -> float:
+    def success_rate(self, name: str, first: int, last: int) -> float:
         """Returns the answered share of requests sent in these seconds."""
         seconds = range(first, last)
         sent = sum(self.sent[name, second] for second in seconds)
--- a/tests/test_entry.py
+++ b/tests/test_dispatch.py
@@ -9,26 +9,26 @@
 from mangobay import (
     announcements,
     calls,
-    crossings,
-    entry,
+    dispatch,
     errors,
     fields,
     inflight,
     options,
-    ratio,
+    remotetraffic,
+    retryallowance,
+    retrybudget,
     routing,
     serving,
     slots,
     traces,
-    tries,
 )
 from mangobay.generated import messages, settings
 
 Outcome = messages.Outcome
 Reason = messages.Reason
-ME = calls.Process("me", "centre", "run-1")
+PROCESS = calls.Process("me", "centre", "run-1")
 HOSTS = ("a", "b", "c", "d", "e", "f")
-NEXT = {"a": "b", "b": "a"}
+OTHER_HOST = {"a": "b", "b": "a"}
 
 
 def defaults(cls, chosen, **given):
@@ -38,21 +38,21 @@
 
 
 def address(host: str) -> options.Address:
-    places = [*HOSTS, ME.host]
+    places = [*HOSTS, PROCESS.host]
     return options.Address("127.0.0.1", 1000 + places.index(host))
 
 
-class Hosts:
+class ScriptedTransport:
     """A transport; `script` answers each attempt, by host and number."""
 
     def __init__(self, script):
         self.script = script
-        self.asked: list[str] = []
+        self.asked_hosts: list[str] = []
         self.calls: list[messages.Call] = []
 
     async def ask(self, where, body, timeout):
         host = HOSTS[where.port - 1000]
-        self.asked.append(host)
+        self.asked_hosts.append(host)
         self.calls.append(body)
         reply = self.script(host, body)
         if isinstance(reply, Exception):
@@ -85,7 +85,7 @@
 
 
 def make_entry(script, names=HOSTS, **retries):
-    hosts = Hosts(script)
+    hosts = ScriptedTransport(script)
     dice = random.Random(7)
     views = Views(names)
     router = routing.Router(
@@ -94,23 +94,23 @@
         "centre",
         dice,
     )
-    router.update(views.value)
+    router.update_views(views.value)
     section = defaults(
         settings.NodeRetries, settings.NODE_RETRIES_OPTIONS, **retries
     )
     served = announcements.Announcements(1, None, None)
-    tools = entry.Tools(
-        process=ME,
+    tools = dispatch.Dependencies(
+        process=PROCESS,
         router=router,
-        ratio=ratio.RetryRatio(section),
+        retry_budget=retrybudget.RetryBudget(section),
         transport=hosts,
-        serving=serving.Serving(ME, served, None, None),
+        serving=serving.Serving(PROCESS, served, None, None),
         lease=Lease(),
         views=views,
         tracer=traces.Tracer(),
-        dice=dice,
+        rng=dice,
     )
-    return entry.Entry(section, tools), hosts
+    return dispatch.Dispatcher(section, tools), hosts
 
 
 def make_request(idempotent=True, key="", granted=9, seconds=10.0):
@@ -128,7 +128,7 @@
         importance=messages.Importance.HIGH,
         depth=0,
         deadline=asyncio.get_running_loop().time() + seconds,
-        grant=tries.Grant(granted),
+        allowance=retryallowance.RetryAllowance(granted),
         key=key,
         trace=fields.new_trace(0),
     )
@@ -138,14 +138,14 @@
     """Returns a script in which every host refuses and hands tries back."""
 
     def script(host, call):
-        reply = calls.not_run(reason)
+        reply = calls.not_run_reply(reason)
         reply.tries_left = call.tries
         return reply
 
     return script
 
 
-def answered(host, call):
+def answer(host, call):
     return messages.Reply(outcome=Outcome.ANSWERED, tries_left=call.tries)
 
 
@@ -155,9 +155,9 @@
     def __init__(self, failing):
         self.served = self
         self.leaving = False
-        self.crossings = crossings.Crossings()
+        self.remote_traffic = remotetraffic.RemoteTraffic()
         self.failing = failing
-        self.asked = 0
+        self.served_calls = 0
 
     def find(self, service):
         del service
@@ -167,8 +167,8 @@
         )
 
     async def serve(self, call):
-        self.asked += 1
-        failed = self.failing and self.asked % self.failing == 0
+        self.served_calls += 1
+        failed = self.failing and self.served_calls % self.failing == 0
         return messages.Reply(
             outcome=Outcome.ANSWERED,
             status=500 if failed else 200,
@@ -193,11 +193,13 @@
         The backend server beside them fails one call in four; others of the
         service are well.  It has room, and so it was never passed over.
         """
-        made, _ = make_entry(answered, names=[*HOSTS[:5], ME.host], hop_tries=0)
-        own = made.tools.serving = OwnServing(failing)
+        made, _ = make_entry(
+            answer, names=[*HOSTS[:5], PROCESS.host], hop_tries=0
+        )
+        own = made.dependencies.serving = OwnServing(failing)
         for _ in range(200):
             await made.handle(make_request(granted=0))
-        assert fewest <= own.asked <= most
+        assert fewest <= own.served_calls <= most
 
 
 @pytest.mark.looptime
@@ -209,21 +211,21 @@
         request = make_request()
         reply = await made.handle(request)
         assert reply.reason == Reason.OVERLOADED
-        assert len(hosts.asked) == 5
-        assert len(set(hosts.asked)) == 5
-        assert request.grant.left == 9 - 4
+        assert len(hosts.asked_hosts) == 5
+        assert len(set(hosts.asked_hosts)) == 5
+        assert request.allowance.remaining == 9 - 4
 
     @pytest.mark.parametrize("granted", [0, 1, 2])
     async def test_attempts_never_exceed_the_grant(self, granted):
         made, hosts = make_entry(refused(), hop_tries=100)
         await made.handle(make_request(granted=granted))
-        assert len(hosts.asked) == 1 + granted
+        assert len(hosts.asked_hosts) == 1 + granted
 
     async def test_the_retry_ratio_ends_retries_of_a_dead_service(self):
         made, hosts = make_entry(refused(), burst=3, ratio=0)
         for _ in range(10):
             await made.handle(make_request())
-        assert len(hosts.asked) == 10 + 3
+        assert len(hosts.asked_hosts) == 10 + 3
 
     async def test_a_failing_service_gets_a_share_more(self):
         """Every call is refused, and each caller could go on eight times.
@@ -235,7 +237,7 @@
         for _ in range(20):
             await made.handle(make_request())
         # What the first request pays does not fit beside the burst.
-        assert len(hosts.asked) == 20 + 2 + 20 // 4 - 1
+        assert len(hosts.asked_hosts) == 20 + 2 + 20 // 4 - 1
 
     @pytest.mark.parametrize(("called", "attempts"), [(False, 2), (True, 1)])
     async def test_a_failure_of_the_services_below_is_not_repeated(
@@ -256,7 +258,7 @@
         request = make_request()
         request.operation.target_ms = 1000
         await made.handle(request)
-        assert len(hosts.asked) == attempts
+        assert len(hosts.asked_hosts) == attempts
 
     async def test_only_what_may_have_run_makes_its_calls_again(self):
         """A call is refused by a node, then breaks, then is answered.
@@ -265,7 +267,7 @@
         calls that it makes may have been made before.
         """
         ends = [
-            answered,
+            answer,
             lambda host, call: errors.PeerBrokenError("cut"),
             refused(),
         ]
@@ -295,7 +297,7 @@
         )
         reply = await made.handle(make_request(idempotent))
         assert reply.outcome == Outcome.UNKNOWN
-        assert len(hosts.asked) == attempts
+        assert len(hosts.asked_hosts) == attempts
 
     async def test_a_refusal_after_a_broken_attempt_is_not_told_as_not_run(
         self,
@@ -312,7 +314,7 @@
 
         made, hosts = make_entry(script)
         reply = await made.handle(make_request())
-        assert len(hosts.asked) == 3
+        assert len(hosts.asked_hosts) == 3
         assert reply.outcome == Outcome.UNKNOWN
         assert reply.reason == Reason.CONNECTION_BROKEN
 
@@ -320,7 +322,7 @@
         for reason in (Reason.DEADLINE_EXCEEDED, Reason.TRIES_EXHAUSTED):
             made, hosts = make_entry(refused(reason))
             await made.handle(make_request())
-            assert len(hosts.asked) == 1
+            assert len(hosts.asked_hosts) == 1
 
     async def test_a_host_that_did_nothing_costs_no_try(self):
         """Two of six hosts leave and one is dead while views lag.
@@ -328,11 +330,14 @@
         None of them touched the call, so it goes on without a try, even for
         an operation that has none; but not for ever.
         """
-        tired = [calls.not_run(Reason.LEAVING), calls.not_run(Reason.LEAVING)]
+        tired = [
+            calls.not_run_reply(Reason.LEAVING),
+            calls.not_run_reply(Reason.LEAVING),
+        ]
         tired.append(errors.PeerUnreachableError("dead"))
 
         def script(host, call):
-            return tired.pop() if tired else answered(host, call)
+            return tired.pop() if tired else answer(host, call)
 
         made, hosts = make_entry(script)
         request = make_request(idempotent=False, granted=0)
@@ -340,7 +345,7 @@
         assert reply.outcome == Outcome.ANSWERED
         made, hosts = make_entry(refused(Reason.LEAVING))
         await made.handle(make_request(idempotent=False, granted=0))
-        assert len(hosts.asked) == 1 + entry.MOST_REDIRECTS
+        assert len(hosts.asked_hosts) == 1 + dispatch.MAX_REDIRECTS
 
     async def test_a_try_without_a_host_left_is_given_back(self):
         """Both hosts of a service refuse a call that has nine extra tries.
@@ -352,9 +357,9 @@
         made, hosts = make_entry(refused(), names=HOSTS[:2], burst=3, ratio=0)
         request = make_request()
         await made.handle(request)
-        assert len(hosts.asked) == 2
-        assert request.grant.left == 9 - 1
-        assert made.tools.ratio.tokens["stock"] == 3 - 1
+        assert len(hosts.asked_hosts) == 2
+        assert request.allowance.remaining == 9 - 1
+        assert made.dependencies.retry_budget.tokens["stock"] == 3 - 1
 
     async def test_tries_given_down_come_back_once(self):
         def script(host, call):
@@ -363,12 +368,12 @@
         made, _ = make_entry(script)
         request = make_request(granted=8)
         await made.handle(request)
-        assert request.grant.left == 8
+        assert request.allowance.remaining == 8
         made, _ = make_entry(lambda host, call: None)
         request = make_request(granted=8, seconds=1)
         reply = await made.handle(request)
         assert reply.reason == Reason.DEADLINE_EXCEEDED
-        assert request.grant.left == 4
+        assert request.allowance.remaining == 4
 
 
 @pytest.mark.looptime
@@ -376,19 +381,19 @@
     """Keyed calls that must not run twice."""
 
     async def test_they_go_to_the_owner_of_the_key(self):
-        made, hosts = make_entry(answered)
+        made, hosts = make_entry(answer)
         request = make_request(idempotent=False, key="k1")
         await made.handle(request)
-        view = made.tools.views.value["stock"]
+        view = made.dependencies.views.value["stock"]
         owner = slots.owner(view, slots.slot_of("k1"))
-        assert hosts.asked == [owner.host]
+        assert hosts.asked_hosts == [owner.host]
         assert hosts.calls[0].key == "k1"
 
     @pytest.mark.parametrize("reason", [Reason.OVERLOADED, Reason.KEY_REUSED])
     async def test_the_owners_refusal_is_final(self, reason):
         made, hosts = make_entry(refused(reason))
         await made.handle(make_request(idempotent=False, key="k"))
-        assert len(hosts.asked) == 1
+        assert len(hosts.asked_hosts) == 1
 
     async def test_a_new_owner_is_looked_up_a_few_times(self):
         """The owner of a key changes while a booking is on its way.
@@ -398,33 +403,33 @@
         """
         made, hosts = make_entry(None, names=("a", "b"))
         request = make_request(idempotent=False, key="k")
-        view = made.tools.views.value["stock"]
+        view = made.dependencies.views.value["stock"]
         owner = slots.owner(view, slots.slot_of("k")).host
 
         def script(host, call):
             if host != owner:
-                return answered(host, call)
-            made.tools.views.value = Views([NEXT[owner]]).value
-            return calls.not_run(Reason.NOT_OWNER)
+                return answer(host, call)
+            made.dependencies.views.value = Views([OTHER_HOST[owner]]).value
+            return calls.not_run_reply(Reason.NOT_OWNER)
 
         hosts.script = script
         reply = await made.handle(request)
         assert reply.outcome == Outcome.ANSWERED
-        assert hosts.asked == [owner, NEXT[owner]]
+        assert hosts.asked_hosts == [owner, OTHER_HOST[owner]]
         made, hosts = make_entry(refused(Reason.NOT_OWNER))
         reply = await made.handle(make_request(idempotent=False, key="k"))
         assert reply.reason == Reason.NOT_OWNER
-        assert len(hosts.asked) == 1 + entry.MOST_REDIRECTS
+        assert len(hosts.asked_hosts) == 1 + dispatch.MAX_REDIRECTS
 
     async def test_without_a_lease_nothing_is_sent(self):
-        made, hosts = make_entry(answered)
-        made.tools.lease.held = False
+        made, hosts = make_entry(answer)
+        made.dependencies.lease.held = False
         reply = await made.handle(make_request(idempotent=False, key="k"))
         assert (reply.outcome, reply.reason) == (
             Outcome.NOT_RUN,
             Reason.NO_LEASE,
         )
-        assert not hosts.asked
+        assert not hosts.asked_hosts
         assert (await made.handle(make_request())).outcome == Outcome.ANSWERED
 
 
@@ -446,14 +451,14 @@
     @pytest.mark.parametrize("order", ["answer-first", "cut-first"])
     async def test_an_answer_that_came_with_the_cut_is_handed_on(self, order):
         """A whole answer is thrown away, and the caller told `unknown`."""
-        made, hosts = make_entry(answered)
+        made, hosts = make_entry(answer)
         loop = asyncio.get_running_loop()
         come = loop.create_future()
 
         async def ask(where, body, timeout):
             del where, timeout
             await come
-            return answered("a", body)
+            return answer("a", body)
 
         hosts.ask = ask
         request = make_request(idempotent=False, seconds=60)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -196,7 +196,7 @@
             )
             asking.cancel()
         await nodes.until(lambda: one.backend_server.cancelled == 1)
-        await nodes.until(lambda: not one.entry.in_flight.open)
+        await nodes.until(lambda: not one.dispatcher.in_flight.open)
         assert len(one.serving.parents) == 1
         self.release.set()
         await nodes.until(lambda: one.serving.idle)
@@ -498,7 +498,7 @@
             await nodes.until(
                 lambda: one.backend_server.requests and one.serving.idle
             )
-            await nodes.until(lambda: not one.entry.in_flight.open)
+            await nodes.until(lambda: not one.dispatcher.in_flight.open)
             one.stop()
             await nodes.until(lambda: one.serving.leaving)
             world.tell_views()
@@ -784,7 +784,7 @@
             asyncio.create_task(world.outside(one, "POST", "/stock/book"))
             for _ in range(8)
         ]
-        await nodes.until(lambda: len(one.entry.in_flight.open) == 8)
+        await nodes.until(lambda: len(one.dispatcher.in_flight.open) == 8)
         await asyncio.sleep(0.1)
         await self.end(one)
         told = [
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,8 +18,8 @@
     ids,
     leanhttp,
     metrics,
+    retryallowance,
     routes,
-    tries,
 )
 from mangobay.generated import messages
 
@@ -31,7 +31,7 @@
 CLIENT = types.SimpleNamespace(remote="10.0.0.1")
 
 
-class FakeEntry:
+class FakeDispatcher:
     """Runs calls at one service below, which has a few slots."""
 
     def __init__(self):
@@ -58,7 +58,7 @@
         try:
             permit = await self.admission.acquire(ticket)
         except admissionrequest.ShedError as error:
-            return calls.not_run(error.reason, error.retry_after)
+            return calls.not_run_reply(error.reason, error.retry_after)
         await asyncio.sleep(INNER_SECONDS)
         permit.release(INNER_SECONDS, ok=True)
         return messages.Reply(outcome=messages.Outcome.ANSWERED, status=200)
@@ -68,14 +68,14 @@
     """A gateway beside a backend server that makes calls of its own."""
 
     def __init__(self):
-        self.entry = FakeEntry()
+        self.dispatcher = FakeDispatcher()
         self.departure = departure.Departure()
         self.runs = {}
         self.gateway = gateway.Gateway(
             words.VOCABULARY,
             ids.ServiceName("front"),
             self.runs.get,
-            self.entry,
+            self.dispatcher,
             metrics.Metrics(),
             decisions.DecisionLog(),
             self.departure,
@@ -114,7 +114,9 @@
         self.runs[attempt] = calls.Parent(
             call=messages.Call(importance=importance, tree=f"tree-{attempt}"),
             deadline=0.0,
-            running=tries.Running(tries.Grant(0)),
+            running_call=retryallowance.RunningCall(
+                retryallowance.RetryAllowance(0)
+            ),
         )
         try:
             for number in range(INNER_CALLS):
@@ -132,9 +134,9 @@
     async def test_a_call_has_the_rank_of_the_request_it_is_for(self):
         world = World()
         assert await world.run("a1", CRITICAL)
-        assert {each.importance for each in world.entry.seen} == {CRITICAL}
-        assert {each.tree for each in world.entry.seen} == {"tree-a1"}
-        assert {each.depth for each in world.entry.seen} == {1}
+        assert {each.importance for each in world.dispatcher.seen} == {CRITICAL}
+        assert {each.tree for each in world.dispatcher.seen} == {"tree-a1"}
+        assert {each.depth for each in world.dispatcher.seen} == {1}
 
     async def test_a_run_does_not_work_while_it_waits_for_its_calls(self):
         """A backend server seems to slow down as the services below do.
@@ -147,14 +149,14 @@
         await asyncio.sleep(0.5 * INNER_SECONDS)
         parent = world.runs["a1"]
         await running
-        awaited = parent.running.awaited
+        awaited = parent.running_call.child_wait_seconds
         assert awaited == pytest.approx(INNER_CALLS * INNER_SECONDS, rel=0.1)
 
     async def test_an_id_that_names_nothing_here_leaves_the_routes_rank(self):
         world = World()
         assert await world.call("unknown.7") == 200
         assert await world.call("plain") == 200
-        ranks = {each.importance for each in world.entry.seen}
+        ranks = {each.importance for each in world.dispatcher.seen}
         assert ranks == {messages.Importance.HIGH}
 
     async def test_urgent_requests_end_though_the_service_below_is_full(self):
@@ -196,7 +198,7 @@
         assert await world.call("while-lingering") == 200
         await asyncio.sleep(2)
         assert await world.call("late") == 503
-        assert len(world.entry.seen) == 1
+        assert len(world.dispatcher.seen) == 1
 
     async def test_the_calls_of_a_run_here_are_still_taken(self):
         """A run that was taken in time fails, since its calls are refused."""
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -15,9 +15,9 @@
 ) -> None:
     """Makes a service slower for a while."""
     await asyncio.sleep(begin)
-    service.slow = times
+    service.slowdown = times
     await asyncio.sleep(end - begin)
-    service.slow = 1.0
+    service.slowdown = 1.0
 
 
 @pytest.mark.looptime
@@ -32,17 +32,17 @@
         the end all calls are answered, and no queue stands.
         """
         chain = fakechain.make_chain([8, 8, 8], OWN_SECONDS)
-        load = fakechain.Load(chain)
+        load = fakechain.LoadGenerator(chain)
         kinds = [
-            fakechain.Kind(CRITICAL, 20, repeats=4, name="booking"),
-            fakechain.Kind(NORMAL, 100, repeats=4, name="reader"),
+            fakechain.CallerGroup(CRITICAL, 20, max_retries=4, name="booking"),
+            fakechain.CallerGroup(NORMAL, 100, max_retries=4, name="reader"),
         ]
         trouble = asyncio.create_task(slow_down(chain[-1], 5, 1, 5))
         await load.run(kinds, 8)
         await trouble
-        assert load.share("booking", 1, 5) >= 0.99
-        assert load.share("reader", 1, 5) < 0.9
-        assert load.share("reader", 7, 8) >= 0.99
+        assert load.success_rate("booking", 1, 5) >= 0.99
+        assert load.success_rate("reader", 1, 5) < 0.9
+        assert load.success_rate("reader", 7, 8) >= 0.99
         assert not any(service.admission.queue.length for service in chain)
         assert not any(service.admission.running for service in chain)
 
@@ -53,16 +53,18 @@
         answers than the slots have room for.
         """
         chain = fakechain.make_chain([8, 8, 8], OWN_SECONDS)
-        load = fakechain.Load(chain)
-        kinds = [fakechain.Kind(NORMAL, 160, repeats=4, name="reader")]
+        load = fakechain.LoadGenerator(chain)
+        kinds = [
+            fakechain.CallerGroup(NORMAL, 160, max_retries=4, name="reader")
+        ]
         trouble = asyncio.create_task(slow_down(chain[-1], 5, 1, 6))
         await load.run(kinds, 6)
         await trouble
         answered = sum(load.answered["reader", second] for second in (3, 4))
         room = 2 * 8 / (0.01 + 0.01 + 5 * 0.02)
         assert answered >= 0.85 * room
-        assert load.wasted <= 0.05 * sum(
-            service.busy.total() for service in chain
+        assert load.wasted_seconds <= 0.05 * sum(
+            service.busy_seconds.total() for service in chain
         )
 
 
@@ -77,14 +79,14 @@
         answered as if the normal calls were not there.
         """
         chain = fakechain.make_chain([8, 8, 8], OWN_SECONDS)
-        load = fakechain.Load(chain)
+        load = fakechain.LoadGenerator(chain)
         kinds = [
-            fakechain.Kind(CRITICAL, 60, name="booking"),
-            fakechain.Kind(NORMAL, 500, name="reader"),
+            fakechain.CallerGroup(CRITICAL, 60, name="booking"),
+            fakechain.CallerGroup(NORMAL, 500, name="reader"),
         ]
         await load.run(kinds, 4)
-        assert load.share("booking", 0, 4) >= 0.99
-        assert load.share("reader", 1, 4) > 0.05
+        assert load.success_rate("booking", 0, 4) >= 0.99
+        assert load.success_rate("reader", 1, 4) > 0.05
 
     async def test_callers_that_repeat_hard_do_not_starve_the_others(self):
         """Two callers send five times as much as 40 others together.
@@ -93,14 +95,14 @@
         shed first within their importance, so the others keep more.
         """
         chain = fakechain.make_chain([8], [0.05])
-        load = fakechain.Load(chain)
+        load = fakechain.LoadGenerator(chain)
         kinds = [
-            fakechain.Kind(NORMAL, 100, clients=40, name="reader"),
-            fakechain.Kind(NORMAL, 500, clients=2, name="robot"),
+            fakechain.CallerGroup(NORMAL, 100, clients=40, name="reader"),
+            fakechain.CallerGroup(NORMAL, 500, clients=2, name="robot"),
         ]
         await load.run(kinds, 5)
-        assert load.share("reader", 1, 5) >= 0.8
-        assert load.share("robot", 1, 5) < 0.25
+        assert load.success_rate("reader", 1, 5) >= 0.8
+        assert load.success_rate("robot", 1, 5) < 0.25
 
 
 @pytest.mark.looptime
@@ -114,11 +116,11 @@
         They learn what the last one refuses and refuse it themselves.
         """
         chain = fakechain.make_chain([20, 20, 4], [0.01, 0.01, 0.1])
-        load = fakechain.Load(chain)
-        kinds = [fakechain.Kind(NORMAL, 200, name="reader")]
+        load = fakechain.LoadGenerator(chain)
+        kinds = [fakechain.CallerGroup(NORMAL, 200, name="reader")]
         await load.run(kinds, 5)
         served = sum(load.answered.values())
-        busy = sum(service.busy.total() for service in chain)
-        print(f"served {served}, wasted {load.wasted / busy:.3f}")
+        busy = sum(service.busy_seconds.total() for service in chain)
+        print(f"served {served}, wasted {load.wasted_seconds / busy:.3f}")
         assert served >= 5 * 4 / 0.1 * 0.85
-        assert load.wasted <= 0.1 * busy
+        assert load.wasted_seconds <= 0.1 * busy
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -16,8 +16,8 @@
     service="stock", name="book", importance=messages.Importance.CRITICAL
 )
 ANSWERED = messages.Reply(outcome=messages.Outcome.ANSWERED)
-SHED = calls.not_run(Reason.OVERLOADED)
-LOST = calls.unknown(Reason.CONNECTION_BROKEN)
+SHED = calls.not_run_reply(Reason.OVERLOADED)
+LOST = calls.unknown_reply(Reason.CONNECTION_BROKEN)
 MINUTE = 60_000
 
 
--- a/tests/test_tries.py
+++ b/tests/test_retryallowance.py
@@ -4,7 +4,7 @@
 import pytest
 from hypothesis import strategies
 
-from mangobay import errors, ids, tries
+from mangobay import errors, ids, retryallowance
 
 CALL = ids.CallId("call-1")
 
@@ -13,7 +13,7 @@
     """The tries of one subtree."""
 
     def test_lends_half_rounded_up(self):
-        grant = tries.Grant(3)
+        grant = retryallowance.RetryAllowance(3)
         assert [grant.lend(), grant.lend(), grant.lend()] == [2, 1, 0]
 
     def test_a_reply_that_returns_too_much_makes_no_tries(self):
@@ -22,16 +22,16 @@
         The node would then repeat calls that nobody granted, and the sum
         over the tree would pass the grant.  The surplus is cut.
         """
-        grant = tries.Grant(4)
+        grant = retryallowance.RetryAllowance(4)
         lent = grant.lend()
-        grant.give_back(lent + 100)
-        assert grant.left == 4
+        grant.reclaim(lent + 100)
+        assert grant.remaining == 4
 
     def test_a_broken_sum_stops_the_action(self):
-        grant = tries.Grant(4)
-        grant.left += 1
+        grant = retryallowance.RetryAllowance(4)
+        grant.remaining += 1
         with pytest.raises(errors.InvariantError):
-            grant.take()
+            grant.try_withdraw()
 
     def test_a_late_reply_gives_nothing_back(self):
         """The node's own reply has gone up when a child's reply comes.
@@ -39,12 +39,12 @@
         Its tries were counted as lost by then; taking them back would let
         both the node and its caller use them.
         """
-        grant = tries.Grant(4)
+        grant = retryallowance.RetryAllowance(4)
         lent = grant.lend()
         assert grant.close() == 2
-        grant.give_back(lent)
-        assert grant.left == 0
-        assert not grant.take()
+        grant.reclaim(lent)
+        assert grant.remaining == 0
+        assert not grant.try_withdraw()
 
 
 class TestRunning:
@@ -56,65 +56,71 @@
         With two tries for the subtree it gets two repeats through, then a
         refusal; a different child call is free of charge.
         """
-        running = tries.Grants().open(CALL, tries.Grant(2))
-        made = [running.child("GET", "/price/1", b"") for _ in range(4)]
+        running = retryallowance.RunningCalls().start(
+            CALL, retryallowance.RetryAllowance(2)
+        )
+        made = [running.allow_child("GET", "/price/1", b"") for _ in range(4)]
         assert made == [True, True, True, False]
-        assert running.child("GET", "/price/2", b"")
+        assert running.allow_child("GET", "/price/2", b"")
 
     def test_time_with_children_in_flight_counts_once(self):
-        running = tries.Running(tries.Grant(0))
-        running.child_began(1.0)
-        running.child_began(2.0)
+        running = retryallowance.RunningCall(retryallowance.RetryAllowance(0))
+        running.child_started(1.0)
+        running.child_started(2.0)
         running.child_ended(3.0)
         running.child_ended(5.0)
-        assert running.awaited_at(9.0) == 4.0
+        assert running.child_wait_seconds_at(9.0) == 4.0
 
     def test_a_closed_call_is_unknown(self):
-        grants = tries.Grants()
-        grants.open(CALL, tries.Grant(5))
-        assert grants.close(CALL) == 5
+        grants = retryallowance.RunningCalls()
+        grants.start(CALL, retryallowance.RetryAllowance(5))
+        assert grants.finish(CALL) == 5
         assert grants.find(CALL) is None
-        assert grants.close(CALL) == 0
+        assert grants.finish(CALL) == 0
 
 
-class Tree:
+class RandomCallTree:
     """A call tree in which every hop fails, repeats and loses replies.
 
     Attributes:
-      extra: attempts beyond the first of each call.
+      extra_attempts: attempts beyond the first of each call.
     """
 
     def __init__(self, data):
         self.data = data
-        self.extra = 0
+        self.extra_attempts = 0
 
     def call(self, granted: int, depth: int) -> int | None:
         """Runs one call; returns the tries its reply brings, None if lost."""
-        grants = tries.Grants()
-        running = grants.open(CALL, tries.Grant(granted))
+        grants = retryallowance.RunningCalls()
+        running = grants.start(CALL, retryallowance.RetryAllowance(granted))
         if depth:
             for child in range(self.data.draw(strategies.integers(0, 2))):
-                self.child(running, child, depth)
-        left = grants.close(CALL)
+                self.make_child_call(running, child, depth)
+        left = grants.finish(CALL)
         return left if self.data.draw(strategies.booleans()) else None
 
-    def child(self, running: tries.Running, child: int, depth: int) -> None:
+    def make_child_call(
+        self, running: retryallowance.RunningCall, child: int, depth: int
+    ) -> None:
         """Makes a child call as often as the tries allow."""
         for repeat in range(1 + self.data.draw(strategies.integers(0, 3))):
-            if not running.child("GET", f"/{child}", b""):
+            if not running.allow_child("GET", f"/{child}", b""):
                 return
-            self.extra += repeat > 0
-            self.attempts(running.grant, depth)
+            self.extra_attempts += repeat > 0
+            self.make_attempts(running.allowance, depth)
 
-    def attempts(self, grant: tries.Grant, depth: int) -> None:
+    def make_attempts(
+        self, grant: retryallowance.RetryAllowance, depth: int
+    ) -> None:
         """The node's own retry loop around one child call."""
         for attempt in range(1 + self.data.draw(strategies.integers(0, 2))):
-            if attempt and not grant.take():
+            if attempt and not grant.try_withdraw():
                 return
-            self.extra += attempt > 0
+            self.extra_attempts += attempt > 0
             back = self.call(grant.lend(), depth - 1)
             if back is not None:
-                grant.give_back(back)
+                grant.reclaim(back)
 
 
 class TestTree:
@@ -131,6 +137,6 @@
         attempts of the last call.  Here the extra attempts of the whole tree
         stay within what the first node granted.
         """
-        tree = Tree(data)
+        tree = RandomCallTree(data)
         left = tree.call(granted, depth)
-        assert tree.extra + (left or 0) <= granted
+        assert tree.extra_attempts + (left or 0) <= granted
--- a/tests/test_ratio.py
+++ b/tests/test_retrybudget.py
@@ -5,7 +5,7 @@
 import pytest
 import routingfakes
 
-from mangobay import ratio
+from mangobay import retrybudget
 from mangobay.generated import messages
 
 
@@ -18,14 +18,14 @@
         Without the ratio the load on it doubles just then.  The burst goes
         through, then one try for each ten requests.
         """
-        kept = ratio.RetryRatio(
+        kept = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.1, burst=5)
         )
-        taken = sum(kept.take(routingfakes.QUOTES) for _ in range(100))
+        taken = sum(kept.try_withdraw(routingfakes.QUOTES) for _ in range(100))
         assert taken == 5
         for _ in range(11):
-            kept.asked(routingfakes.QUOTES)
-        taken = sum(kept.take(routingfakes.QUOTES) for _ in range(100))
+            kept.record_request(routingfakes.QUOTES)
+        taken = sum(kept.try_withdraw(routingfakes.QUOTES) for _ in range(100))
         assert taken == 1
 
     def test_a_share_of_the_ratio_is_left_unspent(self):
@@ -33,14 +33,14 @@
 
         Whoever counts looks at windows that begin at other moments.
         """
-        kept = ratio.RetryRatio(
+        kept = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.2, spent=0.9, burst=50)
         )
-        while kept.take(routingfakes.QUOTES):
+        while kept.try_withdraw(routingfakes.QUOTES):
             pass
         for _ in range(101):
-            kept.asked(routingfakes.QUOTES)
-        taken = sum(kept.take(routingfakes.QUOTES) for _ in range(100))
+            kept.record_request(routingfakes.QUOTES)
+        taken = sum(kept.try_withdraw(routingfakes.QUOTES) for _ in range(100))
         assert taken == 18
 
     def test_critical_calls_are_tried_again_first(self):
@@ -49,7 +49,7 @@
         Readers want most of them.  A booking needs four calls in a row; were
         each tried again as seldom as a reader's, it would be lost.
         """
-        kept = ratio.RetryRatio(
+        kept = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.2, burst=4)
         )
         taken = {importance: 0 for importance in messages.Importance}
@@ -58,8 +58,8 @@
             importance = messages.Importance.NORMAL
             if number % 8 == 0:
                 importance = messages.Importance.CRITICAL
-            kept.asked(routingfakes.QUOTES)
-            if kept.take(routingfakes.QUOTES, importance, now):
+            kept.record_request(routingfakes.QUOTES)
+            if kept.try_withdraw(routingfakes.QUOTES, importance, now):
                 taken[importance] += 1
         assert taken[messages.Importance.CRITICAL] == 125
         assert taken[messages.Importance.NORMAL] > 50
@@ -71,13 +71,13 @@
         Together they may spend a hundred; with four at each of 58 nodes, 232
         attempts came at the service at once.
         """
-        kept = ratio.RetryRatio(
+        kept = retrybudget.RetryBudget(
             routingfakes.section("retries", burst=4, slack=100)
         )
-        kept.share_slack(nodes)
+        kept.set_node_count(nodes)
         for _ in range(100):
-            kept.asked(routingfakes.QUOTES)
-        tries = [kept.take(routingfakes.QUOTES) for _ in range(10)]
+            kept.record_request(routingfakes.QUOTES)
+        tries = [kept.try_withdraw(routingfakes.QUOTES) for _ in range(10)]
         assert sum(tries) == taken
 
     @pytest.mark.parametrize("slack", [0, 100])
@@ -86,19 +86,19 @@
 
         What is kept for those must not let one of the others through.
         """
-        kept = ratio.RetryRatio(
+        kept = retrybudget.RetryBudget(
             routingfakes.section("retries", burst=0, slack=slack)
         )
-        kept.share_slack(10)
+        kept.set_node_count(10)
         critical = messages.Importance.CRITICAL
         for importance in (critical, messages.Importance.NORMAL) * 3:
-            kept.asked(routingfakes.QUOTES)
-            assert not kept.take(routingfakes.QUOTES, importance, 5.0)
+            kept.record_request(routingfakes.QUOTES)
+            assert not kept.try_withdraw(routingfakes.QUOTES, importance, 5.0)
 
     def test_nothing_is_kept_where_no_critical_call_fails(self):
-        kept = ratio.RetryRatio(routingfakes.section("retries", burst=4))
+        kept = retrybudget.RetryBudget(routingfakes.section("retries", burst=4))
         for _ in range(4):
-            assert kept.take(routingfakes.QUOTES)
+            assert kept.try_withdraw(routingfakes.QUOTES)
 
     def test_calls_of_a_repeated_run_count_as_tries(self):
         """A run is tried again, and makes four calls of its own once more.
@@ -106,16 +106,16 @@
         Whoever counts attempts at the service below sees five for one.  The
         calls are paid before anybody there is tried again.
         """
-        kept = ratio.RetryRatio(
+        kept = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.5, burst=2)
         )
         for _ in range(4):
-            kept.asked(routingfakes.QUOTES, repeat=True)
+            kept.record_request(routingfakes.QUOTES, repeat=True)
         for _ in range(5):
-            assert not kept.take(routingfakes.QUOTES)
-            kept.asked(routingfakes.QUOTES)
-        kept.asked(routingfakes.QUOTES)
-        assert kept.take(routingfakes.QUOTES)
+            assert not kept.try_withdraw(routingfakes.QUOTES)
+            kept.record_request(routingfakes.QUOTES)
+        kept.record_request(routingfakes.QUOTES)
+        assert kept.try_withdraw(routingfakes.QUOTES)
 
 
 class TestBackoff:
@@ -123,9 +123,9 @@
 
     def test_stays_inside_the_time_left(self):
         dice = random.Random(routingfakes.SEED)
-        waits = [ratio.backoff(0.01, 40, 0.3, dice) for _ in range(200)]
+        waits = [retrybudget.backoff(0.01, 40, 0.3, dice) for _ in range(200)]
         assert all(0 <= wait < 0.3 for wait in waits)
 
     def test_no_time_left(self):
         dice = random.Random(routingfakes.SEED)
-        assert ratio.backoff(0.01, 1, 0.0, dice) is None
+        assert retrybudget.backoff(0.01, 1, 0.0, dice) is None
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -22,7 +22,7 @@
         fakes.LOCAL_DATA_CENTRE,
         random.Random(fakes.SEED),
     )
-    router.update(fakes.view(1, *members))
+    router.update_views(fakes.view(1, *members))
     return router
 
 
@@ -33,8 +33,8 @@
 
 def answer(router: routing.Router, host: ids.HostId, seen) -> None:
     """Sends a call to the host and ends it with this observation."""
-    router.began(fakes.QUOTES, host)
-    router.ended(fakes.QUOTES, host, seen)
+    router.record_call_start(fakes.QUOTES, host)
+    router.record_call_end(fakes.QUOTES, host, seen)
 
 
 def refusing(threshold: int) -> routing.Observation:
@@ -211,7 +211,7 @@
         sent = collections.Counter()
         for _ in range(90):
             host = pick(router)
-            router.began(fakes.QUOTES, host)
+            router.record_call_start(fakes.QUOTES, host)
             sent[host] += 1
         assert max(sent.values()) - min(sent.values()) <= 6
 
@@ -267,10 +267,10 @@
         router = make_router(fakes.member("a"))
         price, stock = map(ids.OperationName, ("price", "stock"))
         seen = dataclasses.replace(
-            fakes.ANSWERED, operation=price, below=2 * 256
+            fakes.ANSWERED, operation=price, downstream_threshold=2 * 256
         )
         answer(router, ids.HostId("a"), seen)
-        router.dice = random.Random(fakes.SEED)
+        router.rng = random.Random(fakes.SEED)
         with pytest.raises(routing.EarlyRefusalError) as refused:
             pick(router, operation=price)
         assert refused.value.threshold == 2 * 256
@@ -311,19 +311,19 @@
         router = make_router(fakes.member("a"), *others)
         host = ids.HostId("a")
         for _ in range(10):
-            router.began(fakes.QUOTES, host)
-        router.update(
+            router.record_call_start(fakes.QUOTES, host)
+        router.update_views(
             fakes.view(2, fakes.member("a", incarnation="2"), *others)
         )
         for _ in range(10):
-            router.ended(fakes.QUOTES, host, fakes.BROKEN)
-        assert not router.services[fakes.QUOTES].ejection.records
+            router.record_call_end(fakes.QUOTES, host, fakes.BROKEN)
+        assert not router.services[fakes.QUOTES].outliers.records
 
     async def test_sheds_do_not_eject(self):
         router = make_router(fakes.member("a"), fakes.member("b"))
         for host in ("a", "b", "a", "b") * 10:
             answer(router, ids.HostId(host), refusing(0))
-        assert not router.services[fakes.QUOTES].ejection.records
+        assert not router.services[fakes.QUOTES].outliers.records
 
     async def test_one_idempotent_call_probes_it_back(self):
         """A host was ejected and its time is up; is it well again?
@@ -372,7 +372,7 @@
         """
         old = [fakes.member("a", slots=100), fakes.member("b", slots=100)]
         router = make_router(*old)
-        router.update(fakes.view(2, *old, fakes.member("c", slots=100)))
+        router.update_views(fakes.view(2, *old, fakes.member("c", slots=100)))
         shares = []
         for _ in range(6):
             shares.append(self.share_of(router, ids.HostId("c")))
@@ -386,9 +386,9 @@
         sent = []
         for _ in range(90):
             sent.append(pick(router))
-            router.began(fakes.QUOTES, sent[-1])
+            router.record_call_start(fakes.QUOTES, sent[-1])
         for each in sent:
-            router.ended(fakes.QUOTES, each, fakes.ANSWERED)
+            router.record_call_end(fakes.QUOTES, each, fakes.ANSWERED)
         return sent.count(host) / len(sent)
 
 
@@ -416,11 +416,11 @@
         stuck = 0
         for _ in range(300):
             host = pick(router)
-            router.began(fakes.QUOTES, host)
+            router.record_call_start(fakes.QUOTES, host)
             if host == liar:
                 stuck += 1
             else:
-                router.ended(fakes.QUOTES, host, full)
+                router.record_call_end(fakes.QUOTES, host, full)
         assert stuck <= 4
 
 
@@ -432,68 +432,72 @@
     """
 
     def __init__(self, seed: int):
-        self.dice = random.Random(seed)
+        self.rng = random.Random(seed)
         self.version = 1
         self.members: dict[str, messages.Member] = {}
         self.router = make_router()
-        self.inflight: list[ids.HostId] = []
+        self.in_flight: list[ids.HostId] = []
         self.picked = 0
 
     def change(self) -> None:
         """Adds, restarts, drains or removes a host."""
-        name = f"host-{self.dice.randrange(8)}"
-        if self.dice.random() < 0.3:
+        name = f"host-{self.rng.randrange(8)}"
+        if self.rng.random() < 0.3:
             self.members.pop(name, None)
         else:
             made = fakes.member(
                 name,
-                self.dice.choice(
+                self.rng.choice(
                     [fakes.LOCAL_DATA_CENTRE, fakes.REMOTE_DATA_CENTRE]
                 ),
-                str(self.dice.randrange(3)),
+                str(self.rng.randrange(3)),
             )
-            made.leaving = self.dice.random() < 0.3
+            made.leaving = self.rng.random() < 0.3
             self.members[name] = made
         self.version += 1
-        self.router.update(fakes.view(self.version, *self.members.values()))
+        self.router.update_views(
+            fakes.view(self.version, *self.members.values())
+        )
 
     def call(self) -> None:
         """Picks a host; checks that it may be picked."""
-        excluding = {ids.HostId(f"host-{self.dice.randrange(8)}")}
-        idempotent = self.dice.random() < 0.5
+        excluding = {ids.HostId(f"host-{self.rng.randrange(8)}")}
+        idempotent = self.rng.random() < 0.5
         try:
             found = self.router.pick(
                 fakes.QUOTES,
                 excluding,
-                messages.Importance(self.dice.randrange(4)),
+                messages.Importance(self.rng.randrange(4)),
                 1,
                 idempotent=idempotent,
-                tree=str(self.dice.random()),
+                tree=str(self.rng.random()),
             )
         except (routing.NoHostError, routing.EarlyRefusalError):
             return
         self.picked += 1
         assert found.host not in excluding
         assert not self.members[found.host].leaving
-        self.router.began(fakes.QUOTES, found.host)
-        self.inflight.append(found.host)
+        self.router.record_call_start(fakes.QUOTES, found.host)
+        self.in_flight.append(found.host)
 
     def end(self) -> None:
         """Ends a random call in a random way."""
-        if not self.inflight:
+        if not self.in_flight:
             return
-        place = self.dice.randrange(len(self.inflight))
-        seen = self.dice.choice(
+        place = self.rng.randrange(len(self.in_flight))
+        seen = self.rng.choice(
             [fakes.ANSWERED, fakes.BROKEN, fakes.BROKEN, refusing(500)]
         )
-        self.router.ended(fakes.QUOTES, self.inflight.pop(place), seen)
+        self.router.record_call_end(
+            fakes.QUOTES, self.in_flight.pop(place), seen
+        )
 
     def check(self) -> None:
         """Asserts what holds at any time."""
         known = self.router.services[fakes.QUOTES]
-        assert known.known.keys() == self.members.keys()
-        assert known.ejection.records.keys() <= known.known.keys()
-        assert all(host.outstanding >= 0 for host in known.known.values())
+        assert known.hosts.keys() == self.members.keys()
+        assert known.outliers.records.keys() <= known.hosts.keys()
+        assert all(host.outstanding >= 0 for host in known.hosts.values())
 
 
 @pytest.mark.looptime
@@ -511,7 +515,7 @@
         cluster.change()
         steps = [cluster.change] + [cluster.call, cluster.end] * 8
         for _ in range(3000):
-            cluster.dice.choice(steps)()
+            cluster.rng.choice(steps)()
             cluster.check()
             await asyncio.sleep(0.01)
         assert cluster.picked > 500
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -185,7 +185,7 @@
 
         async def with_child(attempt):
             (parent,) = made.parents.values()
-            assert parent.running.child("POST", "/book", b"")
+            assert parent.running_call.allow_child("POST", "/book", b"")
             return await shedding()(attempt)
 
         made.sender.act = with_child
@@ -202,7 +202,7 @@
         async def refused(attempt):
             attempt.sent = True
             (parent,) = made.parents.values()
-            parent.running.child_refused(500)
+            parent.running_call.child_refused(500)
             return backend.Answer(
                 status=502, headers=[], body=b"", seconds=0.1, shed=False
             )
@@ -325,9 +325,9 @@
             loop = asyncio.get_running_loop()
             (parent,) = made.parents.values()
             for _ in range(calls_made):
-                parent.running.child_began(loop.time())
+                parent.running_call.child_started(loop.time())
                 await asyncio.sleep(0.01)
-                parent.running.child_ended(loop.time())
+                parent.running_call.child_ended(loop.time())
             return backend.Answer(
                 status=500, headers=[], body=b"", seconds=0.1, shed=False
             )
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from mangobay import calls, fields, filetracer, traces, tries
+from mangobay import calls, fields, filetracer, retryallowance, traces
 from mangobay.generated import messages
 
 ME = calls.Process("me", "lima", "run-1")
@@ -28,7 +28,7 @@
             importance=messages.Importance.HIGH,
             depth=2,
             deadline=0,
-            grant=tries.Grant(0),
+            allowance=retryallowance.RetryAllowance(0),
             key="",
             trace=trace,
         )
