--- a/bench/bookings.py
+++ b/bench/bookings.py
@@ -15,7 +15,7 @@
 import uuid6
 
 from bench import backend, cluster, deployment, launcher, sessions
-from mangobay import slots
+from mangobay import keyslots
 from mangobay.generated import messages
 
 ROUNDS = 400
@@ -49,7 +49,7 @@
     """Returns a new key that the host owns, or that another one owns."""
     while True:
         key = str(uuid6.uuid7())
-        owner = slots.owner(view, slots.slot_of(key))
+        owner = keyslots.owner(view, keyslots.slot_of(key))
         if (owner.host == host) is here:
             return key
 
--- a/bench/callcost.py
+++ b/bench/callcost.py
@@ -83,7 +83,7 @@
         )
     )
     made.control.tables.on_next(plan.table)
-    made.serving.sender = Instant()
+    made.executor.backend_client = Instant()
     made.served.announce(
         announcements.Announcement(
             service=ids.ServiceName(service), address=ADDRESS, slots=SLOTS
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -101,7 +101,7 @@
         self.served = announcements.Announcements(
             FOREVER, self.new_admission(world), lambda told: None
         )
-        self.serving = gateway.RoutedServing(
+        self.executor = gateway.RoutedCallExecutor(
             VOCABULARY, self.process, self.served, self.server, None
         )
         self.gateway = self.make_gateway(world)
@@ -132,7 +132,7 @@
                 router=self.router,
                 retry_budget=retrybudget.RetryBudget(retries),
                 transport=network.Link(world.network, self.home),
-                serving=self.serving,
+                executor=self.executor,
                 lease=lease.Unneeded(),
                 views=world,
                 tracer=traces.Tracer(),
@@ -142,11 +142,11 @@
         made = gateway.Gateway(
             VOCABULARY,
             self.service,
-            self.serving.run_of,
+            self.executor.run_of,
             entry_side,
             metrics.Metrics(),
             Reasons(world.reasons),
-            self.serving.departure,
+            self.executor.departure,
         )
         made.table = world.table
         return made
@@ -225,7 +225,7 @@
         for node in self.nodes:
             self.network.nodes[node.member.peer_address] = (
                 node.home,
-                node.serving.serve,
+                node.executor.serve,
             )
 
     def section(self, name: str):
--- a/bench/nodeslopes.py
+++ b/bench/nodeslopes.py
@@ -71,7 +71,7 @@
     """Memory of remembered keys, each with an answer of 1 kB."""
 
     def build():
-        registry = records.Registry(3600, 10**7, records.Budget(1 << 40))
+        registry = records.Registry(3600, 10**7, records.MemoryBudget(1 << 40))
         for number in range(keys):
             put = messages.CopyPut(entries=[once_record(number, 0)])
             registry.merge(stock.over_the_wire(put).entries[0], 0.0)
--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -27,7 +27,7 @@
     peers,
     retrybudget,
     routing,
-    tenure,
+    slotownership,
     tls,
     traces,
 )
@@ -126,9 +126,11 @@
     def make_serving(self) -> None:
         """Makes what runs calls at the backend server here."""
         config = self.config
-        self.once = once.Once(
+        self.once = once.AtMostOnce(
             config.once,
-            tenure.Process(self.process.host, self.process.incarnation),
+            slotownership.ProcessId(
+                self.process.host, self.process.incarnation
+            ),
             self.peers,
             self.control.lease,
         )
@@ -198,7 +200,7 @@
                 router=self.router,
                 retry_budget=retrybudget.RetryBudget(config.retries),
                 transport=self.peers,
-                serving=self.serving,
+                executor=self.executor,
                 lease=self.entry_lease(),
                 views=self.control.views,
                 tracer=self.tracer,
@@ -222,7 +224,7 @@
         """
         match body:
             case messages.Call():
-                reply = await self.serving.serve(body)
+                reply = await self.executor.serve(body)
                 reply.revision = self.control.tables.value.revision
                 return reply
             case messages.CopyPut() | messages.CopyFetch():
@@ -284,7 +286,7 @@
         """Returns whether a call or a request is in flight."""
         return bool(
             self.dispatcher.in_flight.open
-            or not self.serving.idle
+            or not self.executor.idle
             or any(each.busy for each in self.caller_listeners())
         )
 
@@ -293,7 +295,7 @@
         if self.ended.is_set():
             return
         running = [
-            parent.call.operation for parent in self.serving.parents.values()
+            parent.call.operation for parent in self.executor.parents.values()
         ]
         now = asyncio.get_running_loop().time()
         entered_at = [
@@ -314,7 +316,7 @@
 
     async def give_up(self) -> None:
         """Answers whatever is still in flight: the node ends now."""
-        self.serving.leaving = True
+        self.executor.leaving = True
         for place in self.served.served.values():
             place.admission.refuse_all_waiting()
         await self.dispatcher.in_flight.give_up()
@@ -322,7 +324,7 @@
     def seconds_to_write(self) -> float:
         """Returns how long answers still have to leave this process."""
         now = asyncio.get_running_loop().time()
-        return self.serving.departure.seconds_to_write(now)
+        return self.executor.departure.seconds_to_write(now)
 
     async def close_listeners(self) -> None:
         """Closes the HTTP listeners; answers that are cut count as calls."""
--- a/mangobay/copies.py
+++ b/mangobay/copies.py
@@ -4,13 +4,13 @@
 import dataclasses
 import typing
 
-from mangobay import errors, ids, options, records, tenure
+from mangobay import errors, ids, options, records, slotownership
 from mangobay.generated import messages
 
 if typing.TYPE_CHECKING:
     from mangobay import peers
 
-BATCH = 200
+MAX_BATCH_ENTRIES = 200
 """Entries in one message of a slot's transfer."""
 
 
@@ -63,8 +63,8 @@
             return None
 
 
-def keep(
-    share: tenure.Tenure, message: messages.CopyPut, now: float
+def store_copies(
+    share: slotownership.SlotOwnership, message: messages.CopyPut, now: float
 ) -> messages.CopyAck:
     """Keeps the records that another process sends.
 
@@ -76,8 +76,8 @@
     starts = any(
         entry.state is messages.OnceState.STARTED for entry in message.entries
     )
-    if starts and message.view_version < share.seen:
-        return messages.CopyAck(kept=False, view_version=share.seen)
+    if starts and message.view_version < share.newest_version:
+        return messages.CopyAck(kept=False, view_version=share.newest_version)
     share.fence(message.view_version)
     for entry in message.entries:
         share.merge(entry, now)
@@ -88,31 +88,31 @@
     for slot in message.complete_slots:
         held = share.held_at.get(ids.Slot(slot), 0)
         share.held_at[ids.Slot(slot)] = max(held, message.view_version)
-    return messages.CopyAck(kept=True, view_version=share.seen)
+    return messages.CopyAck(kept=True, view_version=share.newest_version)
 
 
-def tell(
-    share: tenure.Tenure, message: messages.CopyFetch, now: float
+def answer_fetch(
+    share: slotownership.SlotOwnership, message: messages.CopyFetch, now: float
 ) -> messages.CopyList:
     """Tells a new owner what this process knows, and is fenced by it."""
     share.fence(message.view_version)
     wanted = [ids.Slot(slot) for slot in message.slots]
-    share.fetched.update(dict.fromkeys(wanted, message.view_version))
+    share.fetched_versions.update(dict.fromkeys(wanted, message.view_version))
     return messages.CopyList(
-        host=share.me.host,
-        incarnation=share.me.incarnation,
+        host=share.this_process.host,
+        incarnation=share.this_process.incarnation,
         entries=[
             records.to_entry(record, now)
             for slot in wanted
-            for record in share.registry.in_slot(slot)
+            for record in share.registry.copyable_records(slot)
         ],
         knowledge=[share.knowledge(slot) for slot in wanted],
-        floors=floors_of(share, wanted),
+        floors=wire_floors(share, wanted),
     )
 
 
-def floors_of(
-    share: tenure.Tenure, wanted: list[ids.Slot]
+def wire_floors(
+    share: slotownership.SlotOwnership, wanted: list[ids.Slot]
 ) -> list[messages.SlotFloor]:
     """Returns the floors of some slots, as they travel."""
     return [
@@ -123,7 +123,7 @@
 
 
 async def sync_holders(
-    share: tenure.Tenure, sender: CopySender, now: float
+    share: slotownership.SlotOwnership, sender: CopySender, now: float
 ) -> bool:
     """Gives each holder all that this owner knows of the slots it holds.
 
@@ -133,7 +133,7 @@
     version = share.view.version
     by_holder: dict[str, list[ids.Slot]] = {}
     members = {}
-    for slot in share.mine:
+    for slot in share.owned_slots:
         if not share.ready(slot):
             continue
         for holder in share.placement.holders(slot):
@@ -147,7 +147,7 @@
 
 
 async def hand_over(
-    share: tenure.Tenure, sender: CopySender, now: float
+    share: slotownership.SlotOwnership, sender: CopySender, now: float
 ) -> None:
     """Gives the new owners what they did not ask this process for.
 
@@ -157,17 +157,17 @@
     version = share.view.version
     batches: dict[str, list[ids.Slot]] = {}
     members = {}
-    for slot in share.unfetched():
+    for slot in share.unfetched_slots():
         owner = share.placement.owner(slot)
         batches.setdefault(owner.host, []).append(slot)
         members[owner.host] = owner
     for host, batch in batches.items():
         if await send_entries(share, sender, members[host], batch, now):
-            share.fetched.update(dict.fromkeys(batch, version))
+            share.fetched_versions.update(dict.fromkeys(batch, version))
 
 
 async def send_entries(
-    share: tenure.Tenure,
+    share: slotownership.SlotOwnership,
     sender: CopySender,
     member: messages.Member,
     batch: list[ids.Slot],
@@ -177,14 +177,14 @@
     entries = [
         records.to_entry(record, now)
         for slot in batch
-        for record in share.registry.in_slot(slot)
+        for record in share.registry.copyable_records(slot)
     ]
     version = share.view.version
-    for start in range(0, len(entries), BATCH):
+    for start in range(0, len(entries), MAX_BATCH_ENTRIES):
         message = messages.CopyPut(
             service=share.service,
             view_version=version,
-            entries=entries[start : start + BATCH],
+            entries=entries[start : start + MAX_BATCH_ENTRIES],
         )
         ack = await sender.put(member, message)
         if ack is None or not ack.kept:
@@ -193,7 +193,7 @@
 
 
 async def sync_holder(
-    share: tenure.Tenure,
+    share: slotownership.SlotOwnership,
     sender: CopySender,
     holder: messages.Member,
     batch: list[ids.Slot],
@@ -209,7 +209,7 @@
         service=share.service,
         view_version=version,
         complete_slots=[int(slot) for slot in batch],
-        floors=floors_of(share, batch),
+        floors=wire_floors(share, batch),
     )
     ack = await sender.put(holder, last)
     return ack is not None and ack.kept
--- a/mangobay/dispatch.py
+++ b/mangobay/dispatch.py
@@ -9,18 +9,18 @@
 from mangobay import (
     calls,
     errors,
+    execution,
     fields,
     hosts,
     ids,
     inflight,
+    keyslots,
     options,
     peers,
     remotetraffic,
     retrybudget,
     retrypolicy,
     routing,
-    serving,
-    slots,
     traces,
 )
 from mangobay.generated import messages, settings
@@ -66,7 +66,7 @@
     router: routing.Router
     retry_budget: retrybudget.RetryBudget
     transport: peers.Transport
-    serving: serving.Serving
+    executor: execution.CallExecutor
     lease: Lease
     views: Views
     tracer: traces.Tracer
@@ -120,7 +120,7 @@
     ):
         self.retries = retries
         self.dependencies = dependencies
-        self.in_flight = inflight.Calls()
+        self.in_flight = inflight.InFlightCalls()
 
     async def handle(self, request: calls.Request) -> messages.Reply:
         """Returns the reply to a call, after other attempts where allowed.
@@ -142,7 +142,7 @@
             if request.requires_owner
             else self.try_routed_hosts
         )
-        return await self.in_flight.carry(run(request))
+        return await self.in_flight.track(run(request))
 
     async def try_routed_hosts(self, request: calls.Request) -> messages.Reply:
         """Tries hosts that the router picks."""
@@ -197,7 +197,7 @@
         that enter here: up to a third of a service's callers are beside its
         backend servers, and the router never got to choose for them.
         """
-        here = self.dependencies.serving
+        here = self.dependencies.executor
         place = here.served.find(operation.service)
         host = self.dependencies.process.host
         if place is None or here.leaving or host in excluded:
@@ -270,10 +270,10 @@
         again, and no other one may run the key.
         """
         service = request.operation.service
-        slot = slots.slot_of(request.key)
+        slot = keyslots.slot_of(request.key)
         for redirect in range(MAX_REDIRECTS + 1):
             view = self.dependencies.views.value.get(service)
-            owner = slots.owner(view, slot) if view else None
+            owner = keyslots.owner(view, slot) if view else None
             if owner is None:
                 reply = calls.not_run_reply(Reason.NO_BACKEND)
             else:
@@ -304,7 +304,7 @@
         call = self.make_call(request, left, lent)
         router = self.dependencies.router
         router.record_call_start(service, member.host)
-        reply = serving.CANCELLED
+        reply = execution.PENDING_REPLY
         try:
             reply = await self.deliver(call, member, left)
         finally:
@@ -346,7 +346,7 @@
                 + len(reply.body)
             )
         if size:
-            self.dependencies.serving.remote_traffic.record_bytes(
+            self.dependencies.executor.remote_traffic.record_bytes(
                 request.parent_operation, size
             )
 
@@ -388,7 +388,7 @@
     ) -> messages.Reply:
         """Hands the call to this host's serving side or to a peer."""
         if member.host == self.dependencies.process.host:
-            return await self.dependencies.serving.serve(call)
+            return await self.dependencies.executor.serve(call)
         try:
             reply = await self.dependencies.transport.ask(
                 parse_peer_address(member.peer_address),
--- a/mangobay/edges.py
+++ b/mangobay/edges.py
@@ -12,6 +12,7 @@
     calls,
     dispatch,
     errors,
+    execution,
     fields,
     httpserver,
     ids,
@@ -20,7 +21,6 @@
     logs,
     metrics,
     retryallowance,
-    serving,
     table,
 )
 from mangobay.generated import messages, settings
@@ -54,7 +54,7 @@
         limits: settings.NodeLimits,
         directory: Directory,
         dispatcher: dispatch.Dispatcher,
-        serving_side: serving.Serving,
+        executor: execution.CallExecutor,
         counts: metrics.Metrics,
         record: ledger.Ledger,
         sample: float,
@@ -62,7 +62,7 @@
         self.limits = limits
         self.directory = directory
         self.dispatcher = dispatcher
-        self.serving = serving_side
+        self.executor = executor
         self.metrics = counts
         self.ledger = record
         self.sample = sample
@@ -97,7 +97,7 @@
         Raises:
           calls.RequestError: the node takes no more.
         """
-        if self.serving.leaving:
+        if self.executor.leaving:
             raise calls.RequestError(Reason.LEAVING, "")
 
     async def run(self, request: calls.Request) -> messages.Reply:
@@ -240,7 +240,7 @@
           calls.RequestError: it became no call.
         """
         received = request.headers
-        parent = self.serving.parent_of(
+        parent = self.executor.parent_of(
             received.get(fields.TRACESTATE, ""),
             received.get(fields.TRACEPARENT, ""),
         )
@@ -308,7 +308,7 @@
         """
         if parent is not None:
             return ids.CallerName(parent.call.service)
-        names = list(self.serving.served.served)
+        names = list(self.executor.served.served)
         named = received.get(fields.SERVICE, "")
         if named in names:
             return ids.CallerName(named)
--- a/mangobay/serving.py
+++ b/mangobay/execution.py
@@ -23,24 +23,24 @@
 )
 from mangobay.generated import messages
 
-FINISH_SECONDS = 30.0
+MAX_OVERRUN_SECONDS = 30.0
 """How long a started non-idempotent call may run past its deadline.
 
 Cut at the deadline its fate would stay unknown for ever; finished, the answer
 waits for the caller's repeat with the same key.
 """
-FIRST_SERVER_ERROR = 500
+FIRST_SERVER_ERROR_STATUS = 500
 
 Outcome = messages.Outcome
 Reason = messages.Reason
-CANCELLED = calls.unknown_reply(Reason.CANCELLED)
+PENDING_REPLY = calls.unknown_reply(Reason.CANCELLED)
 """What is known of a call until its reply comes; never handed out."""
 Execute = collections.abc.Callable[
     [backend.Gate | None], collections.abc.Awaitable[messages.Reply]
 ]
 
 
-class Once(typing.Protocol):
+class AtMostOnce(typing.Protocol):
     """What is needed of `once.Once`."""
 
     async def run(
@@ -49,7 +49,7 @@
         """Runs a keyed call unless it ran or may have run before."""
 
 
-class Sender(typing.Protocol):
+class BackendClient(typing.Protocol):
     """What is needed of the connections to a backend server."""
 
     async def send(
@@ -61,7 +61,7 @@
         """Returns the whole answer to one request."""
 
 
-class Serving:
+class CallExecutor:
     """Takes calls from nodes and from the entry side of this one.
 
     Attributes:
@@ -69,8 +69,8 @@
       departure: when whatever still runs is cut; calls that may last longer
         are refused.
       parents: calls that run at the backend server, by id.
-      started: tasks of non-idempotent calls without a key.
-      entered: calls that have not been replied to.
+      unkeyed_tasks: tasks of non-idempotent calls without a key.
+      open_calls: calls that have not been replied to.
       remote_traffic: what the calls of runs here carry to other data centres.
     """
 
@@ -78,24 +78,24 @@
         self,
         process: calls.Process,
         served: announcements.Announcements,
-        sender: Sender,
-        once: Once,
+        sender: BackendClient,
+        once: AtMostOnce,
     ):
         self.process = process
         self.served = served
-        self.sender = sender
+        self.backend_client = sender
         self.once = once
         self.leaving = False
         self.departure = departure.Departure()
         self.parents: dict[ids.CallId, calls.Parent] = {}
-        self.started: set[asyncio.Task] = set()
-        self.entered = 0
+        self.unkeyed_tasks: set[asyncio.Task] = set()
+        self.open_calls = 0
         self.remote_traffic = remotetraffic.RemoteTraffic()
 
     @property
     def idle(self) -> bool:
         """Whether no call is in flight."""
-        return not (self.entered or self.started or self.parents)
+        return not (self.open_calls or self.unkeyed_tasks or self.parents)
 
     async def serve(self, call: messages.Call) -> messages.Reply:
         """Returns the reply to a call; cancelling ends only what may end.
@@ -117,16 +117,18 @@
         if not self.departure.outlasts(deadline):
             return self.refuse(call, place, calls.not_run_reply(Reason.LEAVING))
         grant = retryallowance.RetryAllowance(call.tries)
-        execute = functools.partial(self.execute, call, place, grant, deadline)
-        self.entered += 1
+        execute = functools.partial(
+            self.admit_and_run, call, place, grant, deadline
+        )
+        self.open_calls += 1
         try:
             if call.idempotent:
                 reply = await execute(None)
             else:
-                reply = await self.serve_started(call, execute, deadline)
+                reply = await self.serve_non_idempotent(call, execute, deadline)
         finally:
-            self.entered -= 1
-        return self.finished(call, reply, place, grant.close())
+            self.open_calls -= 1
+        return self.add_host_state(call, reply, place, grant.close())
 
     def refuse(
         self,
@@ -135,9 +137,9 @@
         reply: messages.Reply,
     ) -> messages.Reply:
         """Returns a refusal that hands every extra try back."""
-        return self.finished(call, reply, place, call.tries)
+        return self.add_host_state(call, reply, place, call.tries)
 
-    def finished(
+    def add_host_state(
         self,
         call: messages.Call,
         reply: messages.Reply,
@@ -162,7 +164,7 @@
             )
         return reply
 
-    async def serve_started(
+    async def serve_non_idempotent(
         self, call: messages.Call, execute: Execute, deadline: float
     ) -> messages.Reply:
         """Waits for a non-idempotent call up to its deadline.
@@ -182,9 +184,9 @@
         if done:
             return dataclasses.replace(waiting.result())
         waiting.cancel()
-        return await self.end_waiting(waiting)
+        return await self.reply_at_deadline(waiting)
 
-    async def end_waiting(self, waiting: asyncio.Task) -> messages.Reply:
+    async def reply_at_deadline(self, waiting: asyncio.Task) -> messages.Reply:
         """Returns the reply at the deadline; it may just have come."""
         try:
             return dataclasses.replace(await waiting)
@@ -201,8 +203,8 @@
             started.set()
 
         task = asyncio.create_task(execute(gate))
-        self.started.add(task)
-        task.add_done_callback(self.started.discard)
+        self.unkeyed_tasks.add(task)
+        task.add_done_callback(self.unkeyed_tasks.discard)
         left = deadline - asyncio.get_running_loop().time()
         try:
             await asyncio.wait({task}, timeout=left)
@@ -219,7 +221,7 @@
         task.cancel()
         return calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
 
-    async def execute(
+    async def admit_and_run(
         self,
         call: messages.Call,
         place: announcements.Served,
@@ -253,16 +255,18 @@
         )
         attempt = backend.Attempt(gate)
         began = asyncio.get_running_loop().time()
-        reply = CANCELLED
+        reply = PENDING_REPLY
         try:
-            reply = await self.send(call, place, running, attempt, deadline)
+            reply = await self.send_to_backend(
+                call, place, running, attempt, deadline
+            )
         finally:
             del self.parents[call.call_id]
             now = asyncio.get_running_loop().time()
             self.remote_traffic.record_run_end(call.operation, now)
             permit.release(
                 now - began,
-                ok=is_whole(reply),
+                ok=is_success(reply),
                 child_wait_seconds=running.child_wait_seconds_at(now),
                 backend_shed=reply.reason == Reason.BACKEND_SHED,
                 downstream_threshold=running.downstream_threshold,
@@ -277,7 +281,7 @@
         )
         return reply
 
-    async def send(
+    async def send_to_backend(
         self,
         call: messages.Call,
         place: announcements.Served,
@@ -286,7 +290,7 @@
         deadline: float,
     ) -> messages.Reply:
         """Returns the reply that is true of what happened to the request."""
-        late = 0.0 if call.idempotent else FINISH_SECONDS
+        late = 0.0 if call.idempotent else MAX_OVERRUN_SECONDS
         request = backend.Request(
             method=call.method,
             target=call.target,
@@ -297,11 +301,11 @@
             cut_at=deadline + late,
         )
         try:
-            answer = await self.sender.send(
+            answer = await self.backend_client.send(
                 place.said.address, request, attempt
             )
         except errors.BackendError as error:
-            return broken(error, attempt)
+            return reply_for_error(error, attempt)
         except errors.InvariantError as error:
             logs.say(logs.Part.CALL, "stopped", why=str(error))
             return calls.unknown_reply(Reason.INTERNAL)
@@ -353,17 +357,17 @@
         return self.parents.get(ids.CallId(trace.parent)) if trace else None
 
 
-def is_whole(reply: messages.Reply) -> bool:
+def is_success(reply: messages.Reply) -> bool:
     """Returns whether the backend server did its work.
 
     One whose child call was refused answers with an error early: its time is
     no service time, and its answer no sign that the services below admit.
     """
     answered = reply.outcome == Outcome.ANSWERED
-    return answered and reply.status < FIRST_SERVER_ERROR
+    return answered and reply.status < FIRST_SERVER_ERROR_STATUS
 
 
-def broken(
+def reply_for_error(
     error: errors.BackendError, attempt: backend.Attempt
 ) -> messages.Reply:
     """Returns the reply for a request that got no whole answer."""
--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -11,6 +11,7 @@
     decisions,
     departure,
     dispatch,
+    execution,
     fields,
     ids,
     leanclient,
@@ -20,7 +21,6 @@
     refusals,
     retryallowance,
     routes,
-    serving,
 )
 from mangobay.generated import messages
 
@@ -61,7 +61,7 @@
         )
 
 
-class RoutedServing(serving.Serving):
+class RoutedCallExecutor(execution.CallExecutor):
     """Runs calls at a backend server that speaks in a vocabulary.
 
     Attributes:
@@ -79,13 +79,13 @@
         call_id = self.attempts.get(attempt)
         return self.parents.get(call_id) if call_id is not None else None
 
-    async def execute(self, call: messages.Call, *rest) -> messages.Reply:
+    async def admit_and_run(self, call: messages.Call, *rest) -> messages.Reply:
         """Admits a call and runs it at the backend server."""
         named = fields.find(call.headers, self.vocabulary.backend.attempt)
         attempt = ids.AttemptId(named)
         self.attempts[attempt] = call.call_id
         try:
-            return await super().execute(call, *rest)
+            return await super().admit_and_run(call, *rest)
         finally:
             self.attempts.pop(attempt, None)
 
@@ -186,7 +186,7 @@
                 parent.running_call.child_ended(now)
             seconds = now - began
             self.metrics.ended(call.operation, reply, seconds)
-            if not serving.is_whole(reply):
+            if not execution.is_success(reply):
                 self.log.ended(attempt, call, reply, seconds)
         if reply.outcome is Outcome.ANSWERED:
             return leanhttp.Response(
--- a/mangobay/inflight.py
+++ b/mangobay/inflight.py
@@ -7,12 +7,12 @@
 from mangobay import calls
 from mangobay.generated import messages
 
-LAST_REPLY_SECONDS = 0.02
+REFUSAL_DELIVERY_SECONDS = 0.02
 """For refusals on this host to reach their calls."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
-class InFlight:
+class InFlightCall:
     """One call.
 
     Attributes:
@@ -24,7 +24,7 @@
     entered_at: float
 
 
-class Calls:
+class InFlightCalls:
     """The calls of one node.
 
     Attributes:
@@ -33,14 +33,14 @@
     """
 
     def __init__(self):
-        self.open: set[InFlight] = set()
+        self.open: set[InFlightCall] = set()
         self.given_up = False
 
-    async def carry(
+    async def track(
         self, replying: collections.abc.Coroutine[None, None, messages.Reply]
     ) -> messages.Reply:
         """Returns the reply to a call, `unknown` if it is given up."""
-        entered = InFlight(
+        entered = InFlightCall(
             asyncio.current_task(), asyncio.get_running_loop().time()
         )
         self.open.add(entered)
@@ -72,14 +72,14 @@
         they have not run.
         """
         self.given_up = True
-        await asyncio.sleep(LAST_REPLY_SECONDS)
+        await asyncio.sleep(REFUSAL_DELIVERY_SECONDS)
         loop = asyncio.get_running_loop()
         for each in self.open:
             # Behind the tasks to which a reply has come in this turn.
             loop.call_soon(self.cancel, each)
         await asyncio.sleep(0)
 
-    def cancel(self, each: InFlight) -> None:
+    def cancel(self, each: InFlightCall) -> None:
         """Cancels a call unless its reply has come."""
         if each in self.open:
             each.task.cancel()
--- a/mangobay/keys.py
+++ b/mangobay/keys.py
@@ -5,37 +5,39 @@
 
 from mangobay import ids
 
-UNIX_MS_SHIFT = 80
-TIME_ORDERED = 7
+TIMESTAMP_SHIFT_BITS = 80
+UUID7_VERSION = 7
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class KeyAge:
+class CreationTime:
     """When a key was minted, as far as its text tells.
 
     Attributes:
-      minted_ms: Unix time in milliseconds; 0 for a foreign key.
+      created_ms: Unix time in milliseconds; 0 for a foreign key.
     """
 
-    minted_ms: int = 0
+    created_ms: int = 0
 
     @property
-    def foreign(self) -> bool:
+    def undated(self) -> bool:
         """Whether the key tells no time that could be trusted."""
-        return self.minted_ms == 0
+        return self.created_ms == 0
 
-    def before(self, floor_ms: int, window_ms: int, now_ms: int) -> bool:
+    def may_predate(self, floor_ms: int, window_ms: int, now_ms: int) -> bool:
         """Whether the key may be older than the floor.
 
         A foreign key may be of any age, so it counts as older until every
         record of the time before the floor would have left the window.
         """
-        if self.foreign:
+        if self.undated:
             return now_ms < floor_ms + window_ms
-        return self.minted_ms < floor_ms
+        return self.created_ms < floor_ms
 
 
-def age(key: ids.IdempotencyKey, now_ms: int, skew_ms: int) -> KeyAge:
+def creation_time(
+    key: ids.IdempotencyKey, now_ms: int, skew_ms: int
+) -> CreationTime:
     """Reads a key's age.
 
     A UUIDv7 from further in the future than the clock skew counts as foreign:
@@ -50,10 +52,10 @@
     try:
         parsed = uuid.UUID(key)
     except ValueError:
-        return KeyAge()
-    if parsed.version != TIME_ORDERED:
-        return KeyAge()
-    minted_ms = parsed.int >> UNIX_MS_SHIFT
+        return CreationTime()
+    if parsed.version != UUID7_VERSION:
+        return CreationTime()
+    minted_ms = parsed.int >> TIMESTAMP_SHIFT_BITS
     if minted_ms > now_ms + skew_ms:
-        return KeyAge()
-    return KeyAge(minted_ms=minted_ms)
+        return CreationTime()
+    return CreationTime(created_ms=minted_ms)
--- a/mangobay/slots.py
+++ b/mangobay/keyslots.py
@@ -12,7 +12,7 @@
 from mangobay import ids
 from mangobay.generated import messages
 
-SLOTS = 256
+SLOT_COUNT = 256
 
 
 class CopyPlace(enum.Enum):
@@ -24,20 +24,22 @@
 
 def slot_of(key: ids.IdempotencyKey) -> ids.Slot:
     """Returns the slot of a key, the same on every node."""
-    return ids.Slot(xxhash.xxh3_64_intdigest(key.encode()) % SLOTS)
+    return ids.Slot(xxhash.xxh3_64_intdigest(key.encode()) % SLOT_COUNT)
 
 
-def score(member: messages.Member, slot: ids.Slot) -> int:
+def rendezvous_score(member: messages.Member, slot: ids.Slot) -> int:
     """Returns what the hashing ranks a member by."""
     return xxhash.xxh3_64_intdigest(f"{slot}/{member.host}".encode())
 
 
-def ranked(
+def rank_members(
     members: list[messages.Member], slot: ids.Slot
 ) -> list[messages.Member]:
     """Returns the members that may own the slot, the owner first."""
     able = [member for member in members if not member.leaving]
-    return sorted(able, key=lambda member: score(member, slot), reverse=True)
+    return sorted(
+        able, key=lambda member: rendezvous_score(member, slot), reverse=True
+    )
 
 
 class Placement:
@@ -46,7 +48,7 @@
     Attributes:
       members: the members it was made from.
       copies: holders wanted for each slot.
-      place: which data centre a holder should stand in.
+      copy_place: which data centre a holder should stand in.
     """
 
     def __init__(
@@ -54,24 +56,24 @@
     ):
         self.members = members
         self.copies = copies
-        self.place = place
-        self.ranks = functools.cache(self.rank)
+        self.copy_place = place
+        self.ranking = functools.cache(self.compute_ranking)
 
-    def rank(self, slot: ids.Slot) -> list[messages.Member]:
+    def compute_ranking(self, slot: ids.Slot) -> list[messages.Member]:
         """Returns the members that may own the slot, the owner first."""
-        return ranked(self.members, slot)
+        return rank_members(self.members, slot)
 
     def owner(self, slot: ids.Slot) -> messages.Member | None:
         """Returns the slot's owner, None when no member may own it."""
-        ranks = self.ranks(slot)
+        ranks = self.ranking(slot)
         return ranks[0] if ranks else None
 
     def holders(self, slot: ids.Slot) -> list[messages.Member]:
         """Returns the members that hold copies of the slot."""
-        ranks = self.ranks(slot)
+        ranks = self.ranking(slot)
         if not ranks:
             return []
-        wants_same = self.place is CopyPlace.SAME_DATA_CENTRE
+        wants_same = self.copy_place is CopyPlace.SAME_DATA_CENTRE
         home = ranks[0].data_centre
         others = sorted(
             ranks[1:], key=lambda m: (m.data_centre == home) is not wants_same
@@ -82,4 +84,6 @@
 def owner(view: messages.ServiceView, slot: ids.Slot) -> messages.Member | None:
     """Returns who owns the slot under the view, None when nobody may."""
     able = (member for member in view.members if not member.leaving)
-    return max(able, key=lambda member: score(member, slot), default=None)
+    return max(
+        able, key=lambda member: rendezvous_score(member, slot), default=None
+    )
--- a/mangobay/node.py
+++ b/mangobay/node.py
@@ -6,10 +6,10 @@
     aiohttpbackend,
     basenode,
     edges,
+    execution,
     httpserver,
     localapi,
     logs,
-    serving,
 )
 
 
@@ -24,7 +24,7 @@
             config.backend.idle,
             config.limits.answer_bytes,
         )
-        self.serving = serving.Serving(
+        self.executor = execution.CallExecutor(
             self.process, self.served, self.backend, self.once
         )
 
@@ -36,7 +36,7 @@
             config.limits,
             self.control,
             self.dispatcher,
-            self.serving,
+            self.executor,
             self.metrics,
             self.ledger,
             sample,
@@ -67,7 +67,7 @@
         missing = []
         if not self.control.lease.holds():
             missing.append("lease")
-        if self.serving.leaving:
+        if self.executor.leaving:
             missing.append("the node is leaving")
         return localapi.Readiness(tuple(missing))
 
@@ -81,12 +81,12 @@
         await self.local_listener.start()
         await self.outside_listener.start()
         self.control.views.subscribe(self.router.update_views)
-        self.control.views.subscribe(self.once.update)
+        self.control.views.subscribe(self.once.update_views)
         self.control.draining.subscribe(self.drained)
         for work in (
             self.control.run(),
             self.served.run(),
-            self.once.expire(),
+            self.once.run_expiry(),
             self.ledger.run(),
         ):
             self.tasks.append(asyncio.create_task(work))
@@ -96,11 +96,11 @@
         """Takes no new work, finishes what is in flight, hands keys over."""
         grace = self.config.leaving.grace
         logs.say(logs.Part.NODE, "leaving", grace=grace)
-        self.serving.leaving = True
+        self.executor.leaving = True
         self.control.leaving = True
         for listener in self.caller_listeners():
             listener.leave()
-        times = self.serving.departure
+        times = self.executor.departure
         times.begin(self.told_at, grace, linger=0)
         try:
             async with asyncio.timeout_at(times.ends_at):
@@ -126,7 +126,7 @@
         outlasts an election, so a lease that ended means that control is out
         of reach; what this node knows is with the holders of its copies.
         """
-        handing = asyncio.create_task(self.once.handed_over())
+        handing = asyncio.create_task(self.once.finish_handover())
         try:
             while True:
                 await asyncio.wait({handing}, timeout=basenode.IDLE_POLL)
--- a/mangobay/nodegauges.py
+++ b/mangobay/nodegauges.py
@@ -25,7 +25,7 @@
         metrics.Gauge(
             name="running",
             help="Calls that run at the backend server here.",
-            read=lambda: len(node.serving.parents),
+            read=lambda: len(node.executor.parents),
         ),
         metrics.Gauge(
             name="limit",
@@ -42,6 +42,6 @@
         metrics.Gauge(
             name="leaving",
             help="1 while this node leaves.",
-            read=lambda: float(node.serving.leaving),
+            read=lambda: float(node.executor.leaving),
         ),
     ]
--- a/mangobay/once.py
+++ b/mangobay/once.py
@@ -7,15 +7,15 @@
 from mangobay import (
     calls,
     clock,
+    completion,
     copies,
-    endings,
     ids,
     keys,
+    keyslots,
     records,
-    slots,
-    startgate,
+    slotownership,
+    startcheck,
     takeover,
-    tenure,
 )
 from mangobay.generated import messages, settings
 
@@ -23,42 +23,42 @@
     from mangobay import lease, peers
 
 Execute = collections.abc.Callable[
-    [startgate.Gate], collections.abc.Awaitable[messages.Reply]
+    [startcheck.BeforeSend], collections.abc.Awaitable[messages.Reply]
 ]
 
-EXPIRE_INTERVAL = 5.0
+EXPIRE_INTERVAL_SECONDS = 5.0
 """Seconds between two looks for records that left the window."""
 
 
-class Once:
+class AtMostOnce:
     """Every keyed call that this node runs, owns or holds a copy of.
 
     Attributes:
       options: section [once] of the settings.
-      me: this process.
+      this_process: this process.
       lease: without it nothing new is started.
-      wall_ms: Unix time in milliseconds.
+      unix_ms: Unix time in milliseconds.
       budget: memory for the records of every service.
-      shares: per service, what this node may vouch for.
+      ownerships: per service, what this node may vouch for.
     """
 
     def __init__(
         self,
         options: settings.NodeOnce,
-        me: tenure.Process,
+        me: slotownership.ProcessId,
         transport: "peers.Transport",
         lease: "lease.Lease",
         wall_ms: collections.abc.Callable[[], int] = clock.unix_ms,
     ):
         self.options = options
-        self.me = me
+        self.this_process = me
         self.lease = lease
-        self.wall_ms = wall_ms
+        self.unix_ms = wall_ms
         self.sender = copies.CopySender(
             transport=transport, timeout=options.copy_timeout
         )
-        self.shares: dict[ids.ServiceName, tenure.Tenure] = {}
-        self.budget = records.Budget(options.memory_bytes)
+        self.ownerships: dict[ids.ServiceName, slotownership.SlotOwnership] = {}
+        self.budget = records.MemoryBudget(options.memory_bytes)
         self.tasks: set[asyncio.Task] = set()
 
     def spawn(self, work: collections.abc.Coroutine) -> asyncio.Task:
@@ -68,26 +68,30 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    def share(self, service: ids.ServiceName) -> tenure.Tenure:
+    def ownership_of(
+        self, service: ids.ServiceName
+    ) -> slotownership.SlotOwnership:
         """Returns the tenure of a service, made when first needed."""
-        if service not in self.shares:
-            self.shares[service] = self.new_share(service)
-        return self.shares[service]
+        if service not in self.ownerships:
+            self.ownerships[service] = self.create_ownership(service)
+        return self.ownerships[service]
 
-    def new_share(self, service: ids.ServiceName) -> tenure.Tenure:
+    def create_ownership(
+        self, service: ids.ServiceName
+    ) -> slotownership.SlotOwnership:
         """Makes the tenure of a service and starts its takeovers."""
         # A record outlives its key by twice the clock skew, so that no key
         # still counts as young after its record was dropped.
         window = self.options.window + 2 * self.options.clock_skew
-        made = tenure.Tenure(
+        made = slotownership.SlotOwnership(
             service,
-            self.me,
+            self.this_process,
             records.Registry(window, self.options.entries, self.budget),
             self.options.copies,
-            slots.CopyPlace(self.options.copy_place),
+            keyslots.CopyPlace(self.options.copy_place),
         )
         worker = takeover.Takeover(
-            made, self.sender, self.wall_ms, self.skew_ms
+            made, self.sender, self.unix_ms, self.skew_ms
         )
         self.spawn(worker.run())
         return made
@@ -97,52 +101,58 @@
         """How far callers' clocks may be ahead, milliseconds."""
         return int(self.options.clock_skew * 1000)
 
-    def update(
+    def update_views(
         self, views: dict[ids.ServiceName, messages.ServiceView]
     ) -> None:
         """Acts by the newest views of the services this node is a member of."""
         for service, view in views.items():
-            known = service in self.shares
-            if not known and not self.concerns_me(view):
+            known = service in self.ownerships
+            if not known and not self.is_member(view):
                 continue
-            share = self.share(service)
+            share = self.ownership_of(service)
             if view.version >= share.view.version:
-                share.adopt(view)
-                share.settle_orphans()
+                share.adopt_view(view)
+                share.resolve_orphans()
 
-    def concerns_me(self, view: messages.ServiceView) -> bool:
+    def is_member(self, view: messages.ServiceView) -> bool:
         """Whether this host is a member of the view."""
-        return any(member.host == self.me.host for member in view.members)
+        return any(
+            member.host == self.this_process.host for member in view.members
+        )
 
-    async def expire(self) -> None:
+    async def run_expiry(self) -> None:
         """Drops old records for ever, until cancelled."""
         while True:
-            await asyncio.sleep(EXPIRE_INTERVAL)
+            await asyncio.sleep(EXPIRE_INTERVAL_SECONDS)
             now = asyncio.get_running_loop().time()
-            for share in self.shares.values():
+            for share in self.ownerships.values():
                 share.registry.expire(now)
 
     async def handle(
         self, body: messages.CopyPut | messages.CopyFetch
     ) -> messages.CopyAck | messages.CopyList:
         """Answers another member of a service."""
-        share = self.share(body.service)
+        share = self.ownership_of(body.service)
         now = asyncio.get_running_loop().time()
         match body:
             case messages.CopyPut():
-                ack = copies.keep(share, body, now)
-                self.pass_on(share, body)
+                ack = copies.store_copies(share, body, now)
+                self.forward_results(share, body)
                 return ack
             case messages.CopyFetch():
-                return copies.tell(share, body, now)
+                return copies.answer_fetch(share, body, now)
 
-    def pass_on(self, share: tenure.Tenure, put: messages.CopyPut) -> None:
+    def forward_results(
+        self, share: slotownership.SlotOwnership, put: messages.CopyPut
+    ) -> None:
         """Sends the end of a run that began under a former owner onward."""
         for entry in put.entries:
             settled = entry.state is not messages.OnceState.STARTED
             if settled and share.owns(entry.slot):
                 record = share.registry.get(entry.key)
-                self.spawn(endings.spread(share, self.sender, record))
+                self.spawn(
+                    completion.publish_result(share, self.sender, record)
+                )
 
     async def run(
         self, call: messages.Call, execute: Execute
@@ -157,30 +167,33 @@
         Returns:
           The reply, the same whole one for every repeat.
         """
-        share = self.share(call.service)
-        slot = slots.slot_of(call.key)
+        share = self.ownership_of(call.service)
+        slot = keyslots.slot_of(call.key)
         deadline = self.deadline_of(call)
-        refusal = await self.refusal(share, slot, deadline)
+        refusal = await self.wait_until_ready(share, slot, deadline)
         if refusal is not None:
             return refusal
         record = share.registry.get(call.key)
         if record is not None:
-            return await self.repeat(record, call, deadline)
-        refusal = self.refusal_by_age(share, slot, call.key)
+            return await self.reply_to_repeat(record, call, deadline)
+        refusal = self.reply_to_old_key(share, slot, call.key)
         if refusal is not None:
             return refusal
         if share.registry.full:
             return calls.not_run_reply(messages.Reason.OVERLOADED)
         record = self.claim(share, slot, call)
-        task = self.spawn(self.first(share, record, execute))
-        return await self.watch(task, record)
+        task = self.spawn(self.run_first(share, record, execute))
+        return await self.wait_for_run(task, record)
 
     def deadline_of(self, call: messages.Call) -> float:
         """Returns the loop time at which the caller gives up."""
         return asyncio.get_running_loop().time() + call.deadline_ms / 1000
 
-    async def refusal(
-        self, share: tenure.Tenure, slot: ids.Slot, deadline: float
+    async def wait_until_ready(
+        self,
+        share: slotownership.SlotOwnership,
+        slot: ids.Slot,
+        deadline: float,
     ) -> messages.Reply | None:
         """Waits a moment for a takeover; says why this node can't run it."""
         patience = min(
@@ -196,29 +209,32 @@
                 return None
             try:
                 async with asyncio.timeout_at(patience):
-                    await share.moved.wait()
+                    await share.change_event.wait()
             except TimeoutError:
                 return calls.not_run_reply(messages.Reason.OWNER_CHANGED)
 
-    def refusal_by_age(
+    def reply_to_old_key(
         self,
-        share: tenure.Tenure,
+        share: slotownership.SlotOwnership,
         slot: ids.Slot,
         key: ids.IdempotencyKey,
     ) -> messages.Reply | None:
         """Answers keys that may have run before this node can remember."""
-        now_ms = self.wall_ms()
+        now_ms = self.unix_ms()
         window_ms = int(self.options.window * 1000)
-        age = keys.age(key, now_ms, self.skew_ms)
-        if not age.foreign and age.minted_ms < now_ms - window_ms:
+        age = keys.creation_time(key, now_ms, self.skew_ms)
+        if not age.undated and age.created_ms < now_ms - window_ms:
             return calls.unknown_reply(messages.Reason.KEY_EXPIRED)
         floor_ms = share.floors.get(slot, 0)
-        if age.before(floor_ms, window_ms, now_ms):
+        if age.may_predate(floor_ms, window_ms, now_ms):
             return calls.unknown_reply(messages.Reason.OWNER_CHANGED)
         return None
 
     def claim(
-        self, share: tenure.Tenure, slot: ids.Slot, call: messages.Call
+        self,
+        share: slotownership.SlotOwnership,
+        slot: ids.Slot,
+        call: messages.Call,
     ) -> records.Record:
         """Makes the record of a key that nothing is known of."""
         record = records.Record(
@@ -226,14 +242,14 @@
             service=call.service,
             slot=slot,
             digest=records.digest_of(call),
-            made_at=asyncio.get_running_loop().time(),
-            runner=self.me.host,
-            runner_incarnation=self.me.incarnation,
+            created_at=asyncio.get_running_loop().time(),
+            runner=self.this_process.host,
+            runner_incarnation=self.this_process.incarnation,
         )
         share.registry.add(record)
         return record
 
-    async def watch(
+    async def wait_for_run(
         self, task: asyncio.Task, record: records.Record
     ) -> messages.Reply:
         """Waits for the run; a caller that hangs up ends only a claim.
@@ -248,7 +264,7 @@
                 task.cancel()
             raise
 
-    async def repeat(
+    async def reply_to_repeat(
         self, record: records.Record, call: messages.Call, deadline: float
     ) -> messages.Reply:
         """Returns the reply of the run that the key had."""
@@ -256,37 +272,40 @@
             return calls.not_run_reply(messages.Reason.KEY_REUSED)
         try:
             async with asyncio.timeout_at(deadline):
-                await record.settled.wait()
+                await record.resolved.wait()
         except TimeoutError:
             return calls.unknown_reply(messages.Reason.RUNNING)
         return record.reply
 
-    async def first(
-        self, share: tenure.Tenure, record: records.Record, execute: Execute
+    async def run_first(
+        self,
+        share: slotownership.SlotOwnership,
+        record: records.Record,
+        execute: Execute,
     ) -> messages.Reply:
         """Runs the call and settles its record."""
-        gate = startgate.StartGate(
-            lease=self.lease, sender=self.sender, share=share, record=record
+        gate = startcheck.StartCheck(
+            lease=self.lease, sender=self.sender, ownership=share, record=record
         )
         try:
-            reply = await execute(gate.open)
-        except startgate.RefusedError as refused:
+            reply = await execute(gate.permit_start)
+        except startcheck.StartRefusedError as refused:
             reply = calls.not_run_reply(refused.reason)
         except BaseException:
-            self.settle(share, record, self.broken_off(record))
+            self.resolve(share, record, self.reply_after_error(record))
             raise
-        self.settle(share, record, reply)
+        self.resolve(share, record, reply)
         return reply
 
-    def broken_off(self, record: records.Record) -> messages.Reply:
+    def reply_after_error(self, record: records.Record) -> messages.Reply:
         """Returns the reply of a run that ended with an error."""
         if record.state is records.State.CLAIMED:
             return calls.not_run_reply(messages.Reason.CANCELLED)
         return calls.unknown_reply(messages.Reason.INTERNAL)
 
-    def settle(
+    def resolve(
         self,
-        share: tenure.Tenure,
+        share: slotownership.SlotOwnership,
         record: records.Record,
         reply: messages.Reply,
     ) -> None:
@@ -298,23 +317,25 @@
         """
         claimed = record.state is records.State.CLAIMED
         started = record.state is records.State.STARTED
-        runs_here = tenure.runner_of(record) == self.me
+        runs_here = slotownership.runner_of(record) == self.this_process
         if not claimed and not (started and runs_here):
             return
         if claimed or reply.outcome is messages.Outcome.NOT_RUN:
-            share.registry.forget(record)
+            share.registry.remove(record)
             record.reply = reply
-            record.settled.set()
+            record.resolved.set()
             return
         answered = reply.outcome is messages.Outcome.ANSWERED
         state = records.State.ANSWERED if answered else records.State.UNKNOWN
-        record.settle(state, reply)
-        share.registry.weigh(record)
-        self.spawn(endings.spread(share, self.sender, record))
+        record.resolve(state, reply)
+        share.registry.update_size(record)
+        self.spawn(completion.publish_result(share, self.sender, record))
 
-    async def handed_over(self) -> None:
+    async def finish_handover(self) -> None:
         """Returns when no record here is needed by a newer owner any more."""
-        await endings.finish(self.me, self.shares, self.sender)
+        await completion.finish_handover(
+            self.this_process, self.ownerships, self.sender
+        )
 
     async def close(self) -> None:
         """Ends every task of this part."""
--- a/mangobay/records.py
+++ b/mangobay/records.py
@@ -22,7 +22,7 @@
     UNKNOWN = "unknown"
 
 
-SETTLED = frozenset({State.ANSWERED, State.UNKNOWN})
+FINAL_STATES = frozenset({State.ANSWERED, State.UNKNOWN})
 
 WIRE_STATES = {
     State.STARTED: messages.OnceState.STARTED,
@@ -30,7 +30,7 @@
     State.UNKNOWN: messages.OnceState.UNKNOWN,
 }
 LOCAL_STATES = {wire: local for local, wire in WIRE_STATES.items()}
-RANKS = {
+STATE_RANKS = {
     State.CLAIMED: 0,
     State.STARTED: 1,
     State.UNKNOWN: 2,
@@ -38,9 +38,9 @@
 }
 
 
-RECORD_BYTES = 1600
+RECORD_OVERHEAD_BYTES = 1600
 """Memory of a record besides its answer; `make slopes` tells it."""
-HEADER_BYTES = 200
+HEADER_OVERHEAD_BYTES = 200
 """Memory of a header besides its characters."""
 
 
@@ -50,31 +50,31 @@
 
     Attributes:
       digest: fingerprint of the request, to tell a reused key.
-      made_at: loop time of the first arrival, seconds.
+      created_at: loop time of the first arrival, seconds.
       runner: the host that runs or ran it.
       runner_incarnation: the run of that host's process.
       reply: what every repeat is answered; set once settled or refused.
-      settled: set when `reply` is.
-      weight: bytes that the budget counts for it; 0 while not remembered.
+      resolved: set when `reply` is.
+      counted_bytes: bytes that the budget counts for it; 0 while not remembered.
     """
 
     key: ids.IdempotencyKey
     service: ids.ServiceName
     slot: ids.Slot
     digest: bytes
-    made_at: float
+    created_at: float
     state: State = State.CLAIMED
     runner: ids.HostId = ids.HostId("")
     runner_incarnation: ids.Incarnation = ids.Incarnation("")
     reply: messages.Reply | None = None
-    settled: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
-    weight: int = 0
+    resolved: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    counted_bytes: int = 0
 
-    def settle(self, state: State, reply: messages.Reply) -> None:
+    def resolve(self, state: State, reply: messages.Reply) -> None:
         """Gives the record its reply and wakes the repeats that wait."""
         self.state = state
         self.reply = reply
-        self.settled.set()
+        self.resolved.set()
 
 
 def digest_of(call: messages.Call) -> bytes:
@@ -97,7 +97,7 @@
         state=WIRE_STATES[record.state],
         runner=record.runner,
         runner_incarnation=record.runner_incarnation,
-        age_ms=max(0, int((now - record.made_at) * 1000)),
+        age_ms=max(0, int((now - record.created_at) * 1000)),
         status=reply.status,
         headers=reply.headers,
         body=reply.body,
@@ -122,19 +122,19 @@
     )
 
 
-def weight_of(record: Record) -> int:
+def estimate_bytes(record: Record) -> int:
     """Returns about how many bytes a record keeps."""
     if record.reply is None:
-        return RECORD_BYTES
+        return RECORD_OVERHEAD_BYTES
     headers = sum(
-        HEADER_BYTES + len(header.name) + len(header.value)
+        HEADER_OVERHEAD_BYTES + len(header.name) + len(header.value)
         for header in record.reply.headers
     )
-    return RECORD_BYTES + headers + len(record.reply.body)
+    return RECORD_OVERHEAD_BYTES + headers + len(record.reply.body)
 
 
 @dataclasses.dataclass(slots=True)
-class Budget:
+class MemoryBudget:
     """Memory for the records of all services at one node.
 
     A node that ran out of memory would be ended by its host and forget every
@@ -142,12 +142,12 @@
     the answers still to come of the calls that run go on top.
 
     Attributes:
-      limit: bytes; from there on no new key is taken.
-      used: bytes.
+      limit_bytes: bytes; from there on no new key is taken.
+      used_bytes: bytes.
     """
 
-    limit: int
-    used: int = 0
+    limit_bytes: int
+    used_bytes: int = 0
 
 
 class Registry:
@@ -155,13 +155,13 @@
 
     Attributes:
       window: seconds that a record is kept after it was made.
-      limit: most records.
+      max_records: most records.
       budget: the memory, shared with the node's other services.
     """
 
-    def __init__(self, window: float, limit: int, budget: Budget):
+    def __init__(self, window: float, limit: int, budget: MemoryBudget):
         self.window = window
-        self.limit = limit
+        self.max_records = limit
         self.budget = budget
         self.by_key: dict[ids.IdempotencyKey, Record] = {}
         self.by_slot: collections.defaultdict[
@@ -174,9 +174,12 @@
     @property
     def full(self) -> bool:
         """Whether a new key has no room."""
-        if len(self.by_key) >= self.limit:
+        if len(self.by_key) >= self.max_records:
             return True
-        return self.budget.used + RECORD_BYTES > self.budget.limit
+        return (
+            self.budget.used_bytes + RECORD_OVERHEAD_BYTES
+            > self.budget.limit_bytes
+        )
 
     def get(self, key: ids.IdempotencyKey) -> Record | None:
         """Returns the record of a key."""
@@ -186,38 +189,40 @@
         """Remembers a record."""
         self.by_key[record.key] = record
         self.by_slot[record.slot][record.key] = record
-        self.weigh(record)
+        self.update_size(record)
 
-    def weigh(self, record: Record) -> None:
+    def update_size(self, record: Record) -> None:
         """Counts what a record keeps, after it got its answer."""
         if self.by_key.get(record.key) is not record:
             return
-        weight = weight_of(record)
-        self.budget.used += weight - record.weight
-        record.weight = weight
+        weight = estimate_bytes(record)
+        self.budget.used_bytes += weight - record.counted_bytes
+        record.counted_bytes = weight
 
-    def forget(self, record: Record) -> None:
+    def remove(self, record: Record) -> None:
         """Drops a record: its key was not run, or left the window."""
         self.by_key.pop(record.key, None)
         self.by_slot[record.slot].pop(record.key, None)
-        self.budget.used -= record.weight
-        record.weight = 0
+        self.budget.used_bytes -= record.counted_bytes
+        record.counted_bytes = 0
 
-    def withdraw(self, record: Record) -> None:
+    def remove_as_not_run(self, record: Record) -> None:
         """Drops a call that its runner did not start; tells who waits."""
-        self.forget(record)
+        self.remove(record)
         record.reply = calls.not_run_reply(messages.Reason.OWNER_CHANGED)
-        record.settled.set()
+        record.resolved.set()
 
     def expire(self, now: float) -> None:
         """Drops the records that left the window, oldest first."""
         while self.by_key:
             oldest = next(iter(self.by_key.values()))
-            if oldest.made_at + self.window > now:
+            if oldest.created_at + self.window > now:
                 return
-            self.forget(oldest)
+            self.remove(oldest)
 
-    def in_slot(self, slot: ids.Slot) -> collections.abc.Iterator[Record]:
+    def copyable_records(
+        self, slot: ids.Slot
+    ) -> collections.abc.Iterator[Record]:
         """Yields what other nodes may learn of a slot."""
         for record in self.by_slot[slot].values():
             if record.state is not State.CLAIMED:
@@ -239,16 +244,16 @@
                 service=entry.service,
                 slot=entry.slot,
                 digest=entry.digest,
-                made_at=now - entry.age_ms / 1000,
+                created_at=now - entry.age_ms / 1000,
                 state=State.CLAIMED,
             )
             self.add(record)
-        if RANKS[state] > RANKS[record.state]:
+        if STATE_RANKS[state] > STATE_RANKS[record.state]:
             record.runner = entry.runner
             record.runner_incarnation = entry.runner_incarnation
             record.digest = entry.digest
             record.state = state
-            if state in SETTLED:
-                record.settle(state, entry_reply(entry))
-                self.weigh(record)
+            if state in FINAL_STATES:
+                record.resolve(state, entry_reply(entry))
+                self.update_size(record)
         return record
--- a/mangobay/routednode.py
+++ b/mangobay/routednode.py
@@ -72,7 +72,7 @@
             config.backend.idle,
             config.limits.answer_bytes,
         )
-        self.serving = gateway.RoutedServing(
+        self.executor = gateway.RoutedCallExecutor(
             self.dialect.vocabulary,
             self.process,
             self.served,
@@ -91,11 +91,11 @@
         self.gateway = gateway.Gateway(
             self.dialect.vocabulary,
             ids.ServiceName(config.backend.service),
-            self.serving.run_of,
+            self.executor.run_of,
             self.dispatcher,
             self.metrics,
             decisions.DecisionLog(),
-            self.serving.departure,
+            self.executor.departure,
         )
         limits = leanserver.Limits(
             body_bytes=config.limits.body_bytes,
@@ -188,7 +188,7 @@
         config = self.config.leaving
         logs.say(logs.Part.NODE, "leaving", grace=config.grace)
         self.outside_listener.leaving = True
-        times = self.serving.departure
+        times = self.executor.departure
         times.begin(self.told_at, config.grace, config.linger)
         linger = times.takes_until - self.told_at
         try:
@@ -196,7 +196,7 @@
                 await asyncio.sleep(max(linger - TOLD_BEFORE, 0))
                 self.control.leaving = True
                 await asyncio.sleep(min(linger, TOLD_BEFORE))
-                self.serving.leaving = True
+                self.executor.leaving = True
                 while self.busy():
                     await asyncio.sleep(basenode.IDLE_POLL)
         except TimeoutError:
--- a/mangobay/tenure.py
+++ b/mangobay/slotownership.py
@@ -8,79 +8,81 @@
 import collections.abc
 import dataclasses
 
-from mangobay import calls, ids, invariants, records, slots
+from mangobay import calls, ids, invariants, keyslots, records
 from mangobay.generated import messages
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Process:
+class ProcessId:
     """One run of a host's process."""
 
     host: ids.HostId
     incarnation: ids.Incarnation
 
 
-def process_of(member: messages.Member) -> Process:
+def process_id_of(member: messages.Member) -> ProcessId:
     """Returns the process behind a member of a view."""
-    return Process(member.host, member.incarnation)
+    return ProcessId(member.host, member.incarnation)
 
 
-def runner_of(record: records.Record) -> Process:
+def runner_of(record: records.Record) -> ProcessId:
     """Returns the process that runs or ran a record's call."""
-    return Process(record.runner, record.runner_incarnation)
+    return ProcessId(record.runner, record.runner_incarnation)
 
 
-class Tenure:
+class SlotOwnership:
     """One service at one node.
 
     Attributes:
       view: the newest view this node acts by.
-      seen: the newest version it heard of; above view.version it starts
+      newest_version: the newest version it heard of; above view.version it starts
         nothing, because another node may have taken its slots over.
       placement: owners and holders under the view.
-      mine: the slots that this node owns under the view.
+      owned_slots: the slots that this node owns under the view.
       owned_upto: per slot, the newest version under which this node was the
         owner and knew everything.
       held_at: per slot, the newest version whose owner gave this node all.
       floors: per slot, Unix time in milliseconds; keys that may have been
         minted before get `unknown`.
-      fetched: per slot, the newest version under which another node asked.
-      moved: set and replaced whenever one of these changes.
+      fetched_versions: per slot, the newest version under which another node asked.
+      change_event: set and replaced whenever one of these changes.
     """
 
     def __init__(
         self,
         service: ids.ServiceName,
-        me: Process,
+        me: ProcessId,
         registry: records.Registry,
         copies: int,
-        place: slots.CopyPlace,
+        place: keyslots.CopyPlace,
     ):
         self.service = service
-        self.me = me
+        self.this_process = me
         self.registry = registry
         self.copies = copies
-        self.place = place
+        self.copy_place = place
         self.view = messages.ServiceView(service=service)
-        self.seen = ids.ViewVersion(0)
-        self.placement = self.placement_of([])
-        self.mine: list[ids.Slot] = []
+        self.newest_version = ids.ViewVersion(0)
+        self.placement = self.make_placement([])
+        self.owned_slots: list[ids.Slot] = []
         self.owned_upto: dict[ids.Slot, ids.ViewVersion] = {}
         self.held_at: dict[ids.Slot, ids.ViewVersion] = {}
         self.floors: dict[ids.Slot, int] = {}
-        self.fetched: dict[ids.Slot, ids.ViewVersion] = {}
-        self.moved = asyncio.Event()
+        self.fetched_versions: dict[ids.Slot, ids.ViewVersion] = {}
+        self.change_event = asyncio.Event()
 
-    def placement_of(self, members: list[messages.Member]) -> slots.Placement:
+    def make_placement(
+        self, members: list[messages.Member]
+    ) -> keyslots.Placement:
         """Returns owners and holders under a list of members."""
-        return slots.Placement(members, self.copies, self.place)
+        return keyslots.Placement(members, self.copies, self.copy_place)
 
-    def changed(self) -> None:
+    def notify_change(self) -> None:
         """Wakes whoever waits for a slot."""
-        self.moved.set()
-        self.moved = asyncio.Event()
+        self.change_event.set()
+        self.change_event = asyncio.Event()
 
-    def adopt(self, view: messages.ServiceView) -> None:
+    def adopt_view(self, view: messages.ServiceView) -> None:
         """Acts by a newer view from now on."""
         invariants.check(
             invariants.Promise.REVISION_NEVER_DOWN,
@@ -88,24 +90,26 @@
             f"view of {self.service} from {self.view.version} to {view.version}",
         )
         if view.version > self.view.version:
-            self.placement = self.placement_of(view.members)
-            self.mine = self.owned()
+            self.placement = self.make_placement(view.members)
+            self.owned_slots = self.compute_owned_slots()
         self.view = view
         self.fence(view.version)
-        self.changed()
+        self.notify_change()
 
-    def settle_orphans(self) -> None:
+    def resolve_orphans(self) -> None:
         """Settles records whose runner is gone: their fate stays unknown.
 
         Nobody would ever settle them, and a repeat would wait for its whole
         deadline to be told the same.
         """
-        alive = {process_of(m) for m in self.view.members} | {self.me}
+        alive = {process_id_of(m) for m in self.view.members} | {
+            self.this_process
+        }
         for record in self.registry.by_key.values():
             started = record.state is records.State.STARTED
             if started and runner_of(record) not in alive:
                 reason = messages.Reason.OWNER_CHANGED
-                record.settle(
+                record.resolve(
                     records.State.UNKNOWN, calls.unknown_reply(reason)
                 )
 
@@ -116,37 +120,42 @@
         it before the call was refused here.  It never began, or this process
         would know: kept, a leaving node would wait for its end for ever.
         """
-        runner = Process(entry.runner, entry.runner_incarnation)
-        if entry.state is messages.OnceState.STARTED and runner == self.me:
+        runner = ProcessId(entry.runner, entry.runner_incarnation)
+        if (
+            entry.state is messages.OnceState.STARTED
+            and runner == self.this_process
+        ):
             return
         self.registry.merge(entry, now)
 
-    def started_by(self, runner: Process) -> list[records.Record]:
+    def records_started_by(self, runner: ProcessId) -> list[records.Record]:
         """Returns the calls of this node's slots that a process is to run."""
         return [
             record
             for record in self.registry.by_key.values()
             if record.state is records.State.STARTED
             and runner_of(record) == runner
-            and self.is_me(self.placement.owner(record.slot))
+            and self.is_this_process(self.placement.owner(record.slot))
         ]
 
     def fence(self, version: ids.ViewVersion) -> None:
         """Promises to start and acknowledge nothing under an older view."""
-        self.seen = max(self.seen, version)
+        self.newest_version = max(self.newest_version, version)
 
     @property
     def fenced(self) -> bool:
         """Whether a newer view than the one acted by is known to exist."""
-        return self.seen > self.view.version
+        return self.newest_version > self.view.version
 
-    def is_me(self, member: messages.Member | None) -> bool:
+    def is_this_process(self, member: messages.Member | None) -> bool:
         """Whether the member is this process."""
-        return member is not None and process_of(member) == self.me
+        return member is not None and process_id_of(member) == self.this_process
 
     def owns(self, slot: ids.Slot) -> bool:
         """Whether this node is the slot's owner and may act as such."""
-        return not self.fenced and self.is_me(self.placement.owner(slot))
+        return not self.fenced and self.is_this_process(
+            self.placement.owner(slot)
+        )
 
     def ready(self, slot: ids.Slot) -> bool:
         """Whether the owner also knows all that was started before."""
@@ -154,30 +163,34 @@
             self.owned_upto.get(slot, 0) == self.view.version
         )
 
-    def owned(self) -> list[ids.Slot]:
+    def compute_owned_slots(self) -> list[ids.Slot]:
         """Returns the slots that this node owns under the view."""
-        every = map(ids.Slot, range(slots.SLOTS))
+        every = map(ids.Slot, range(keyslots.SLOT_COUNT))
         return [
-            slot for slot in every if self.is_me(self.placement.owner(slot))
+            slot
+            for slot in every
+            if self.is_this_process(self.placement.owner(slot))
         ]
 
-    def missing(self) -> list[ids.Slot]:
+    def incomplete_slots(self) -> list[ids.Slot]:
         """Returns the slots that this node owns without knowing everything."""
         version = self.view.version
-        return [s for s in self.mine if self.owned_upto.get(s, 0) < version]
+        return [
+            s for s in self.owned_slots if self.owned_upto.get(s, 0) < version
+        ]
 
-    def unfetched(self) -> list[ids.Slot]:
+    def unfetched_slots(self) -> list[ids.Slot]:
         """Returns the slots with records that no new owner has asked for."""
         return [
             slot
             for slot, version in self.owned_upto.items()
-            if self.fetched.get(slot, ids.ViewVersion(0)) <= version
-            and not self.is_me(self.placement.owner(slot))
+            if self.fetched_versions.get(slot, ids.ViewVersion(0)) <= version
+            and not self.is_this_process(self.placement.owner(slot))
             and self.placement.owner(slot) is not None
-            and any(self.registry.in_slot(slot))
+            and any(self.registry.copyable_records(slot))
         ]
 
-    def take(self, slot: ids.Slot) -> None:
+    def mark_complete(self, slot: ids.Slot) -> None:
         """Notes that this owner knows everything started under older views."""
         self.owned_upto[slot] = self.view.version
 
@@ -195,10 +208,12 @@
         self.floors[slot] = max(old, minted_before_ms)
 
 
-Answers = collections.abc.Mapping[Process, messages.SlotKnowledge]
+KnowledgeByProcess = collections.abc.Mapping[ProcessId, messages.SlotKnowledge]
 
 
-def knows_everything(tenure: Tenure, slot: ids.Slot, answers: Answers) -> bool:
+def is_history_known(
+    tenure: SlotOwnership, slot: ids.Slot, answers: KnowledgeByProcess
+) -> bool:
     """Whether the answers together hold all that was ever started in a slot.
 
     Some process vouches for the slot up to a version.  Under each later view
@@ -221,19 +236,21 @@
     if vouched < oldest and not tenure.view.lineage_whole:
         return False
     later = (former for former in formers if former.version > vouched)
-    return all(covered(tenure, former, slot, answers) for former in later)
+    return all(
+        is_view_covered(tenure, former, slot, answers) for former in later
+    )
 
 
-def covered(
-    tenure: Tenure,
+def is_view_covered(
+    tenure: SlotOwnership,
     former: messages.FormerView,
     slot: ids.Slot,
-    answers: Answers,
+    answers: KnowledgeByProcess,
 ) -> bool:
     """Whether the owner or a holder of the view answered."""
-    placement = tenure.placement_of(former.members)
+    placement = tenure.make_placement(former.members)
     owner = placement.owner(slot)
     if owner is None:
         return True
     witnesses = [owner, *placement.holders(slot)]
-    return any(process_of(member) in answers for member in witnesses)
+    return any(process_id_of(member) in answers for member in witnesses)
--- a/mangobay/startgate.py
+++ b/mangobay/startcheck.py
@@ -8,16 +8,16 @@
 import dataclasses
 import typing
 
-from mangobay import copies, errors, invariants, records, tenure
+from mangobay import copies, errors, invariants, records, slotownership
 from mangobay.generated import messages
 
 if typing.TYPE_CHECKING:
     from mangobay import lease
 
-Gate = collections.abc.Callable[[], collections.abc.Awaitable[None]]
+BeforeSend = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 
 
-class RefusedError(errors.MangobayError):
+class StartRefusedError(errors.MangobayError):
     """The gate stays shut: nothing was sent, nothing may be.
 
     Attributes:
@@ -30,60 +30,60 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class StartGate:
+class StartCheck:
     """Lets one claimed record start, or refuses for good.
 
     Attributes:
       lease: without it nothing new is started.
       sender: the way to the holders.
-      share: what this node may vouch for.
+      ownership: what this node may vouch for.
       record: claimed here.
     """
 
     lease: "lease.Lease"
     sender: copies.CopySender
-    share: tenure.Tenure
+    ownership: slotownership.SlotOwnership
     record: records.Record
 
-    async def open(self) -> None:
+    async def permit_start(self) -> None:
         """Lets the call start after every holder knows that it will.
 
         Raises:
           RefusedError: it must not start here.
         """
-        self.must_own()
-        version = self.share.view.version
-        holders = self.share.placement.holders(self.record.slot)
+        self.check_may_start()
+        version = self.ownership.view.version
+        holders = self.ownership.placement.holders(self.record.slot)
         if holders:
-            await self.announce(holders)
+            await self.notify_holders(holders)
         # Between here and the first byte nothing is awaited: a node that
         # froze while it waited for the holders wakes up at this check.
-        self.must_own()
-        if self.share.view.version != version:
-            raise RefusedError(messages.Reason.OWNER_CHANGED)
+        self.check_may_start()
+        if self.ownership.view.version != version:
+            raise StartRefusedError(messages.Reason.OWNER_CHANGED)
         invariants.check(
             invariants.Promise.AT_MOST_ONCE,
-            self.share.registry.get(self.record.key) is self.record,
+            self.ownership.registry.get(self.record.key) is self.record,
             f"key {self.record.key} has another record",
         )
         self.record.state = records.State.STARTED
 
-    async def announce(self, holders: list[messages.Member]) -> None:
+    async def notify_holders(self, holders: list[messages.Member]) -> None:
         """Tells every holder that the call will start."""
         now = asyncio.get_running_loop().time()
         put = messages.CopyPut(
-            service=self.share.service,
-            view_version=self.share.view.version,
+            service=self.ownership.service,
+            view_version=self.ownership.view.version,
             entries=[records.started_entry(self.record, now)],
         )
         if not await self.sender.put_all(holders, put):
-            raise RefusedError(messages.Reason.COPY_FAILED)
+            raise StartRefusedError(messages.Reason.COPY_FAILED)
 
-    def must_own(self) -> None:
+    def check_may_start(self) -> None:
         """Raises RefusedError unless this node may start the call."""
         if not self.lease.holds():
-            raise RefusedError(messages.Reason.NO_LEASE)
-        if not self.share.ready(self.record.slot):
-            raise RefusedError(messages.Reason.OWNER_CHANGED)
+            raise StartRefusedError(messages.Reason.NO_LEASE)
+        if not self.ownership.ready(self.record.slot):
+            raise StartRefusedError(messages.Reason.OWNER_CHANGED)
         if self.record.state is not records.State.CLAIMED:
-            raise RefusedError(messages.Reason.RUNNING)
+            raise StartRefusedError(messages.Reason.RUNNING)
--- a/mangobay/takeover.py
+++ b/mangobay/takeover.py
@@ -3,10 +3,10 @@
 import asyncio
 import collections.abc
 
-from mangobay import copies, ids, logs, records, tenure
+from mangobay import copies, ids, logs, records, slotownership
 from mangobay.generated import messages
 
-SETTLE_PAUSE = 0.1
+ROUND_INTERVAL_SECONDS = 0.1
 """Seconds between two rounds of questions."""
 
 
@@ -14,54 +14,54 @@
     """One service at one node: learns what its new slots' past was.
 
     Attributes:
-      share: what this node may vouch for.
+      ownership: what this node may vouch for.
       sender: the way to other members.
-      wall_ms: Unix time in milliseconds.
+      unix_ms: Unix time in milliseconds.
       skew_ms: how far callers' clocks may be ahead, milliseconds.
     """
 
     def __init__(
         self,
-        share: tenure.Tenure,
+        share: slotownership.SlotOwnership,
         sender: copies.CopySender,
         wall_ms: collections.abc.Callable[[], int],
         skew_ms: int,
     ):
-        self.share = share
+        self.ownership = share
         self.sender = sender
-        self.wall_ms = wall_ms
+        self.unix_ms = wall_ms
         self.skew_ms = skew_ms
-        self.synced = ids.ViewVersion(0)
+        self.synced_version = ids.ViewVersion(0)
 
     async def run(self) -> None:
         """Follows the views, one after the other, until cancelled."""
         while True:
-            moved = self.share.moved
-            settled = await self.round()
+            moved = self.ownership.change_event
+            settled = await self.run_round()
             if settled:
                 await moved.wait()
                 continue
-            await asyncio.sleep(SETTLE_PAUSE)
+            await asyncio.sleep(ROUND_INTERVAL_SECONDS)
 
-    async def round(self) -> bool:
+    async def run_round(self) -> bool:
         """Asks everybody once; true when nothing is left to do."""
-        share = self.share
+        share = self.ownership
         if share.fenced:
             return False
         version = share.view.version
-        answers = self.own_answers()
-        self.take_known(answers)
-        if share.missing():
-            await self.ask(answers)
+        answers = self.own_knowledge()
+        self.mark_known_slots(answers)
+        if share.incomplete_slots():
+            await self.ask_members(answers)
             if share.view.version != version or share.fenced:
                 return False
-            self.take_known(answers)
-        if share.missing() and share.view.active:
+            self.mark_known_slots(answers)
+        if share.incomplete_slots() and share.view.active:
             self.set_floors()
-        if share.missing():
+        if share.incomplete_slots():
             return False
         asked = await self.ask_runners(version)
-        return await self.sync(version) and asked
+        return await self.sync_holders(version) and asked
 
     async def ask_runners(self, version: ids.ViewVersion) -> bool:
         """Asks the processes that are to run calls of this node's slots.
@@ -74,11 +74,11 @@
         Returns:
           Whether everybody asked has answered under this view.
         """
-        share = self.share
+        share = self.ownership
         for member in share.view.members:
-            runner = tenure.process_of(member)
-            started = share.started_by(runner)
-            if not started or runner == share.me:
+            runner = slotownership.process_id_of(member)
+            started = share.records_started_by(runner)
+            if not started or runner == share.this_process:
                 continue
             message = messages.CopyFetch(
                 service=share.service,
@@ -91,11 +91,11 @@
                 return False
             if known is None or known.incarnation != runner.incarnation:
                 return False
-            self.take_in(known, {}, asyncio.get_running_loop().time())
-            self.withdraw_unstarted(started, known)
+            self.merge_answer(known, {}, asyncio.get_running_loop().time())
+            self.remove_unstarted(started, known)
         return True
 
-    def withdraw_unstarted(
+    def remove_unstarted(
         self, started: list[records.Record], known: messages.CopyList
     ) -> None:
         """Drops the calls that their runner knows nothing of."""
@@ -103,82 +103,88 @@
         for record in started:
             still = record.state is records.State.STARTED
             if still and record.key not in running:
-                self.share.registry.withdraw(record)
+                self.ownership.registry.remove_as_not_run(record)
 
-    async def sync(self, version: ids.ViewVersion) -> bool:
+    async def sync_holders(self, version: ids.ViewVersion) -> bool:
         """Gives the holders what they lack; true when they have all."""
-        if self.synced == version:
+        if self.synced_version == version:
             return True
         now = asyncio.get_running_loop().time()
-        if await copies.sync_holders(self.share, self.sender, now):
-            self.synced = version
+        if await copies.sync_holders(self.ownership, self.sender, now):
+            self.synced_version = version
             return True
         return False
 
-    def own_answers(self) -> dict[tenure.Process, dict]:
+    def own_knowledge(self) -> dict[slotownership.ProcessId, dict]:
         """Returns what this node itself can vouch for."""
-        share = self.share
-        mine = {slot: share.knowledge(slot) for slot in share.missing()}
-        return {share.me: mine}
-
-    def take_known(self, answers: dict[tenure.Process, dict]) -> None:
+        share = self.ownership
+        mine = {
+            slot: share.knowledge(slot) for slot in share.incomplete_slots()
+        }
+        return {share.this_process: mine}
+
+    def mark_known_slots(
+        self, answers: dict[slotownership.ProcessId, dict]
+    ) -> None:
         """Takes the slots whose whole past the answers hold."""
         taken = False
-        for slot in self.share.missing():
+        for slot in self.ownership.incomplete_slots():
             told = {
                 process: slots[slot]
                 for process, slots in answers.items()
                 if slot in slots
             }
-            if tenure.knows_everything(self.share, slot, told):
-                self.share.take(slot)
+            if slotownership.is_history_known(self.ownership, slot, told):
+                self.ownership.mark_complete(slot)
                 taken = True
         if taken:
-            self.share.changed()
+            self.ownership.notify_change()
 
-    async def ask(self, answers: dict[tenure.Process, dict]) -> None:
+    async def ask_members(
+        self, answers: dict[slotownership.ProcessId, dict]
+    ) -> None:
         """Asks every other witness and adds what they answer."""
-        share = self.share
+        share = self.ownership
         message = messages.CopyFetch(
             service=share.service,
             view_version=share.view.version,
-            slots=[int(slot) for slot in share.missing()],
+            slots=[int(slot) for slot in share.incomplete_slots()],
         )
-        asked = self.witnesses()
+        asked = self.other_members()
         lists = await asyncio.gather(
             *(self.sender.fetch(member, message) for member in asked)
         )
         now = asyncio.get_running_loop().time()
         for known in lists:
             if known is not None:
-                self.take_in(known, answers, now)
-        share.settle_orphans()
+                self.merge_answer(known, answers, now)
+        share.resolve_orphans()
 
-    def witnesses(self) -> list[messages.Member]:
+    def other_members(self) -> list[messages.Member]:
         """Returns the other members of this and of the former views."""
-        share = self.share
-        found = {tenure.process_of(m): m for m in share.view.members}
+        share = self.ownership
+        found = {slotownership.process_id_of(m): m for m in share.view.members}
         for former in share.view.formers:
             for member in former.members:
-                found.setdefault(tenure.process_of(member), member)
-        found.pop(share.me, None)
+                found.setdefault(slotownership.process_id_of(member), member)
+        found.pop(share.this_process, None)
         return list(found.values())
 
-    def take_in(
+    def merge_answer(
         self,
         known: messages.CopyList,
-        answers: dict[tenure.Process, dict],
+        answers: dict[slotownership.ProcessId, dict],
         now: float,
     ) -> None:
         """Merges what one process told."""
         for entry in known.entries:
-            self.share.merge(entry, now)
+            self.ownership.merge(entry, now)
         for floor in known.floors:
-            self.share.raise_floor(floor.slot, floor.minted_before_ms)
+            self.ownership.raise_floor(floor.slot, floor.minted_before_ms)
         # The process that answers says which run it is: a restarted host
         # under the old address knows nothing and must not vouch for the run
         # that died.
-        process = tenure.Process(known.host, known.incarnation)
+        process = slotownership.ProcessId(known.host, known.incarnation)
         answers[process] = {item.slot: item for item in known.knowledge}
 
     def set_floors(self) -> None:
@@ -188,16 +194,16 @@
         view is active: no former member can start anything under its own
         lease any more.  Keys minted from now on cannot have run.
         """
-        floor_ms = self.wall_ms() + self.skew_ms
-        lost = self.share.missing()
+        floor_ms = self.unix_ms() + self.skew_ms
+        lost = self.ownership.incomplete_slots()
         for slot in lost:
-            self.share.raise_floor(slot, floor_ms)
-            self.share.take(slot)
-        self.share.changed()
+            self.ownership.raise_floor(slot, floor_ms)
+            self.ownership.mark_complete(slot)
+        self.ownership.notify_change()
         logs.say(
             logs.Part.ONCE,
             "the past of slots is lost, older keys get unknown",
-            service=self.share.service,
+            service=self.ownership.service,
             slots=len(lost),
-            view=self.share.view.version,
+            view=self.ownership.view.version,
         )
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -154,7 +154,7 @@
                 data_centre="centre",
                 peer_address=str(each.peer_listener.address),
                 slots=4,
-                leaving=each.serving.leaving,
+                leaving=each.executor.leaving,
             )
             for each in self.nodes
             if each.served.served
--- a/tests/once_fakes.py
+++ b/tests/once_fakes.py
@@ -7,17 +7,17 @@
 
 import uuid6
 
-from mangobay import errors, ids, once, slots, tenure
+from mangobay import errors, ids, keyslots, once, slotownership
 from mangobay.generated import messages, settings
 
 SERVICE = ids.ServiceName("reservations")
-DELAY = 0.003
-SLOW = 6.0
-FOREVER = 3600.0
-RUN_TIME = 0.05
-DICE = random.Random(7)
-VERSION_BITS = (7 << 76) | (2 << 62)
-START_MS = 1_800_000_000_000
+NETWORK_DELAY_SECONDS = 0.003
+SLOW_DELAY_SECONDS = 6.0
+LOST_DELAY_SECONDS = 3600.0
+RUN_SECONDS = 0.05
+RNG = random.Random(7)
+UUID7_BITS = (7 << 76) | (2 << 62)
+START_UNIX_MS = 1_800_000_000_000
 OPTIONS = settings.NodeOnce(
     window=3600.0,
     entries=1000,
@@ -39,36 +39,40 @@
         return self.held
 
 
-class Network:
+class FakeNetwork:
     """Nodes that reach each other but for the cut ones."""
 
     def __init__(self, hosts: int, **changes):
-        self.nodes: dict[str, once.Once] = {}
+        self.nodes: dict[str, once.AtMostOnce] = {}
         self.leases: dict[str, FakeLease] = {}
         self.members: dict[str, messages.Member] = {}
-        self.cut: set[str] = set()
+        self.isolated: set[str] = set()
         self.slow: set[str] = set()
-        self.parted: set[frozenset] = set()
-        self.travels: set[asyncio.Task] = set()
+        self.cut_pairs: set[frozenset] = set()
+        self.deliveries: set[asyncio.Task] = set()
         self.runs: list[str] = []
-        self.answer = b"slip 1"
+        self.response_body = b"slip 1"
         self.options = dataclasses.replace(OPTIONS, **changes)
         self.formers: list[messages.FormerView] = []
         self.view = messages.ServiceView(service=SERVICE)
         for number in range(hosts):
-            self.add(f"h{number}", number)
+            self.add_node(f"h{number}", number)
 
-    def passes(self, one: str, other: str) -> bool:
+    def can_reach(self, one: str, other: str) -> bool:
         pair = frozenset((one, other))
-        return not self.cut & pair and pair not in self.parted
+        return not self.isolated & pair and pair not in self.cut_pairs
 
     def delay(self, one: str, other: str) -> float:
-        return SLOW if self.slow & {one, other} else DELAY
+        return (
+            SLOW_DELAY_SECONDS
+            if self.slow & {one, other}
+            else NETWORK_DELAY_SECONDS
+        )
 
-    def wall_ms(self) -> int:
-        return START_MS + int(asyncio.get_running_loop().time() * 1000)
+    def unix_ms(self) -> int:
+        return START_UNIX_MS + int(asyncio.get_running_loop().time() * 1000)
 
-    def add(self, host: str, number: int, incarnation: str = "1") -> None:
+    def add_node(self, host: str, number: int, incarnation: str = "1") -> None:
         address = f"127.0.0.1:{1000 + number}"
         self.members[host] = messages.Member(
             host=host,
@@ -77,21 +81,25 @@
             peer_address=address,
         )
         self.leases[host] = FakeLease()
-        self.nodes[address] = once.Once(
+        self.nodes[address] = once.AtMostOnce(
             self.options,
-            tenure.Process(ids.HostId(host), ids.Incarnation(incarnation)),
-            Link(self, address),
+            slotownership.ProcessId(
+                ids.HostId(host), ids.Incarnation(incarnation)
+            ),
+            FakeTransport(self, address),
             self.leases[host],
-            self.wall_ms,
+            self.unix_ms,
         )
 
-    def node(self, host: str) -> once.Once:
+    def node(self, host: str) -> once.AtMostOnce:
         return self.nodes[self.members[host].peer_address]
 
-    def publish(self, *hosts: str, active: bool = True, to=()) -> None:
+    def publish_view(
+        self, *hosts: str, active: bool = True, recipients=()
+    ) -> None:
         """Commits a view of these hosts and hands it to `to`, or to all."""
         self.publish_members([self.members[host] for host in hosts], active)
-        self.hand_out(to or hosts)
+        self.deliver_view(recipients or hosts)
 
     def publish_members(self, members, active: bool = False) -> None:
         """Commits a view of these members."""
@@ -109,31 +117,31 @@
             active=active,
         )
 
-    def hand_out(self, hosts) -> None:
+    def deliver_view(self, hosts) -> None:
         for host in hosts:
-            self.node(host).update({SERVICE: self.view})
+            self.node(host).update_views({SERVICE: self.view})
 
     def activate(self, *hosts: str) -> None:
         self.view = dataclasses.replace(self.view, active=True)
-        self.hand_out(hosts)
+        self.deliver_view(hosts)
 
-    def part(self, one: str, other: str) -> None:
+    def cut_pair(self, one: str, other: str) -> None:
         """Cuts the way between two hosts only."""
         pair = (
             self.members[one].peer_address,
             self.members[other].peer_address,
         )
-        self.parted.add(frozenset(pair))
+        self.cut_pairs.add(frozenset(pair))
 
-    def kill(self, host: str) -> None:
-        self.cut.add(self.members[host].peer_address)
+    def isolate(self, host: str) -> None:
+        self.isolated.add(self.members[host].peer_address)
 
     def owner(self, key: str) -> str:
-        return slots.owner(self.view, slots.slot_of(key)).host
+        return keyslots.owner(self.view, keyslots.slot_of(key)).host
 
     def holder(self, key: str) -> str:
-        share = self.node(self.owner(key)).share(SERVICE)
-        return share.placement.holders(slots.slot_of(key))[0].host
+        share = self.node(self.owner(key)).ownership_of(SERVICE)
+        return share.placement.holders(keyslots.slot_of(key))[0].host
 
     def call(self, key: str, body: bytes = b"unit 7") -> messages.Call:
         return messages.Call(
@@ -148,9 +156,11 @@
     async def execute(self, gate) -> messages.Reply:
         await gate()
         self.runs.append("run")
-        await asyncio.sleep(RUN_TIME)
+        await asyncio.sleep(RUN_SECONDS)
         return messages.Reply(
-            outcome=messages.Outcome.ANSWERED, status=201, body=self.answer
+            outcome=messages.Outcome.ANSWERED,
+            status=201,
+            body=self.response_body,
         )
 
     async def send(self, host: str, key: str, **options) -> messages.Reply:
@@ -160,43 +170,43 @@
     async def close(self) -> None:
         for node in self.nodes.values():
             await node.close()
-        for travel in list(self.travels):
+        for travel in list(self.deliveries):
             travel.cancel()
 
 
 @dataclasses.dataclass
-class Link:
+class FakeTransport:
     """One node's transport."""
 
-    network: Network
+    network: FakeNetwork
     address: str
 
     async def ask(self, address, body, timeout):
         # The request goes on when the sender gives up: it may arrive late.
         travel = asyncio.create_task(self.deliver(str(address), body))
-        self.network.travels.add(travel)
-        travel.add_done_callback(self.network.travels.discard)
+        self.network.deliveries.add(travel)
+        travel.add_done_callback(self.network.deliveries.discard)
         return await asyncio.wait_for(asyncio.shield(travel), timeout)
 
     async def deliver(self, target, body):
         nodes = self.network.nodes
         await asyncio.sleep(self.network.delay(self.address, target))
-        if not self.network.passes(self.address, target):
-            await asyncio.sleep(FOREVER)
+        if not self.network.can_reach(self.address, target):
+            await asyncio.sleep(LOST_DELAY_SECONDS)
         if target not in nodes:
             raise errors.PeerUnreachableError
         answer = await nodes[target].handle(body)
         await asyncio.sleep(self.network.delay(self.address, target))
-        if not self.network.passes(self.address, target):
-            await asyncio.sleep(FOREVER)
+        if not self.network.can_reach(self.address, target):
+            await asyncio.sleep(LOST_DELAY_SECONDS)
         return answer
 
 
 @contextlib.asynccontextmanager
-async def network(hosts: int = 4, **changes):
+async def running_network(hosts: int = 4, **changes):
     """A settled network of nodes that serve one service."""
-    made = Network(hosts, **changes)
-    made.publish(*made.members)
+    made = FakeNetwork(hosts, **changes)
+    made.publish_view(*made.members)
     await asyncio.sleep(1)
     try:
         yield made
@@ -204,8 +214,8 @@
         await made.close()
 
 
-def new_key(dice: random.Random = DICE) -> str:
+def new_key(dice: random.Random = RNG) -> str:
     """A key minted at the fake wall clock's present."""
-    now = START_MS + int(asyncio.get_running_loop().time() * 1000)
-    number = (now << 80) | (VERSION_BITS | dice.getrandbits(62))
+    now = START_UNIX_MS + int(asyncio.get_running_loop().time() * 1000)
+    number = (now << 80) | (UUID7_BITS | dice.getrandbits(62))
     return str(uuid6.UUID(int=number))
--- a/tests/processfakes.py
+++ b/tests/processfakes.py
@@ -7,7 +7,7 @@
 import signal
 
 from bench import backend, cluster, deployment, hosts, launcher, load, verdict
-from mangobay import ids, slots
+from mangobay import ids, keyslots
 from mangobay.generated import messages
 
 BOOKING = pathlib.Path(__file__).parent / "booking"
@@ -39,7 +39,9 @@
             if SERVICE in host.serves
         ]
         view = messages.ServiceView(service=SERVICE, members=members)
-        name = slots.owner(view, slots.slot_of(ids.IdempotencyKey(key))).host
+        name = keyslots.owner(
+            view, keyslots.slot_of(ids.IdempotencyKey(key))
+        ).host
         return self.node(name)
 
     def node(self, name: str) -> hosts.NodeHost:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -11,15 +11,15 @@
     calls,
     dispatch,
     errors,
+    execution,
     fields,
     inflight,
+    keyslots,
     options,
     remotetraffic,
     retryallowance,
     retrybudget,
     routing,
-    serving,
-    slots,
     traces,
 )
 from mangobay.generated import messages, settings
@@ -104,7 +104,7 @@
         router=router,
         retry_budget=retrybudget.RetryBudget(section),
         transport=hosts,
-        serving=serving.Serving(PROCESS, served, None, None),
+        executor=execution.CallExecutor(PROCESS, served, None, None),
         lease=Lease(),
         views=views,
         tracer=traces.Tracer(),
@@ -149,7 +149,7 @@
     return messages.Reply(outcome=Outcome.ANSWERED, tries_left=call.tries)
 
 
-class OwnServing:
+class FakeCallExecutor:
     """A backend server on this host, with room, that fails some calls."""
 
     def __init__(self, failing):
@@ -196,7 +196,7 @@
         made, _ = make_entry(
             answer, names=[*HOSTS[:5], PROCESS.host], hop_tries=0
         )
-        own = made.dependencies.serving = OwnServing(failing)
+        own = made.dependencies.executor = FakeCallExecutor(failing)
         for _ in range(200):
             await made.handle(make_request(granted=0))
         assert fewest <= own.served_calls <= most
@@ -385,7 +385,7 @@
         request = make_request(idempotent=False, key="k1")
         await made.handle(request)
         view = made.dependencies.views.value["stock"]
-        owner = slots.owner(view, slots.slot_of("k1"))
+        owner = keyslots.owner(view, keyslots.slot_of("k1"))
         assert hosts.asked_hosts == [owner.host]
         assert hosts.calls[0].key == "k1"
 
@@ -404,7 +404,7 @@
         made, hosts = make_entry(None, names=("a", "b"))
         request = make_request(idempotent=False, key="k")
         view = made.dependencies.views.value["stock"]
-        owner = slots.owner(view, slots.slot_of("k")).host
+        owner = keyslots.owner(view, keyslots.slot_of("k")).host
 
         def script(host, call):
             if host != owner:
@@ -465,11 +465,15 @@
         asking = asyncio.create_task(made.handle(request))
         await asyncio.sleep(0.001)
         if order == "answer-first":
-            loop.call_later(inflight.LAST_REPLY_SECONDS, come.set_result, None)
+            loop.call_later(
+                inflight.REFUSAL_DELIVERY_SECONDS, come.set_result, None
+            )
         giving_up = asyncio.create_task(made.in_flight.give_up())
         await asyncio.sleep(0)
         if order == "cut-first":
-            loop.call_later(inflight.LAST_REPLY_SECONDS, come.set_result, None)
+            loop.call_later(
+                inflight.REFUSAL_DELIVERY_SECONDS, come.set_result, None
+            )
         await giving_up
         reply = await asking
         assert reply.outcome is messages.Outcome.ANSWERED
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -197,9 +197,9 @@
             asking.cancel()
         await nodes.until(lambda: one.backend_server.cancelled == 1)
         await nodes.until(lambda: not one.dispatcher.in_flight.open)
-        assert len(one.serving.parents) == 1
+        assert len(one.executor.parents) == 1
         self.release.set()
-        await nodes.until(lambda: one.serving.idle)
+        await nodes.until(lambda: one.executor.idle)
         assert one.backend_server.cancelled == 1
 
     async def wait_for_booking(self, request):
@@ -237,7 +237,7 @@
         one = await world.start("one", None)
         two = await world.start("two", answer)
         three = await world.start("three", answer)
-        two.serving.leaving = True
+        two.executor.leaving = True
         for _ in range(6):
             status, _, body = await world.outside(one, "POST", "/stock/book")
             assert status == 200, body
@@ -298,13 +298,13 @@
             return web.Response(body=body)
 
         one = await world.start("one", ask_freight)
-        serve = one.serving.serve
+        serve = one.executor.serve
 
         async def note(call):
             calls.append(call)
             return await serve(call)
 
-        one.serving.serve = note
+        one.executor.serve = note
         _, _, body = await world.outside(
             one, "GET", "/stock/price", headers={"Request-Timeout": "9"}
         )
@@ -327,13 +327,13 @@
         """
         seen = []
         one = await world.start("one", answer)
-        serve = one.serving.serve
+        serve = one.executor.serve
 
         async def note(call):
             seen.append(call)
             return await serve(call)
 
-        one.serving.serve = note
+        one.executor.serve = note
         theirs = f"00-{'ab' * 16}-{'cd' * 8}-01"
         for _ in range(2):
             await world.outside(
@@ -371,7 +371,7 @@
         await world.outside(one, "GET", "/stock/price")
         assert statuses.count(500) <= 1 + 4
         assert statuses[-1] == 503
-        assert not one.serving.parents
+        assert not one.executor.parents
 
     async def test_who_has_not_announced_itself_may_not_call(self, world):
         one = await world.start("one", None)
@@ -435,7 +435,7 @@
         asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
         await nodes.until(lambda: one.backend_server.requests)
         one.control.draining.on_next(True)
-        await nodes.until(lambda: one.serving.leaving)
+        await nodes.until(lambda: one.executor.leaving)
         status, _, body = await world.outside(one, "GET", "/stock/price")
         assert (status, reason_of(body)) == (503, "leaving")
         assert one.control.leaving
@@ -496,11 +496,11 @@
         async with Caller(one.outside_listener.address, limit=1000) as caller:
             caller.send("GET", "/stock/price")
             await nodes.until(
-                lambda: one.backend_server.requests and one.serving.idle
+                lambda: one.backend_server.requests and one.executor.idle
             )
             await nodes.until(lambda: not one.dispatcher.in_flight.open)
             one.stop()
-            await nodes.until(lambda: one.serving.leaving)
+            await nodes.until(lambda: one.executor.leaving)
             world.tell_views()
             await asyncio.sleep(0.3)
             assert not one.ended.is_set()
@@ -524,10 +524,10 @@
         (peer,) = one.peers.peers.values()
         peer.connection.transport.pause_reading()
         two.stop()
-        await nodes.until(lambda: two.serving.leaving)
+        await nodes.until(lambda: two.executor.leaving)
         world.tell_views()
         slow.release.set()
-        await nodes.until(lambda: two.serving.idle)
+        await nodes.until(lambda: two.executor.idle)
         await asyncio.sleep(0.3)
         assert not two.ended.is_set()
         peer.connection.transport.resume_reading()
@@ -604,7 +604,7 @@
         asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
         await nodes.until(lambda: one.backend_server.requests)
         one.stop()
-        await nodes.until(lambda: one.serving.leaving)
+        await nodes.until(lambda: one.executor.leaving)
         local = one.local_listener.address
         ended = {"tracestate": "mangobay=0123456789abcdef"}
         for headers in ({}, ended):
@@ -636,7 +636,7 @@
         asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
         await nodes.until(lambda: one.backend_server.requests)
         one.stop()
-        await nodes.until(lambda: one.serving.leaving)
+        await nodes.until(lambda: one.executor.leaving)
         slow.release.set()
         status, _, body = await asking
         assert (status, body) == (200, b"GET /inside")
@@ -653,7 +653,7 @@
             caller.send("POST", "/stock/book", b"a", length=2)
             await nodes.until(lambda: one.local_listener.busy)
             one.stop()
-            await nodes.until(lambda: one.serving.leaving)
+            await nodes.until(lambda: one.executor.leaving)
             caller.writer.write(b"b")
             status, _, body = await caller.answer()
         assert (status, reason_of(body)) == (503, "leaving")
@@ -675,7 +675,7 @@
             busy.send("POST", "/stock/book")
             await nodes.until(lambda: one.backend_server.requests)
             one.stop()
-            await nodes.until(lambda: one.serving.leaving)
+            await nodes.until(lambda: one.executor.leaving)
             idle.send("GET", "/stock/price")
             status, headers, body = await idle.answer()
             assert (status, reason_of(body)) == (503, "leaving")
@@ -696,7 +696,7 @@
             caller.send("GET", "/stock/price")
             await nodes.until(lambda: one.backend_server.requests)
             one.stop()
-            await nodes.until(lambda: one.serving.leaving)
+            await nodes.until(lambda: one.executor.leaving)
             slow.release.set()
             seen = [await caller.answer() for _ in range(3)]
             assert [status for status, _, _ in seen] == [200, 503, 503]
@@ -709,7 +709,7 @@
         """Its next call crosses the end of the process."""
         one = await world.start("one", answer)
         one.stop()
-        await nodes.until(lambda: one.serving.leaving)
+        await nodes.until(lambda: one.executor.leaving)
         async with Caller(one.local_listener.address) as caller:
             caller.send("GET", "/mangobay/ready")
             status, headers, _ = await caller.answer()
@@ -759,7 +759,7 @@
         await nodes.until(lambda: one.backend_server.requests)
         two = await world.start("two", Slow())
         one.stop()
-        await nodes.until(lambda: one.serving.leaving)
+        await nodes.until(lambda: one.executor.leaving)
         leaving.set()
         await nodes.until(lambda: two.backend_server.requests)
         await self.end(one)
--- a/tests/test_serving.py
+++ b/tests/test_execution.py
@@ -9,19 +9,19 @@
     backend,
     calls,
     errors,
+    execution,
     fields,
     options,
-    serving,
 )
 from mangobay.generated import messages
 
 Outcome = messages.Outcome
 Reason = messages.Reason
-ME = calls.Process("me", "centre", "run-1")
-LONG = 60.0
+PROCESS = calls.Process("me", "centre", "run-1")
+LONG_SECONDS = 60.0
 
 
-class Permit:
+class FakePermit:
     """Notes how a slot was given back."""
 
     def __init__(self):
@@ -40,7 +40,7 @@
         self.below.append(downstream_threshold)
 
 
-class Gatekeeper:
+class FakeAdmission:
     """An admission that admits at once."""
 
     threshold = 300
@@ -50,7 +50,7 @@
     limit = 7
 
     def __init__(self):
-        self.permit = Permit()
+        self.permit = FakePermit()
 
     async def acquire(self, ticket):
         return self.permit
@@ -62,7 +62,7 @@
         return self.told_below
 
 
-class Sender:
+class FakeBackendClient:
     """Opens the gate, then does what the test says."""
 
     def __init__(self, act):
@@ -79,13 +79,15 @@
             raise
 
 
-def make_serving(act) -> serving.Serving:
-    served = announcements.Announcements(5, Gatekeeper, lambda services: None)
+def make_executor(act) -> execution.CallExecutor:
+    served = announcements.Announcements(
+        5, FakeAdmission, lambda services: None
+    )
     address = options.Address("127.0.0.1", 1)
     served.announce(
         announcements.Announcement(service="stock", address=address, slots=4)
     )
-    return serving.Serving(ME, served, Sender(act), None)
+    return execution.CallExecutor(PROCESS, served, FakeBackendClient(act), None)
 
 
 def call(idempotent=True, deadline_ms=1000) -> messages.Call:
@@ -100,7 +102,7 @@
     )
 
 
-def failing(error, sent):
+def fail_with(error, sent):
     async def act(attempt):
         attempt.sent = sent
         raise error
@@ -108,7 +110,7 @@
     return act
 
 
-def shedding():
+def shed():
     async def act(attempt):
         attempt.sent = True
         return backend.Answer(
@@ -166,7 +168,7 @@
     async def test_not_run_is_said_only_before_the_first_byte(
         self, error, sent, outcome, reason
     ):
-        made = make_serving(failing(error, sent))
+        made = make_executor(fail_with(error, sent))
         reply = await made.serve(call())
         assert (reply.outcome, reply.reason) == (outcome, reason)
         assert reply.tries_left == 5
@@ -180,15 +182,15 @@
         It had already booked elsewhere, so "not run" would be false.  Only
         where it made no child call its word is taken.
         """
-        made = make_serving(shedding())
+        made = make_executor(shed())
         assert (await made.serve(call())).reason == Reason.BACKEND_SHED
 
         async def with_child(attempt):
             (parent,) = made.parents.values()
             assert parent.running_call.allow_child("POST", "/book", b"")
-            return await shedding()(attempt)
+            return await shed()(attempt)
 
-        made.sender.act = with_child
+        made.backend_client.act = with_child
         reply = await made.serve(call())
         assert (reply.outcome, reply.status) == (Outcome.ANSWERED, 503)
 
@@ -207,13 +209,13 @@
                 status=502, headers=[], body=b"", seconds=0.1, shed=False
             )
 
-        made = make_serving(refused)
+        made = make_executor(refused)
         await made.serve(call())
         permit = made.served.find("stock").admission.permit
         assert (permit.left, permit.below) == ([False], [500])
 
     async def test_refusals_hand_every_try_back(self):
-        made = make_serving(None)
+        made = make_executor(None)
         reply = await made.serve(call(deadline_ms=0))
         assert (reply.reason, reply.tries_left) == (Reason.DEADLINE_EXCEEDED, 5)
         made.leaving = True
@@ -242,9 +244,9 @@
             attempt.sent = True
             await asyncio.sleep(0.5)
             done.set()
-            return await shedding()(attempt)
+            return await shed()(attempt)
 
-        made = make_serving(book)
+        made = make_executor(book)
         asking = await self.run_for(made, 0.1)
         asking.cancel()
         await asyncio.wait({asking})
@@ -253,31 +255,31 @@
         await done.wait()
         await asyncio.sleep(0.01)
         assert made.idle
-        assert made.sender.cancelled == 0
+        assert made.backend_client.cancelled == 0
 
     async def test_at_its_deadline_the_caller_is_told_unknown(self):
         async def book(attempt):
             attempt.sent = True
             await asyncio.sleep(3)
-            return await shedding()(attempt)
+            return await shed()(attempt)
 
-        made = make_serving(book)
+        made = make_executor(book)
         reply = await made.serve(call(idempotent=False))
         assert (reply.outcome, reply.reason) == (
             Outcome.UNKNOWN,
             Reason.DEADLINE_EXCEEDED,
         )
         assert asyncio.get_running_loop().time() < 2
-        assert made.started
+        assert made.unkeyed_tasks
         await asyncio.sleep(3)
         assert made.idle
 
     async def test_a_cancelled_read_frees_its_slot(self):
         async def read(attempt):
             attempt.sent = True
-            await asyncio.sleep(LONG)
+            await asyncio.sleep(LONG_SECONDS)
 
-        made = make_serving(read)
+        made = make_executor(read)
         asking = asyncio.create_task(made.serve(call()))
         await asyncio.sleep(0.1)
         asking.cancel()
@@ -285,7 +287,7 @@
         assert made.idle
         permit = made.served.find("stock").admission.permit
         assert permit.left == [False]
-        assert made.sender.cancelled == 1
+        assert made.backend_client.cancelled == 1
 
     async def test_one_that_never_started_is_told_not_run(self):
         """A caller whose booking got no slot in time may send it again.
@@ -293,7 +295,7 @@
         Every slot is taken until the deadline; told 504 the caller would have
         to take the booking for one that may have run.
         """
-        made = make_serving(shedding())
+        made = make_executor(shed())
         place = made.served.find("stock")
 
         async def never(ticket):
@@ -332,6 +334,6 @@
                 status=500, headers=[], body=b"", seconds=0.1, shed=False
             )
 
-        made = make_serving(act)
+        made = make_executor(act)
         reply = await made.serve(call())
         assert reply.called_below is bool(calls_made)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -6,7 +6,7 @@
 import once_fakes
 import pytest
 
-from mangobay import invariants, records, slots
+from mangobay import invariants, keyslots, records
 from mangobay.generated import messages
 
 
@@ -15,7 +15,7 @@
     """The same key again, while nothing has failed."""
 
     async def test_a_repeat_gets_the_same_whole_answer(self):
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             first = await net.send(owner, key)
@@ -24,7 +24,7 @@
             assert net.runs == ["run"]
 
     async def test_a_repeat_waits_for_the_run_in_flight(self):
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             replies = await asyncio.gather(
@@ -34,7 +34,7 @@
             assert net.runs == ["run"]
 
     async def test_a_key_with_another_body_is_refused(self):
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             await net.send(owner, key)
@@ -44,7 +44,7 @@
             assert (await net.send(owner, key)).body == b"slip 1"
 
     async def test_a_key_older_than_the_window_never_runs(self):
-        async with once_fakes.network(window=10.0) as net:
+        async with once_fakes.running_network(window=10.0) as net:
             key = once_fakes.new_key()
             await asyncio.sleep(11)
             reply = await net.send(net.owner(key), key)
@@ -53,7 +53,7 @@
             assert net.runs == []
 
     async def test_another_node_than_the_owner_refuses(self):
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             other = next(h for h in net.members if h != net.owner(key))
             reply = await net.send(other, key)
@@ -65,11 +65,11 @@
         The run goes on; the repeat gets its answer.  A cancelled run would
         leave the booking's fate unknown for nothing.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             hasty = asyncio.create_task(net.send(owner, key))
-            await asyncio.sleep(once_fakes.RUN_TIME / 2)
+            await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             hasty.cancel()
             assert (await net.send(owner, key)).body == b"slip 1"
             assert net.runs == ["run"]
@@ -83,7 +83,7 @@
         """Drops what left the window, as every node does from time to time."""
         now = asyncio.get_running_loop().time()
         for node in net.nodes.values():
-            node.share(once_fakes.SERVICE).registry.expire(now)
+            node.ownership_of(once_fakes.SERVICE).registry.expire(now)
 
     async def test_answers_fill_the_memory_and_new_keys_are_refused(self):
         """Large answers fill what a node may use; callers go on.
@@ -92,8 +92,10 @@
         the same answer, and a new key is told `not run`, which is true. Once
         the old ones leave the window, new keys run again.
         """
-        async with once_fakes.network(window=20.0, memory_bytes=40_000) as net:
-            net.answer = b"x" * 10_000
+        async with once_fakes.running_network(
+            window=20.0, memory_bytes=40_000
+        ) as net:
+            net.response_body = b"x" * 10_000
             keys = []
             reply = messages.Reply(outcome=messages.Outcome.ANSWERED)
             while reply.outcome is messages.Outcome.ANSWERED:
@@ -104,35 +106,39 @@
             assert 4 <= len(net.runs) == len(keys) - 1 < 40
             for key in keys[:-1]:
                 again = await net.send(net.owner(key), key)
-                assert again.body == net.answer
+                assert again.body == net.response_body
             await asyncio.sleep(40)
             self.expire(net)
             key = once_fakes.new_key()
-            assert (await net.send(net.owner(key), key)).body == net.answer
+            assert (
+                await net.send(net.owner(key), key)
+            ).body == net.response_body
 
     async def test_what_the_budget_counts_goes_with_the_records(self):
-        async with once_fakes.network(window=20.0) as net:
+        async with once_fakes.running_network(window=20.0) as net:
             for _ in range(20):
                 key = once_fakes.new_key()
                 await net.send(net.owner(key), key)
             await asyncio.sleep(1)
-            used = [node.budget.used for node in net.nodes.values()]
-            assert sum(used) >= 40 * records.RECORD_BYTES
+            used = [node.budget.used_bytes for node in net.nodes.values()]
+            assert sum(used) >= 40 * records.RECORD_OVERHEAD_BYTES
             await asyncio.sleep(60)
             self.expire(net)
-            assert not any(node.budget.used for node in net.nodes.values())
+            assert not any(
+                node.budget.used_bytes for node in net.nodes.values()
+            )
 
 
 @pytest.mark.looptime
 class TestTakeover:
     """The owner is lost, alone or with its copies."""
 
-    async def lose_owner(self, net: once_fakes.Network, key: str) -> str:
+    async def lose_owner(self, net: once_fakes.FakeNetwork, key: str) -> str:
         """Kills the owner and commits the view without it."""
         owner = net.owner(key)
-        net.kill(owner)
+        net.isolate(owner)
         rest = [host for host in net.members if host != owner]
-        net.publish(*rest)
+        net.publish_view(*rest)
         await asyncio.sleep(2)
         return owner
 
@@ -141,7 +147,7 @@
 
         The holder of the copy gives the new owner the whole answer.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             first = await net.send(net.owner(key), key)
             await asyncio.sleep(0.1)
@@ -156,11 +162,11 @@
         The copy says started, its runner is gone: the repeat is told that
         the fate is unknown, at once, and the booking does not run again.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             task = asyncio.create_task(net.send(owner, key))
-            await asyncio.sleep(once_fakes.RUN_TIME / 2)
+            await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             await self.lose_owner(net, key)
             again = await net.send(net.owner(key), key)
             assert again.outcome is messages.Outcome.UNKNOWN
@@ -175,15 +181,17 @@
         says that the run goes on.  The repeat is told at once all the same
         that its fate is unknown, and does not wait for its deadline.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             while self.next_owner(net, key) == net.holder(key):
                 key = once_fakes.new_key()
             task = asyncio.create_task(net.send(net.owner(key), key))
-            await asyncio.sleep(once_fakes.RUN_TIME / 2)
+            await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             owner, heir = net.owner(key), self.next_owner(net, key)
-            net.kill(owner)
-            net.publish(*(h for h in net.members if h != owner), to=[heir])
+            net.isolate(owner)
+            net.publish_view(
+                *(h for h in net.members if h != owner), recipients=[heir]
+            )
             await asyncio.sleep(2)
             again = await net.send(heir, key)
             assert again.outcome is messages.Outcome.UNKNOWN
@@ -191,13 +199,15 @@
             assert net.runs == ["run"]
             await asyncio.wait([task])
 
-    def next_owner(self, net: once_fakes.Network, key: str) -> str:
+    def next_owner(self, net: once_fakes.FakeNetwork, key: str) -> str:
         """Returns who owns the key when its owner is gone."""
-        return slots.ranked(net.view.members, slots.slot_of(key))[1].host
+        return keyslots.rank_members(net.view.members, keyslots.slot_of(key))[
+            1
+        ].host
 
     async def test_killed_before_started(self):
         """The owner dies before it told anybody: the repeat simply runs."""
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             await self.lose_owner(net, key)
             again = await net.send(net.owner(key), key)
@@ -209,21 +219,21 @@
 
         Older keys get `unknown`; a key minted after the takeover runs.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner, holder = net.owner(key), net.holder(key)
             await net.send(owner, key)
-            net.kill(owner)
-            net.kill(holder)
+            net.isolate(owner)
+            net.isolate(holder)
             rest = [h for h in net.members if h not in (owner, holder)]
-            net.publish(*rest)
+            net.publish_view(*rest)
             await asyncio.sleep(3)
             again = await net.send(net.owner(key), key)
             assert again.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
             await asyncio.sleep(3)
             young = once_fakes.new_key()
-            while slots.slot_of(young) != slots.slot_of(key):
+            while keyslots.slot_of(young) != keyslots.slot_of(key):
                 young = once_fakes.new_key()
             reply = await net.send(net.owner(young), young)
             assert reply.outcome is messages.Outcome.ANSWERED
@@ -235,19 +245,19 @@
         holder got everything it had, so the third owner must learn from the
         holder that older keys may have run.
         """
-        async with once_fakes.network(6) as net:
+        async with once_fakes.running_network(6) as net:
             key = once_fakes.new_key()
             owner, holder = net.owner(key), net.holder(key)
             await net.send(owner, key)
-            net.kill(owner)
-            net.kill(holder)
+            net.isolate(owner)
+            net.isolate(holder)
             rest = [h for h in net.members if h not in (owner, holder)]
-            net.publish(*rest)
+            net.publish_view(*rest)
             await asyncio.sleep(3)
             second = net.owner(key)
-            net.kill(second)
+            net.isolate(second)
             rest.remove(second)
-            net.publish(*rest)
+            net.publish_view(*rest)
             await asyncio.sleep(3)
             again = await net.send(net.owner(key), key)
             assert again.outcome is messages.Outcome.UNKNOWN
@@ -260,11 +270,11 @@
         the claim is refused here, and the new owner dies: the copy must still
         be there, or the key would run again.
         """
-        async with once_fakes.network(3) as net:
+        async with once_fakes.running_network(3) as net:
             key = once_fakes.new_key()
             newer = net.owner(key)
             rest = [host for host in net.members if host != newer]
-            net.publish(*rest)
+            net.publish_view(*rest)
             await asyncio.sleep(1)
             older = net.owner(key)
             admitted = asyncio.Event()
@@ -276,15 +286,15 @@
             claim = net.node(older).run(net.call(key), wait_for_a_slot)
             claimed = asyncio.create_task(claim)
             await asyncio.sleep(0.1)
-            net.publish(*net.members)
+            net.publish_view(*net.members)
             await asyncio.sleep(1)
             assert (net.owner(key), net.holder(key)) == (newer, older)
             started = asyncio.create_task(net.send(newer, key))
-            await asyncio.sleep(once_fakes.RUN_TIME / 2)
+            await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             admitted.set()
             assert (await claimed).outcome is messages.Outcome.NOT_RUN
-            net.kill(newer)
-            net.publish(*rest)
+            net.isolate(newer)
+            net.publish_view(*rest)
             await asyncio.sleep(2)
             again = await net.send(older, key)
             assert again.outcome is messages.Outcome.UNKNOWN
@@ -298,7 +308,7 @@
         it, so the newest owner still finds the first owner's copy and does
         not fall back to `unknown`.
         """
-        async with once_fakes.network(6) as net:
+        async with once_fakes.running_network(6) as net:
             key = once_fakes.new_key()
             first = await net.send(net.owner(key), key)
             await asyncio.sleep(0.1)
@@ -306,11 +316,11 @@
             place = net.members[owner].data_centre
             dead = [h for h, m in net.members.items() if m.data_centre == place]
             for host in dead:
-                net.kill(host)
+                net.isolate(host)
             rest = list(net.members)
             for host in dead:
                 rest.remove(host)
-                net.publish(*rest)
+                net.publish_view(*rest)
             await asyncio.sleep(2)
             again = await net.send(net.owner(key), key)
             assert again.body == first.body
@@ -322,12 +332,12 @@
         Under its old address it answers the questions of the takeover, but
         as another process: keys from before get `unknown`.
         """
-        async with once_fakes.network(1) as net:
+        async with once_fakes.running_network(1) as net:
             key = once_fakes.new_key()
             await net.send("h0", key)
             await net.node("h0").close()
-            net.add("h0", 0, incarnation="2")
-            net.publish("h0")
+            net.add_node("h0", 0, incarnation="2")
+            net.publish_view("h0")
             await asyncio.sleep(1)
             again = await net.send("h0", key)
             assert again.outcome is messages.Outcome.UNKNOWN
@@ -345,20 +355,20 @@
         instead, which from then on acknowledges no start under the old view.
         So the old owner starts nothing and the booking runs once.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner, holder = net.owner(key), net.holder(key)
             rest = [h for h in net.members if h != owner]
             for host in rest:
                 if host != holder:
-                    net.part(owner, host)
-            net.publish(
-                *rest, active=False, to=[h for h in rest if h != holder]
+                    net.cut_pair(owner, host)
+            net.publish_view(
+                *rest, active=False, recipients=[h for h in rest if h != holder]
             )
             await asyncio.sleep(1)
             late = await net.send(owner, key)
             assert late.reason is messages.Reason.COPY_FAILED
-            net.hand_out([holder])
+            net.deliver_view([holder])
             await asyncio.sleep(1)
             again = await net.send(net.owner(key), key)
             assert again.outcome is messages.Outcome.ANSWERED
@@ -369,11 +379,11 @@
 
         It starts nothing more, although its lease seems fine to it.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             rest = [h for h in net.members if h != owner]
-            net.publish(*rest)
+            net.publish_view(*rest)
             await asyncio.sleep(1)
             late = await net.send(owner, key)
             assert late.outcome is messages.Outcome.NOT_RUN
@@ -387,26 +397,26 @@
         Nobody vouches for the slot, so the new owner waits until the view is
         active before it starts anything: until then the old owner may.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner, holder = net.owner(key), net.holder(key)
-            net.kill(owner)
-            net.kill(holder)
+            net.isolate(owner)
+            net.isolate(holder)
             rest = [h for h in net.members if h not in (owner, holder)]
-            net.publish(*rest, active=False)
+            net.publish_view(*rest, active=False)
             await asyncio.sleep(2)
             early = await net.send(net.owner(key), key)
             assert early.outcome is messages.Outcome.NOT_RUN
             net.activate(*rest)
             await asyncio.sleep(4)
             young = once_fakes.new_key()
-            while slots.slot_of(young) != slots.slot_of(key):
+            while keyslots.slot_of(young) != keyslots.slot_of(key):
                 young = once_fakes.new_key()
             reply = await net.send(net.owner(young), young)
             assert reply.outcome is messages.Outcome.ANSWERED
 
     async def test_without_a_lease_nothing_starts(self):
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             net.leases[owner].held = False
@@ -419,11 +429,11 @@
 
         The second check, after the wait and before the first byte, sees it.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             task = asyncio.create_task(net.send(owner, key))
-            await asyncio.sleep(once_fakes.DELAY)
+            await asyncio.sleep(once_fakes.NETWORK_DELAY_SECONDS)
             net.leases[owner].held = False
             reply = await task
             assert reply.reason is messages.Reason.NO_LEASE
@@ -440,17 +450,17 @@
         It stays until the new owners have asked, so that a repeat gets the
         same answer from the new owner.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             keys = [once_fakes.new_key() for _ in range(40)]
             leaver = net.owner(keys[0])
             for key in keys:
                 await net.send(net.owner(key), key)
             member = net.members[leaver]
             net.members[leaver] = dataclasses.replace(member, leaving=True)
-            net.publish(*net.members)
+            net.publish_view(*net.members)
             async with asyncio.timeout(5):
-                await net.node(leaver).handed_over()
-            net.kill(leaver)
+                await net.node(leaver).finish_handover()
+            net.isolate(leaver)
             await asyncio.sleep(1)
             replies = [await net.send(net.owner(key), key) for key in keys]
             assert {reply.body for reply in replies} == {b"slip 1"}
@@ -461,14 +471,14 @@
 
         The repeat waits at the new owner; the old one sends the answer there.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             leaver = net.owner(key)
             first = asyncio.create_task(net.send(leaver, key))
             await asyncio.sleep(0.02)
             member = net.members[leaver]
             net.members[leaver] = dataclasses.replace(member, leaving=True)
-            net.publish(*net.members)
+            net.publish_view(*net.members)
             await asyncio.sleep(0.02)
             again = await net.send(net.owner(key), key)
             assert (await first).body == again.body == b"slip 1"
@@ -490,8 +500,8 @@
         await asyncio.sleep(0)
         member = net.members[owner]
         net.members[owner] = dataclasses.replace(member, leaving=True)
-        await asyncio.sleep(once_fakes.DELAY * 1.5)
-        net.publish(*net.members)
+        await asyncio.sleep(once_fakes.NETWORK_DELAY_SECONDS * 1.5)
+        net.publish_view(*net.members)
         assert net.owner(key) == holder
         assert (await claim).outcome is messages.Outcome.NOT_RUN
         return owner, holder
@@ -503,7 +513,7 @@
         call, and waits for an end that nobody will report.  The former owner
         is there and can say that it does not run it.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             _, newer = await self.refused_late(net, key)
             # The repeat that was waiting already is told `not_run`.
@@ -520,14 +530,14 @@
         them: it learns of a run of its own that it never began, and waits
         for its end.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             older, newer = await self.refused_late(net, key)
             await asyncio.sleep(0.5)
             entry = messages.OnceEntry(
                 key=key,
                 service=once_fakes.SERVICE,
-                slot=slots.slot_of(key),
+                slot=keyslots.slot_of(key),
                 state=messages.OnceState.STARTED,
                 runner=older,
                 runner_incarnation="1",
@@ -539,7 +549,7 @@
             )
             await net.node(older).handle(put)
             async with asyncio.timeout(5):
-                await net.node(older).handed_over()
+                await net.node(older).finish_handover()
 
     async def test_a_run_that_is_under_way_is_not_given_up(self):
         """The new owner asks while the former one runs the call.
@@ -547,14 +557,14 @@
         The former owner says that it runs it: the repeat waits for that
         answer and does not run the call again.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             older, newer = net.owner(key), net.holder(key)
             first = asyncio.create_task(net.send(older, key))
-            await asyncio.sleep(once_fakes.RUN_TIME / 2)
+            await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             member = net.members[older]
             net.members[older] = dataclasses.replace(member, leaving=True)
-            net.publish(*net.members)
+            net.publish_view(*net.members)
             again = await net.send(newer, key)
             assert (await first).body == again.body == b"slip 1"
             assert net.runs == ["run"]
@@ -566,7 +576,7 @@
 
     async def test_it_is_checked_on_every_start(self):
         before = invariants.checks[invariants.Promise.AT_MOST_ONCE]
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             for _ in range(10):
                 key = once_fakes.new_key()
                 await net.send(net.owner(key), key)
--- a/tests/test_once_random.py
+++ b/tests/test_once_random.py
@@ -17,10 +17,10 @@
 
 HOSTS = 5
 KEYS = 6
-TTL = 2.0
-MARGIN = 0.5
-TICK = 0.2
-QUEUED = st.sampled_from([0.01, 1.5])
+TTL_SECONDS = 2.0
+MARGIN_SECONDS = 0.5
+TICK_SECONDS = 0.2
+QUEUE_SECONDS = st.sampled_from([0.01, 1.5])
 """Seconds that a claim waits for admission."""
 
 
@@ -35,68 +35,73 @@
 
 
 @dataclasses.dataclass
-class Seen:
+class ProcessStatus:
     """What the fake control group knows of one process."""
 
-    renewed: float
+    renewed_at: float
     version: int = 0
 
 
 class FakeControl:
     """Grants leases and commits views by the rules of the real group."""
 
-    def __init__(self, net: once_fakes.Network):
+    def __init__(self, net: once_fakes.FakeNetwork):
         self.net = net
-        self.seen: dict[tuple, Seen] = {}
+        self.statuses: dict[tuple, ProcessStatus] = {}
         self.leaving: set[str] = set()
 
-    def identity(self, host: str) -> tuple:
+    def process_id_of(self, host: str) -> tuple:
         return (host, self.net.members[host].incarnation)
 
     async def run(self) -> None:
         while True:
             self.tick(asyncio.get_running_loop().time())
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_SECONDS)
 
     def tick(self, now: float) -> None:
         for host, member in self.net.members.items():
-            if member.peer_address in self.net.nodes and self.net.passes(
+            if member.peer_address in self.net.nodes and self.net.can_reach(
                 member.peer_address, ""
             ):
                 self.renew(host, now)
         self.commit(now)
 
     def renew(self, host: str, now: float) -> None:
-        seen = self.seen.setdefault(self.identity(host), Seen(now))
-        seen.renewed = now
-        self.net.leases[host].until = now + TTL
-        self.net.hand_out([host])
-        share = self.net.node(host).shares.get(once_fakes.SERVICE)
+        seen = self.statuses.setdefault(
+            self.process_id_of(host), ProcessStatus(now)
+        )
+        seen.renewed_at = now
+        self.net.leases[host].until = now + TTL_SECONDS
+        self.net.deliver_view([host])
+        share = self.net.node(host).ownerships.get(once_fakes.SERVICE)
         seen.version = share.view.version if share else 0
 
-    def living(self, identity: tuple, now: float) -> bool:
-        seen = self.seen.get(identity)
-        return seen is not None and now < seen.renewed + TTL + MARGIN
+    def is_alive(self, identity: tuple, now: float) -> bool:
+        seen = self.statuses.get(identity)
+        return (
+            seen is not None
+            and now < seen.renewed_at + TTL_SECONDS + MARGIN_SECONDS
+        )
 
     def commit(self, now: float) -> None:
         wanted = [
             member
             for host, member in self.net.members.items()
-            if self.living(self.identity(host), now)
+            if self.is_alive(self.process_id_of(host), now)
         ]
         if wanted != self.net.view.members:
             self.net.publish_members(wanted)
         formers = [m for f in self.net.view.formers for m in f.members]
         active = all(
-            self.seen[key].version >= self.net.view.version
+            self.statuses[key].version >= self.net.view.version
             for key in {(m.host, m.incarnation) for m in formers}
-            if self.living(key, now)
+            if self.is_alive(key, now)
         )
         if active != self.net.view.active:
             self.net.view = dataclasses.replace(self.net.view, active=active)
 
 
-class OnceMachine(stateful.RuleBasedStateMachine):
+class AtMostOnceMachine(stateful.RuleBasedStateMachine):
     """Random faults against real Once objects on a virtual-time loop."""
 
     faults: collections.Counter = collections.Counter()
@@ -111,7 +116,7 @@
         return self.loop.run_until_complete(work)
 
     async def start(self):
-        self.net = once_fakes.Network(HOSTS, window=600.0)
+        self.net = once_fakes.FakeNetwork(HOSTS, window=600.0)
         self.net.leases = {host: ClockLease() for host in self.net.members}
         for host, lease in self.net.leases.items():
             self.net.node(host).lease = lease
@@ -150,13 +155,13 @@
     @stateful.rule(
         host=st.integers(0, HOSTS - 1),
         key=st.integers(0, KEYS - 1),
-        queued=QUEUED,
+        queued=QUEUE_SECONDS,
     )
     def send(self, host, key, queued):
         work = self.arrive(f"h{host}", self.keys[key], queued)
         self.tasks.append(self.loop.create_task(work))
 
-    @stateful.rule(key=st.integers(0, KEYS - 1), queued=QUEUED)
+    @stateful.rule(key=st.integers(0, KEYS - 1), queued=QUEUE_SECONDS)
     def send_to_the_owner(self, key, queued):
         if self.net.view.members:
             host = self.net.owner(self.keys[key])
@@ -166,19 +171,19 @@
     @stateful.rule(host=st.integers(0, HOSTS - 1))
     def cut(self, host):
         self.faults["cut"] += 1
-        self.net.kill(f"h{host}")
+        self.net.isolate(f"h{host}")
 
     @stateful.rule(host=st.integers(0, HOSTS - 1))
     def heal(self, host):
         address = self.net.members[f"h{host}"].peer_address
-        self.net.cut.discard(address)
+        self.net.isolated.discard(address)
         self.net.slow.discard(address)
 
     @stateful.rule()
     def heal_all(self):
-        self.net.cut.clear()
+        self.net.isolated.clear()
         self.net.slow.clear()
-        self.run(asyncio.sleep(TTL))
+        self.run(asyncio.sleep(TTL_SECONDS))
 
     @stateful.rule(host=st.integers(0, HOSTS - 1))
     def slow(self, host):
@@ -196,16 +201,16 @@
         for task in old.tasks:
             task.cancel()
         incarnation = str(int(self.net.members[host].incarnation) + 1)
-        self.net.add(host, number, incarnation)
+        self.net.add_node(host, number, incarnation)
         self.net.leases[host] = ClockLease()
         self.net.node(host).lease = self.net.leases[host]
 
     @stateful.rule(seconds=st.sampled_from([0.004, 0.03, 0.5, 3.0, 7.0]))
     def wait(self, seconds):
         self.run(asyncio.sleep(seconds))
-        self.look()
+        self.check_runs()
 
-    def look(self):
+    def check_runs(self):
         for key in self.keys:
             assert len(self.runs[key]) <= 1, f"{key} ran twice"
             assert len(self.bodies[key]) <= 1, f"{key} has two answers"
@@ -216,11 +221,11 @@
 
     def teardown(self):
         self.run(self.finish())
-        self.look()
+        self.check_runs()
         self.loop.close()
 
     async def finish(self):
-        self.net.cut.clear()
+        self.net.isolated.clear()
         self.net.slow.clear()
         await asyncio.sleep(10)
         self.keeper.cancel()
@@ -256,10 +261,10 @@
     def run(self, options: hypothesis.settings, capsys) -> None:
         promise = invariants.Promise.AT_MOST_ONCE
         before = invariants.checks[promise]
-        stateful.run_state_machine_as_test(OnceMachine, settings=options)
+        stateful.run_state_machine_as_test(AtMostOnceMachine, settings=options)
         checked = invariants.checks[promise] - before
         with capsys.disabled():
-            faults = dict(OnceMachine.faults)
+            faults = dict(AtMostOnceMachine.faults)
             print(f"\nonce: faults {faults}, starts checked {checked}")
         assert checked > 0
-        assert sum(OnceMachine.faults.values()) > 0
+        assert sum(AtMostOnceMachine.faults.values()) > 0
--- a/tests/test_tenure.py
+++ b/tests/test_slotownership.py
@@ -6,7 +6,7 @@
 import pytest
 import uuid6
 
-from mangobay import ids, keys, records, slots, tenure
+from mangobay import ids, keys, keyslots, records, slotownership
 from mangobay.generated import messages
 
 SLOT = ids.Slot(0)
@@ -29,12 +29,12 @@
         is not named may have started calls that no answer tells of.
         """
         member = messages.Member(host="a", incarnation="1")
-        me = tenure.Process("b", "1")
-        registry = records.Registry(3600, 10, records.Budget(1_000_000))
-        place = slots.CopyPlace.OTHER_DATA_CENTRE
-        share = tenure.Tenure("stock", me, registry, 1, place)
+        me = slotownership.ProcessId("b", "1")
+        registry = records.Registry(3600, 10, records.MemoryBudget(1_000_000))
+        place = keyslots.CopyPlace.OTHER_DATA_CENTRE
+        share = slotownership.SlotOwnership("stock", me, registry, 1, place)
         former = messages.FormerView(version=5, members=[member])
-        share.adopt(
+        share.adopt_view(
             messages.ServiceView(
                 service="stock",
                 version=6,
@@ -44,8 +44,8 @@
             )
         )
         told = messages.SlotKnowledge(slot=SLOT, owned_upto=3)
-        answers = {tenure.process_of(member): told}
-        assert tenure.knows_everything(share, SLOT, answers) is whole
+        answers = {slotownership.process_id_of(member): told}
+        assert slotownership.is_history_known(share, SLOT, answers) is whole
 
 
 @pytest.mark.looptime
@@ -58,10 +58,10 @@
         The new owner asked the former one what it knows.  From then on the
         former one starts nothing, although its own view and lease are fine.
         """
-        async with once_fakes.network(copies=0) as net:
+        async with once_fakes.running_network(copies=0) as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
-            net.publish(*(host for host in net.members if host != owner))
+            net.publish_view(*(host for host in net.members if host != owner))
             await asyncio.sleep(1)
             late = await net.send(owner, key)
             assert late.outcome is messages.Outcome.NOT_RUN
@@ -76,8 +76,8 @@
 
     def test_a_key_from_the_far_future_tells_no_age(self):
         """It would count as young long after its record was dropped."""
-        assert keys.age(minted(12_001), 10_000, 2000).foreign
-        assert not keys.age(minted(12_000), 10_000, 2000).foreign
+        assert keys.creation_time(minted(12_001), 10_000, 2000).undated
+        assert not keys.creation_time(minted(12_000), 10_000, 2000).undated
 
     async def test_a_record_outlives_its_key(self):
         """A caller two seconds ahead resends after eleven of a window of ten.
@@ -85,12 +85,14 @@
         Its key still counts as young.  Its record must be there then, or the
         booking would run a second time.
         """
-        async with once_fakes.network(window=10.0) as net:
-            key = minted(net.wall_ms() + 2000)
+        async with once_fakes.running_network(window=10.0) as net:
+            key = minted(net.unix_ms() + 2000)
             owner = net.owner(key)
             await net.send(owner, key)
             await asyncio.sleep(11)
             now = asyncio.get_running_loop().time()
-            net.node(owner).share(once_fakes.SERVICE).registry.expire(now)
+            net.node(owner).ownership_of(once_fakes.SERVICE).registry.expire(
+                now
+            )
             await net.send(owner, key)
             assert net.runs == ["run"]
--- a/tests/test_startgate.py
+++ b/tests/test_startcheck.py
@@ -20,12 +20,12 @@
         nothing of this call: were it started, and its node killed, the next
         owner would run it again.
         """
-        async with once_fakes.network() as net:
+        async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner, holder = net.owner(key), net.holder(key)
             booking = asyncio.create_task(net.send(owner, key))
-            await asyncio.sleep(1.2 * once_fakes.DELAY)
-            net.publish(*(host for host in net.members if host != holder))
+            await asyncio.sleep(1.2 * once_fakes.NETWORK_DELAY_SECONDS)
+            net.publish_view(*(host for host in net.members if host != holder))
             assert net.owner(key) == owner
             reply = await booking
             assert reply.outcome is messages.Outcome.NOT_RUN
