--- a/bench/callcost.py
+++ b/bench/callcost.py
@@ -20,11 +20,11 @@
 
 from bench import deployment, hosts, latency
 from mangobay import (
-    announcements,
     backend,
     basenode,
     edges,
     ids,
+    localservices,
     node,
     options,
     settings,
@@ -63,10 +63,10 @@
 class Instant:
     """A backend server that answers at once."""
 
-    async def send(self, address, request, attempt) -> backend.Answer:
+    async def send(self, address, request, attempt) -> backend.Response:
         """Returns an answer."""
         attempt.sent = True
-        return backend.Answer(
+        return backend.Response(
             status=200, headers=[], body=b"{}", seconds=0.001, shed=False
         )
 
@@ -84,8 +84,8 @@
     )
     made.control.tables.on_next(plan.table)
     made.executor.backend_client = Instant()
-    made.served.announce(
-        announcements.Announcement(
+    made.local_services.announce(
+        localservices.Announcement(
             service=ids.ServiceName(service), address=ADDRESS, slots=SLOTS
         )
     )
@@ -96,7 +96,7 @@
     """Makes calls; returns microseconds of processor time of one."""
     began = time.process_time()
     for _ in range(CALLS):
-        await edge.call(received)
+        await edge.process_request(received)
     return (time.process_time() - began) / CALLS * 1e6
 
 
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -5,7 +5,7 @@
 import pathlib
 import typing
 
-from mangobay import ids, sheet, table
+from mangobay import ids, operationtable, sheet
 from mangobay.generated import messages
 
 EXAMPLES = pathlib.Path(__file__).resolve().parent.parent / "examples"
@@ -80,7 +80,7 @@
     slowdown: float
     services: dict[ids.ServiceName, Service]
     works: dict[WorkId, Work]
-    table: table.Table
+    table: operationtable.OperationTable
 
 
 def work_id(operation: messages.Operation) -> WorkId:
@@ -90,7 +90,7 @@
 
 def target_of(operation: messages.Operation, number: int) -> str:
     """Returns a target below the service that names the operation."""
-    return operation.path.replace(table.WILDCARD, str(number))
+    return operation.path.replace(operationtable.WILDCARD, str(number))
 
 
 def read(name: str) -> Deployment:
@@ -101,7 +101,7 @@
         parser.read_file(file)
     sheet_path = folder / "sheet.csv"
     checked = sheet.parse(sheet_path.read_bytes(), str(sheet_path))
-    rows = table.Table().updated(
+    rows = operationtable.OperationTable().updated(
         messages.TableUpdate(
             revision=ids.Revision(1), changed=checked.operations
         )
--- a/bench/fleet/backends.py
+++ b/bench/fleet/backends.py
@@ -7,7 +7,7 @@
 import typing
 
 from bench.fleet import deployments
-from mangobay import backend, errors, fields, ids
+from mangobay import backend, errors, httpheaders, ids
 from mangobay.generated import messages
 
 Trouble = deployments.Trouble
@@ -76,7 +76,7 @@
         address,
         request: backend.Request,
         attempt: backend.Attempt,
-    ) -> backend.Answer:
+    ) -> backend.Response:
         """Returns the answer to one request."""
         del address
         loop = asyncio.get_running_loop()
@@ -138,7 +138,7 @@
         self.runs[kind.name] += 1
         work = self.work(kind)
         await asyncio.sleep(work / 2)
-        own = fields.find(request.headers, ATTEMPT)
+        own = httpheaders.find(request.headers, ATTEMPT)
         number = 0
         for name, times in kind.calls:
             for _ in range(times):
@@ -179,10 +179,10 @@
 
     def answer(
         self, status: int, began: float, shed: bool = False
-    ) -> backend.Answer:
+    ) -> backend.Response:
         """Returns an answer."""
         signature = messages.Header(name="Signature", value="s")
-        return backend.Answer(
+        return backend.Response(
             status=status,
             headers=[] if shed else [signature],
             body=b"" if shed else bytes(ANSWER_BYTES),
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -9,17 +9,17 @@
 from bench.fleet import backends, deployments, network
 from mangobay import (
     admission,
-    announcements,
     calls,
-    decisions,
     dispatch,
     gateway,
     ids,
     leanclient,
     leanhttp,
     lease,
+    localservices,
     metrics,
     options,
+    requestlog,
     retrybudget,
     routes,
     routing,
@@ -46,14 +46,14 @@
 GET = "GET"
 
 
-class Reasons(decisions.DecisionLog):
+class Reasons(requestlog.RequestLog):
     """Counts in place of writing lines."""
 
     def __init__(self, counted: collections.Counter):
         super().__init__()
         self.counted = counted
 
-    def ended(self, attempt, call, reply, seconds) -> None:
+    def log_unanswered(self, attempt, call, reply, seconds) -> None:
         """Counts a request that got no answer, or a failure."""
         del attempt, seconds
         why = reply.reason.name.lower()
@@ -61,7 +61,7 @@
             why = str(reply.status)
         self.counted[call.operation.name, why] += 1
 
-    def refused_unread(self, attempt, error, table) -> None:
+    def log_refused(self, attempt, error, table) -> None:
         """Counts a request that became no call."""
         del attempt, table
         self.counted["", error.reason.name.lower()] += 1
@@ -98,11 +98,11 @@
         )
         self.server = backends.Server(day, service, place, self.dice)
         self.server.call = self.call
-        self.served = announcements.Announcements(
+        self.local_services = localservices.LocalServices(
             FOREVER, self.new_admission(world), lambda told: None
         )
         self.executor = gateway.RoutedCallExecutor(
-            VOCABULARY, self.process, self.served, self.server, None
+            VOCABULARY, self.process, self.local_services, self.server, None
         )
         self.gateway = self.make_gateway(world)
         self.asked = world.asked
@@ -146,15 +146,15 @@
             entry_side,
             metrics.Metrics(),
             Reasons(world.reasons),
-            self.executor.departure,
+            self.executor.shutdown,
         )
         made.table = world.table
         return made
 
     def announce(self) -> None:
         """Says that the backend server is there."""
-        self.served.announce(
-            announcements.Announcement(
+        self.local_services.announce(
+            localservices.Announcement(
                 service=self.service,
                 address=options.Address("127.0.0.1", 1),
                 slots=self.server.service.slots,
--- a/bench/load.py
+++ b/bench/load.py
@@ -11,7 +11,7 @@
 import uuid6
 
 from bench import backend, deployment, sessions
-from mangobay import fields, options
+from mangobay import httpheaders, options
 from mangobay.generated import messages
 
 LONGEST_US = 60_000_000
@@ -181,7 +181,7 @@
         if key:
             headers[backend.KEY] = key
         left = max(0.001, give_up - asyncio.get_running_loop().time())
-        headers[fields.REQUEST_TIMEOUT] = f"{left:.3f}"
+        headers[httpheaders.REQUEST_TIMEOUT] = f"{left:.3f}"
         try:
             async with self.session.request(
                 operation.method,
--- a/bench/nodeslopes.py
+++ b/bench/nodeslopes.py
@@ -7,11 +7,11 @@
 from mangobay import (
     controlclient,
     ids,
+    operationtable,
     options,
     peers,
     records,
     routing,
-    table,
 )
 from mangobay.generated import messages, settings
 
@@ -207,12 +207,12 @@
     return float(len(messages.encode_envelope(messages.Envelope(body=grant))))
 
 
-def swap(rows: int) -> table.Table:
+def swap(rows: int) -> operationtable.OperationTable:
     """Returns a table made from a grant of so many rows."""
     changed = [stock.operation(number) for number in range(rows)]
     update = messages.TableUpdate(revision=ids.Revision(1), changed=changed)
     grant = stock.over_the_wire(messages.LeaseGrant(table=update))
-    return table.Table().updated(grant.table)
+    return operationtable.OperationTable().updated(grant.table)
 
 
 async def swap_us(rows: int) -> float:
--- a/bench/operatorslopes.py
+++ b/bench/operatorslopes.py
@@ -3,7 +3,7 @@
 import json
 
 from bench import series, stock
-from mangobay import leases, operatorapi, options, sheet, table
+from mangobay import leases, operationtable, operatorapi, options, sheet
 
 ROLE = "operator's client"
 HEADER = (
@@ -43,7 +43,7 @@
     """Processor time of comparing a sheet with an equal table."""
     old = list(map(stock.operation, range(rows)))
     new = list(map(stock.operation, range(rows)))
-    return series.processor_us(lambda: table.difference(old, new))
+    return series.processor_us(lambda: operationtable.difference(old, new))
 
 
 def hosts_json(hosts: int) -> bytes:
--- a/mangobay/acceptance.py
+++ b/mangobay/acceptance.py
@@ -3,7 +3,7 @@
 import asyncio
 import dataclasses
 
-from mangobay import clock, errors, ids, leases, machine, sheet, table
+from mangobay import clock, errors, ids, leases, machine, operationtable, sheet
 from mangobay.generated import messages
 
 MOST_COMPARISONS = 3
@@ -77,7 +77,7 @@
         rows = list(self.machine.operations())
         # A large sheet takes longer than a heartbeat may be late.
         difference = await asyncio.to_thread(
-            table.difference, rows, checked.operations
+            operationtable.difference, rows, checked.operations
         )
         return messages.SheetChange(
             version=version,
--- a/mangobay/aiohttpbackend.py
+++ b/mangobay/aiohttpbackend.py
@@ -6,20 +6,25 @@
 import aiohttp
 import yarl
 
-from mangobay import backend, errors, fields, invariants, leanhttp, options
+from mangobay import backend, errors, httpheaders, invariants, leanhttp, options
 from mangobay.generated import messages
 
-LEFT_ALONE = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
+SKIPPED_AUTO_HEADERS = (
+    "Accept",
+    "Accept-Encoding",
+    "Content-Type",
+    "User-Agent",
+)
 """Fields that aiohttp would add to a request that has none."""
 BODILESS_STATUSES = frozenset({204, 304})
 
-current: contextvars.ContextVar[backend.Attempt] = contextvars.ContextVar(
-    "attempt"
+current_attempt: contextvars.ContextVar[backend.Attempt] = (
+    contextvars.ContextVar("attempt")
 )
 """The attempt of this task: aiohttp builds the request object itself."""
 
 
-class GatedRequest(aiohttp.ClientRequest):
+class SingleSendRequest(aiohttp.ClientRequest):
     """Asks the gate when the connection stands and no byte has gone out."""
 
     async def send(self, conn):
@@ -33,14 +38,14 @@
           errors.InvariantError: a byte of this attempt went out before.
           aiohttp.ClientConnectionError: the connection ended at the gate.
         """
-        attempt = current.get()
+        attempt = current_attempt.get()
         invariants.check(
             invariants.Promise.AT_MOST_ONCE,
             not attempt.sent,
             "the request was already sent to the backend server",
         )
-        if attempt.gate is not None:
-            await attempt.gate()
+        if attempt.before_send is not None:
+            await attempt.before_send()
         if conn.protocol is None or not conn.protocol.is_connected():
             raise aiohttp.ClientConnectionError("closed before the request")
         attempt.sent = True
@@ -54,19 +59,26 @@
       inflight: requests that hold a connection.
     """
 
-    def __init__(self, connections: int, idle: float, answer_bytes: int):
-        self.connections = connections
-        self.answer_bytes = answer_bytes
+    def __init__(
+        self,
+        max_connections: int,
+        max_idle_seconds: float,
+        max_response_bytes: int,
+    ):
+        self.max_connections = max_connections
+        self.max_response_bytes = max_response_bytes
         self.inflight = 0
-        self.any_session = make_session(idle)
-        self.fresh_session = make_session(min(idle, backend.FRESH_SECONDS))
+        self.idempotent_session = make_session(max_idle_seconds)
+        self.non_idempotent_session = make_session(
+            min(max_idle_seconds, backend.NON_IDEMPOTENT_REUSE_SECONDS)
+        )
 
     async def send(
         self,
         address: options.Address,
         request: backend.Request,
         attempt: backend.Attempt,
-    ) -> backend.Answer:
+    ) -> backend.Response:
         """Returns the whole answer to one request.
 
         Cancelling the task closes the connection.
@@ -77,13 +89,13 @@
           errors.BackendTimeoutError: the time to give up came.
           Exception: whatever the gate raises; no byte was sent.
         """
-        if self.inflight >= self.connections:
+        if self.inflight >= self.max_connections:
             raise errors.BackendUnreachableError("every connection is in use")
-        current.set(attempt)
+        current_attempt.set(attempt)
         self.inflight += 1
         try:
-            async with asyncio.timeout_at(request.cut_at):
-                return await self.exchange(address, request)
+            async with asyncio.timeout_at(request.abort_at):
+                return await self.round_trip(address, request)
         except TimeoutError:
             raise errors.BackendTimeoutError("no answer in time") from None
         except aiohttp.ClientPayloadError as error:
@@ -96,17 +108,21 @@
         finally:
             self.inflight -= 1
 
-    async def exchange(
+    async def round_trip(
         self, address: options.Address, request: backend.Request
-    ) -> backend.Answer:
+    ) -> backend.Response:
         """Sends the request and reads the whole answer."""
         loop = asyncio.get_running_loop()
-        session = self.any_session if request.idempotent else self.fresh_session
+        session = (
+            self.idempotent_session
+            if request.idempotent
+            else self.non_idempotent_session
+        )
         url = yarl.URL(f"http://{address}{request.target}", encoded=True)
         began = loop.time()
         headers = [(each.name, each.value) for each in request.headers]
         left = max(request.deadline - began, 0.001)
-        headers.append((fields.REQUEST_TIMEOUT, f"{left:.3f}"))
+        headers.append((httpheaders.REQUEST_TIMEOUT, f"{left:.3f}"))
         async with session.request(
             request.method,
             url,
@@ -114,16 +130,16 @@
             data=request.body or None,
             allow_redirects=False,
         ) as response:
-            body = await self.read_whole(request.method, response)
-            return backend.Answer(
+            body = await self.read_body(request.method, response)
+            return backend.Response(
                 status=response.status,
-                headers=fields.passed_on(response.headers),
+                headers=httpheaders.end_to_end_headers(response.headers),
                 body=body,
                 seconds=loop.time() - began,
                 shed=is_shed(response),
             )
 
-    async def read_whole(
+    async def read_body(
         self, method: str, response: aiohttp.ClientResponse
     ) -> bytes:
         """Returns the whole body.
@@ -141,7 +157,7 @@
         bodiless = method == "HEAD" or response.status in BODILESS_STATUSES
         if length is None and "chunked" not in coding and not bodiless:
             raise errors.IncompleteAnswerError("the answer has no length")
-        if not bodiless and (length or 0) > self.answer_bytes:
+        if not bodiless and (length or 0) > self.max_response_bytes:
             raise errors.AnswerTooLargeError(f"an answer of {length} bytes")
         if length is not None:
             return await response.read()
@@ -149,32 +165,32 @@
         size = 0
         async for part in response.content.iter_any():
             size += len(part)
-            if size > self.answer_bytes:
+            if size > self.max_response_bytes:
                 raise errors.AnswerTooLargeError(
-                    f"an answer above {self.answer_bytes} bytes"
+                    f"an answer above {self.max_response_bytes} bytes"
                 )
             parts.append(part)
         return b"".join(parts)
 
     async def close(self) -> None:
         """Ends every connection."""
-        await self.any_session.close()
-        await self.fresh_session.close()
+        await self.idempotent_session.close()
+        await self.non_idempotent_session.close()
 
 
-def make_session(idle: float) -> aiohttp.ClientSession:
+def make_session(max_idle_seconds: float) -> aiohttp.ClientSession:
     """Returns a session that adds, follows, keeps and repeats nothing."""
     connector = aiohttp.TCPConnector(
         limit=0,
-        keepalive_timeout=idle if idle > 0 else None,
-        force_close=idle <= 0,
+        keepalive_timeout=max_idle_seconds if max_idle_seconds > 0 else None,
+        force_close=max_idle_seconds <= 0,
     )
     session = aiohttp.ClientSession(
         connector=connector,
-        request_class=GatedRequest,
+        request_class=SingleSendRequest,
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
-        skip_auto_headers=LEFT_ALONE,
+        skip_auto_headers=SKIPPED_AUTO_HEADERS,
         timeout=aiohttp.ClientTimeout(total=None),
         max_line_size=leanhttp.LONGEST_LINE,
         max_field_size=leanhttp.LONGEST_LINE,
@@ -187,6 +203,6 @@
 
 def is_shed(response: aiohttp.ClientResponse) -> bool:
     """Returns whether the backend server says it did not run the request."""
-    said = response.headers.get(fields.OUTCOME, "").strip().lower()
+    said = response.headers.get(httpheaders.OUTCOME, "").strip().lower()
     not_run = messages.Outcome.NOT_RUN.name.lower()
     return response.status == 503 and said == not_run
--- a/mangobay/backend.py
+++ b/mangobay/backend.py
@@ -5,9 +5,9 @@
 
 from mangobay.generated import messages
 
-Gate = collections.abc.Callable[[], collections.abc.Awaitable[None]]
+BeforeSend = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 
-FRESH_SECONDS = 0.5
+NON_IDEMPOTENT_REUSE_SECONDS = 0.5
 """A kept connection used within this time carries non-idempotent requests.
 
 A backend server that closes idle connections does so after seconds; on this
@@ -21,11 +21,11 @@
     """One request to the backend server.
 
     Attributes:
-      gate: awaited once a connection stands, before the first byte.
+      before_send: awaited once a connection stands, before the first byte.
       sent: a byte may have gone out.
     """
 
-    gate: Gate | None = None
+    before_send: BeforeSend | None = None
     sent: bool = False
 
 
@@ -40,7 +40,7 @@
       body: the whole body.
       idempotent: it may go over any kept connection.
       deadline: loop time, told to the backend server.
-      cut_at: loop time at which the request is given up.
+      abort_at: loop time at which the request is given up.
     """
 
     method: str
@@ -49,11 +49,11 @@
     body: bytes
     idempotent: bool
     deadline: float
-    cut_at: float
+    abort_at: float
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Answer:
+class Response:
     """A whole answer.
 
     Attributes:
--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -11,7 +11,6 @@
 
 from mangobay import (
     admission,
-    announcements,
     calls,
     controlclient,
     dispatch,
@@ -20,6 +19,7 @@
     joining,
     lease,
     ledger,
+    localservices,
     logs,
     metrics,
     nodegauges,
@@ -134,7 +134,7 @@
             self.peers,
             self.control.lease,
         )
-        self.served = announcements.Announcements(
+        self.local_services = localservices.LocalServices(
             config.backend.silence, self.new_admission, self.serves
         )
         self.make_backend()
@@ -317,18 +317,18 @@
     async def give_up(self) -> None:
         """Answers whatever is still in flight: the node ends now."""
         self.executor.leaving = True
-        for place in self.served.served.values():
+        for place in self.local_services.by_name.values():
             place.admission.refuse_all_waiting()
         await self.dispatcher.in_flight.give_up()
 
-    def seconds_to_write(self) -> float:
+    def write_timeout(self) -> float:
         """Returns how long answers still have to leave this process."""
         now = asyncio.get_running_loop().time()
-        return self.executor.departure.seconds_to_write(now)
+        return self.executor.shutdown.write_timeout(now)
 
     async def close_listeners(self) -> None:
         """Closes the HTTP listeners; answers that are cut count as calls."""
-        seconds = self.seconds_to_write()
+        seconds = self.write_timeout()
         cut = sum(
             await asyncio.gather(
                 *(each.close(seconds) for each in self.listeners)
--- a/mangobay/calls.py
+++ b/mangobay/calls.py
@@ -3,7 +3,7 @@
 import dataclasses
 import typing
 
-from mangobay import errors, fields, ids
+from mangobay import errors, httpheaders, ids
 from mangobay.generated import messages
 
 if typing.TYPE_CHECKING:
@@ -83,7 +83,7 @@
     deadline: float
     allowance: "retryallowance.RetryAllowance"
     key: ids.IdempotencyKey
-    trace: fields.Trace
+    trace: httpheaders.TraceContext
     tree: ids.TreeId = ids.TreeId("")
     parent_operation: ids.OperationName = ids.OperationName("")
     repeat: bool = False
@@ -117,9 +117,9 @@
     running_call: "retryallowance.RunningCall"
 
     @property
-    def trace(self) -> fields.Trace:
+    def trace(self) -> httpheaders.TraceContext:
         """The trace of the tree, with this call's span as the parent."""
-        return fields.own_trace(self.call.traceparent, self.call.call_id)
+        return httpheaders.child_trace(self.call.traceparent, self.call.call_id)
 
 
 def not_run_reply(reason: Reason, retry_after: float = 0.0) -> messages.Reply:
--- a/mangobay/cells.py
+++ b/mangobay/cells.py
@@ -5,7 +5,7 @@
 import enum
 import re
 
-from mangobay import findings, ids, table
+from mangobay import findings, ids, operationtable
 from mangobay.generated import messages
 
 MAX_DEADLINE_MS = 600_000
@@ -138,7 +138,7 @@
                 f"{segment!r} in {text!r} is neither a plain segment nor *"
                 " nor {name}"
             )
-    return "/" + "/".join(table.segments_of(text))
+    return "/" + "/".join(operationtable.split_segments(text))
 
 
 def parse_callers(text: str) -> list[str]:
--- a/mangobay/controlclient.py
+++ b/mangobay/controlclient.py
@@ -15,8 +15,8 @@
     invariants,
     lease,
     logs,
+    operationtable,
     options,
-    table,
     views,
 )
 from mangobay.generated import messages, settings
@@ -79,7 +79,7 @@
         self.transport = transport
         self.randomness = randomness
         self.lease = lease.Lease()
-        self.tables = subject.BehaviorSubject(table.Table())
+        self.tables = subject.BehaviorSubject(operationtable.OperationTable())
         self.views = subject.BehaviorSubject({})
         self.draining = subject.BehaviorSubject(False)
         self.routes = subject.BehaviorSubject(messages.RoutesChange())
@@ -281,7 +281,7 @@
         # a long time would go by rows that a later revision replaced.
         if not services:
             return
-        self.tables.on_next(self.tables.value.without(services))
+        self.tables.on_next(self.tables.value.without_services(services))
         views = self.views.value.items()
         self.views.on_next(
             {name: view for name, view in views if name not in services}
@@ -347,9 +347,9 @@
             # A new interest brings rows of the revision that is in force
             # already, which `updated` would take for nothing new.
             update = dataclasses.replace(
-                update, base=0, changed=[*old.rows(), *update.changed]
+                update, base=0, changed=[*old.operations(), *update.changed]
             )
-            old = table.Table()
+            old = operationtable.OperationTable()
         new = old.updated(update)
         invariants.check(
             invariants.Promise.REVISION_NEVER_DOWN,
--- a/mangobay/dispatch.py
+++ b/mangobay/dispatch.py
@@ -10,8 +10,8 @@
     calls,
     errors,
     execution,
-    fields,
     hosts,
+    httpheaders,
     ids,
     inflight,
     keyslots,
@@ -198,11 +198,11 @@
         backend servers, and the router never got to choose for them.
         """
         here = self.dependencies.executor
-        place = here.served.find(operation.service)
+        place = here.local_services.find(operation.service)
         host = self.dependencies.process.host
         if place is None or here.leaving or host in excluded:
             return False
-        if not place.said.healthy or place.admission.threshold:
+        if not place.announcement.healthy or place.admission.threshold:
             return False
         if place.admission.running >= place.admission.limit:
             return False
@@ -356,7 +356,7 @@
         """Returns the message of one attempt."""
         operation = request.operation
         view = self.dependencies.views.value.get(operation.service)
-        call_id = fields.new_span()
+        call_id = httpheaders.new_call_id()
         return messages.Call(
             service=operation.service,
             operation=operation.name,
--- a/mangobay/edges.py
+++ b/mangobay/edges.py
@@ -13,15 +13,15 @@
     dispatch,
     errors,
     execution,
-    fields,
+    httpheaders,
     httpserver,
     ids,
     inbound,
     ledger,
     logs,
     metrics,
+    operationtable,
     retryallowance,
-    table,
 )
 from mangobay.generated import messages, settings
 
@@ -34,7 +34,7 @@
 class Tables(typing.Protocol):
     """What is needed of the subject of tables."""
 
-    value: table.Table
+    value: operationtable.OperationTable
 
 
 class Directory(typing.Protocol):
@@ -57,7 +57,7 @@
         executor: execution.CallExecutor,
         counts: metrics.Metrics,
         record: ledger.Ledger,
-        sample: float,
+        sample_rate: float,
     ):
         self.limits = limits
         self.directory = directory
@@ -65,23 +65,23 @@
         self.executor = executor
         self.metrics = counts
         self.ledger = record
-        self.sample = sample
-        self.dice = random.Random()
+        self.sample_rate = sample_rate
+        self.rng = random.Random()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answers one request; every answer says its outcome."""
         detail = ""
         try:
-            reply = await self.call(request)
+            reply = await self.process_request(request)
         except calls.RequestError as error:
             reply = calls.not_run_reply(error.reason)
             detail = str(error)
         except errors.MangobayError as error:
             logs.say(logs.Part.CALL, "call failed", why=str(error))
             reply = calls.unknown_reply(Reason.INTERNAL)
-        return httpserver.to_response(reply, self.dice, detail)
+        return httpserver.to_response(reply, self.rng, detail)
 
-    async def call(self, request: web.BaseRequest) -> messages.Reply:
+    async def process_request(self, request: web.BaseRequest) -> messages.Reply:
         """Returns the reply to a request.
 
         Raises:
@@ -89,7 +89,7 @@
         """
         raise NotImplementedError
 
-    def check_taken(self) -> None:
+    def check_accepting(self) -> None:
         """Refuses new work of a node that leaves.
 
         A call that a run here makes belongs to work that was taken before.
@@ -100,7 +100,7 @@
         if self.executor.leaving:
             raise calls.RequestError(Reason.LEAVING, "")
 
-    async def run(self, request: calls.Request) -> messages.Reply:
+    async def submit(self, request: calls.Request) -> messages.Reply:
         """Brings a call in and counts how it ended."""
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -118,7 +118,7 @@
             )
         return reply
 
-    async def body_of(self, request: web.BaseRequest) -> bytes:
+    async def read_body(self, request: web.BaseRequest) -> bytes:
         """Returns the whole body.
 
         Raises:
@@ -128,16 +128,18 @@
             request, self.limits.body_bytes, self.limits.header_timeout
         )
 
-    def find(
+    def find_allowed(
         self, service: ids.ServiceName, method: str, target: str, caller
     ) -> messages.Operation | None:
         """Returns the operation if the caller may reach it."""
         found = self.directory.tables.value.find(service, method, target)
-        if found is None or not table.Table.allows(found, caller):
+        if found is None or not operationtable.OperationTable.allows(
+            found, caller
+        ):
             return None
         return found
 
-    async def ask_control(self, *services: ids.ServiceName) -> None:
+    async def fetch_services(self, *services: ids.ServiceName) -> None:
         """Waits until control told of the services.
 
         Raises:
@@ -149,7 +151,7 @@
             raise calls.RequestError(Reason.NO_LEASE, str(error)) from None
 
 
-class Outside(Edge):
+class OutsideEdge(Edge):
     """Takes requests from callers: /SERVICE/path.
 
     Attributes:
@@ -160,22 +162,22 @@
         super().__init__(*arguments)
         self.decoy = secrets.token_hex(8)
 
-    async def call(self, request: web.BaseRequest) -> messages.Reply:
+    async def process_request(self, request: web.BaseRequest) -> messages.Reply:
         """Returns the reply to a caller's request.
 
         Raises:
           calls.RequestError: it became no call.
         """
-        self.check_taken()
+        self.check_accepting()
         service, target = inbound.split_path(request.raw_path)
         operation = await self.resolve(service, request.method, target)
         received = request.headers
         deadline = inbound.deadline_of(operation, received)
         key = inbound.key_of(received)
-        body = await self.body_of(request)
+        body = await self.read_body(request)
         # It may have been told to leave while the request came in.
-        self.check_taken()
-        return await self.run(
+        self.check_accepting()
+        return await self.submit(
             calls.Request(
                 operation=operation,
                 revision=self.directory.tables.value.revision,
@@ -189,8 +191,8 @@
                 deadline=deadline,
                 allowance=retryallowance.RetryAllowance(operation.tries),
                 key=key,
-                trace=self.trace_of(received),
-                tree=fields.new_tree(),
+                trace=self.make_trace(received),
+                tree=httpheaders.new_tree_id(),
             )
         )
 
@@ -208,32 +210,38 @@
         Raises:
           calls.RequestError: there is none, or none that may be seen.
         """
-        found = self.find(service, method, target, ids.OUTSIDE)
+        found = self.find_allowed(service, method, target, ids.OUTSIDE)
         if found is None:
             decoy = ids.ServiceName(f"{service}~{self.decoy}")
-            await self.ask_control(service, decoy)
-            found = self.find(service, method, target, ids.OUTSIDE)
+            await self.fetch_services(service, decoy)
+            found = self.find_allowed(service, method, target, ids.OUTSIDE)
         if found is None:
             raise calls.RequestError(Reason.NO_SUCH_OPERATION, "")
         return found
 
-    def trace_of(self, received: fields.Fields) -> fields.Trace:
+    def make_trace(
+        self, received: httpheaders.HeaderMap
+    ) -> httpheaders.TraceContext:
         """Returns the caller's trace, or a new one.
 
         Whether it is sampled is decided here: callers that set the flag on
         every request would have every span recorded.
         """
-        fresh = fields.new_trace(self.sample)
-        theirs = fields.parse_traceparent(received.get(fields.TRACEPARENT, ""))
+        fresh = httpheaders.new_trace(self.sample_rate)
+        theirs = httpheaders.parse_traceparent(
+            received.get(httpheaders.TRACEPARENT, "")
+        )
         if theirs is None:
             return fresh
-        return fields.Trace(theirs.trace_id, theirs.parent, fresh.sampled)
+        return httpheaders.TraceContext(
+            theirs.trace_id, theirs.parent_span, fresh.sampled
+        )
 
 
-class Local(Edge):
+class LocalEdge(Edge):
     """Takes the calls that the backend server on this host makes."""
 
-    async def call(self, request: web.BaseRequest) -> messages.Reply:
+    async def process_request(self, request: web.BaseRequest) -> messages.Reply:
         """Returns the reply to a call of the backend server.
 
         Raises:
@@ -241,17 +249,17 @@
         """
         received = request.headers
         parent = self.executor.parent_of(
-            received.get(fields.TRACESTATE, ""),
-            received.get(fields.TRACEPARENT, ""),
+            received.get(httpheaders.TRACESTATE, ""),
+            received.get(httpheaders.TRACEPARENT, ""),
         )
         if parent is None:
-            self.check_taken()
-        caller = self.caller_of(received, parent)
+            self.check_accepting()
+        caller = self.identify_caller(received, parent)
         service, target = inbound.split_path(request.raw_path)
         operation = await self.resolve(service, request.method, target, caller)
         deadline = inbound.deadline_of(operation, received)
         key = inbound.key_of(received)
-        body = await self.body_of(request)
+        body = await self.read_body(request)
         call = calls.Request(
             operation=operation,
             revision=self.directory.tables.value.revision,
@@ -265,15 +273,15 @@
             deadline=deadline,
             allowance=retryallowance.RetryAllowance(0),
             key=key,
-            trace=fields.new_trace(self.sample),
-            tree=fields.new_tree(),
+            trace=httpheaders.new_trace(self.sample_rate),
+            tree=httpheaders.new_tree_id(),
         )
         if parent is None:
-            self.check_taken()
-            return await self.run(call)
-        return await self.run_child(call, parent)
+            self.check_accepting()
+            return await self.submit(call)
+        return await self.submit_child(call, parent)
 
-    async def run_child(
+    async def submit_child(
         self, call: calls.Request, parent: calls.Parent
     ) -> messages.Reply:
         """Brings in a call that is part of a tree, with part of its tries."""
@@ -289,7 +297,7 @@
         loop = asyncio.get_running_loop()
         running.child_started(loop.time())
         try:
-            reply = await self.run(call)
+            reply = await self.submit(call)
             if reply.reason in calls.THRESHOLD_REFUSALS:
                 running.child_refused(max(reply.threshold, reply.below))
             return reply
@@ -297,8 +305,8 @@
             running.child_ended(loop.time())
             running.allowance.reclaim(call.allowance.close())
 
-    def caller_of(
-        self, received: fields.Fields, parent: calls.Parent | None
+    def identify_caller(
+        self, received: httpheaders.HeaderMap, parent: calls.Parent | None
     ) -> ids.CallerName:
         """Returns the service that calls.
 
@@ -308,15 +316,15 @@
         """
         if parent is not None:
             return ids.CallerName(parent.call.service)
-        names = list(self.executor.served.served)
-        named = received.get(fields.SERVICE, "")
+        names = list(self.executor.local_services.by_name)
+        named = received.get(httpheaders.SERVICE, "")
         if named in names:
             return ids.CallerName(named)
         if named or len(names) != 1:
             raise calls.RequestError(
                 Reason.MALFORMED,
                 f"announce the calling service first, and name it in "
-                f"{fields.SERVICE} where several are announced",
+                f"{httpheaders.SERVICE} where several are announced",
             )
         return ids.CallerName(names[0])
 
@@ -332,10 +340,10 @@
         Raises:
           calls.RequestError: there is none, or the caller may not reach it.
         """
-        found = self.find(service, method, target, caller)
+        found = self.find_allowed(service, method, target, caller)
         if found is None:
-            await self.ask_control(service)
-            found = self.find(service, method, target, caller)
+            await self.fetch_services(service)
+            found = self.find_allowed(service, method, target, caller)
         if found is None:
             raise calls.RequestError(Reason.NO_SUCH_OPERATION, "")
         return found
--- a/mangobay/execution.py
+++ b/mangobay/execution.py
@@ -8,18 +8,18 @@
 
 from mangobay import (
     admissionrequest,
-    announcements,
     backend,
     calls,
-    departure,
     errors,
-    fields,
+    httpheaders,
     ids,
     invariants,
+    localservices,
     logs,
     options,
     remotetraffic,
     retryallowance,
+    shutdown,
 )
 from mangobay.generated import messages
 
@@ -36,7 +36,7 @@
 PENDING_REPLY = calls.unknown_reply(Reason.CANCELLED)
 """What is known of a call until its reply comes; never handed out."""
 Execute = collections.abc.Callable[
-    [backend.Gate | None], collections.abc.Awaitable[messages.Reply]
+    [backend.BeforeSend | None], collections.abc.Awaitable[messages.Reply]
 ]
 
 
@@ -57,7 +57,7 @@
         address: options.Address,
         request: backend.Request,
         attempt: backend.Attempt,
-    ) -> backend.Answer:
+    ) -> backend.Response:
         """Returns the whole answer to one request."""
 
 
@@ -66,7 +66,7 @@
 
     Attributes:
       leaving: new calls are refused.
-      departure: when whatever still runs is cut; calls that may last longer
+      shutdown: when whatever still runs is cut; calls that may last longer
         are refused.
       parents: calls that run at the backend server, by id.
       unkeyed_tasks: tasks of non-idempotent calls without a key.
@@ -77,16 +77,16 @@
     def __init__(
         self,
         process: calls.Process,
-        served: announcements.Announcements,
+        served: localservices.LocalServices,
         sender: BackendClient,
         once: AtMostOnce,
     ):
         self.process = process
-        self.served = served
+        self.local_services = served
         self.backend_client = sender
         self.once = once
         self.leaving = False
-        self.departure = departure.Departure()
+        self.shutdown = shutdown.ShutdownSchedule()
         self.parents: dict[ids.CallId, calls.Parent] = {}
         self.unkeyed_tasks: set[asyncio.Task] = set()
         self.open_calls = 0
@@ -103,7 +103,7 @@
         An idempotent call is given up, down to the backend server. Another
         one is given up only before its first byte; afterwards it goes on.
         """
-        place = self.served.find(call.service)
+        place = self.local_services.find(call.service)
         if self.leaving:
             return self.refuse(call, place, calls.not_run_reply(Reason.LEAVING))
         if place is None:
@@ -114,7 +114,7 @@
             late = calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
             return self.refuse(call, place, late)
         deadline = asyncio.get_running_loop().time() + call.deadline_ms / 1000
-        if not self.departure.outlasts(deadline):
+        if not self.shutdown.allows_deadline(deadline):
             return self.refuse(call, place, calls.not_run_reply(Reason.LEAVING))
         grant = retryallowance.RetryAllowance(call.tries)
         execute = functools.partial(
@@ -133,7 +133,7 @@
     def refuse(
         self,
         call: messages.Call,
-        place: announcements.Served | None,
+        place: localservices.LocalService | None,
         reply: messages.Reply,
     ) -> messages.Reply:
         """Returns a refusal that hands every extra try back."""
@@ -143,7 +143,7 @@
         self,
         call: messages.Call,
         reply: messages.Reply,
-        place: announcements.Served | None,
+        place: localservices.LocalService | None,
         tries_left: int,
     ) -> messages.Reply:
         """Returns the reply with what this host says of itself.
@@ -224,10 +224,10 @@
     async def admit_and_run(
         self,
         call: messages.Call,
-        place: announcements.Served,
+        place: localservices.LocalService,
         grant: retryallowance.RetryAllowance,
         deadline: float,
-        gate: backend.Gate | None,
+        gate: backend.BeforeSend | None,
     ) -> messages.Reply:
         """Admits a call and runs it at the backend server.
 
@@ -284,7 +284,7 @@
     async def send_to_backend(
         self,
         call: messages.Call,
-        place: announcements.Served,
+        place: localservices.LocalService,
         running: retryallowance.RunningCall,
         attempt: backend.Attempt,
         deadline: float,
@@ -298,11 +298,11 @@
             body=call.body,
             idempotent=call.idempotent,
             deadline=deadline,
-            cut_at=deadline + late,
+            abort_at=deadline + late,
         )
         try:
             answer = await self.backend_client.send(
-                place.said.address, request, attempt
+                place.announcement.address, request, attempt
             )
         except errors.BackendError as error:
             return reply_for_error(error, attempt)
@@ -312,7 +312,7 @@
         return self.reply_of(answer, running)
 
     def reply_of(
-        self, answer: backend.Answer, running: retryallowance.RunningCall
+        self, answer: backend.Response, running: retryallowance.RunningCall
     ) -> messages.Reply:
         """Returns the reply that says what a backend server answered."""
         if answer.shed and not running.child_attempts:
@@ -329,32 +329,38 @@
         )
 
     def headers(
-        self, call: messages.Call, place: announcements.Served
+        self, call: messages.Call, place: localservices.LocalService
     ) -> list[messages.Header]:
         """Returns the fields for the backend server."""
         del place
-        others = fields.find(call.headers, fields.TRACESTATE)
+        others = httpheaders.find(call.headers, httpheaders.TRACESTATE)
         kept = call.headers
         if others:
             kept = [
-                each for each in kept if each.name.lower() != fields.TRACESTATE
+                each
+                for each in kept
+                if each.name.lower() != httpheaders.TRACESTATE
             ]
-        state = fields.join_state(call.call_id, others)
+        state = httpheaders.join_tracestate(call.call_id, others)
         return [
             *kept,
-            messages.Header(name=fields.TRACEPARENT, value=call.traceparent),
-            messages.Header(name=fields.TRACESTATE, value=state),
+            messages.Header(
+                name=httpheaders.TRACEPARENT, value=call.traceparent
+            ),
+            messages.Header(name=httpheaders.TRACESTATE, value=state),
         ]
 
     def parent_of(
         self, tracestate: str, traceparent: str
     ) -> calls.Parent | None:
         """Returns the running call that a backend server's call belongs to."""
-        named, _ = fields.split_state(tracestate)
+        named, _ = httpheaders.split_tracestate(tracestate)
         if named in self.parents:
             return self.parents[named]
-        trace = fields.parse_traceparent(traceparent)
-        return self.parents.get(ids.CallId(trace.parent)) if trace else None
+        trace = httpheaders.parse_traceparent(traceparent)
+        return (
+            self.parents.get(ids.CallId(trace.parent_span)) if trace else None
+        )
 
 
 def is_success(reply: messages.Reply) -> bool:
--- a/mangobay/filetracer.py
+++ b/mangobay/filetracer.py
@@ -108,7 +108,7 @@
     A first hop without a caller's span is the root: a parent id must not be
     zero, so its own trace id is given with a span that nobody recorded.
     """
-    parent = int(request.trace.parent or "1", 16)
+    parent = int(request.trace.parent_span or "1", 16)
     span_context = trace.SpanContext(
         trace_id=int(request.trace.trace_id, 16),
         span_id=parent,
--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -5,29 +5,29 @@
 import typing
 
 from mangobay import (
-    announcements,
     backend,
     calls,
-    decisions,
-    departure,
     dispatch,
     execution,
-    fields,
+    httpheaders,
     ids,
     leanclient,
     leanhttp,
     leanserver,
+    localservices,
     metrics,
     refusals,
+    requestlog,
     retryallowance,
     routes,
+    shutdown,
 )
 from mangobay.generated import messages
 
 Outcome = messages.Outcome
 Reason = messages.Reason
 
-UNTRACED = fields.Trace("", "", False)
+UNTRACED = httpheaders.TraceContext("", "", False)
 PROMISES = frozenset({408, 421, 429, 503})
 """Statuses by which callers take a request for one that never ran."""
 FIRST_REDIRECT = 300
@@ -81,7 +81,7 @@
 
     async def admit_and_run(self, call: messages.Call, *rest) -> messages.Reply:
         """Admits a call and runs it at the backend server."""
-        named = fields.find(call.headers, self.vocabulary.backend.attempt)
+        named = httpheaders.find(call.headers, self.vocabulary.backend.attempt)
         attempt = ids.AttemptId(named)
         self.attempts[attempt] = call.call_id
         try:
@@ -90,21 +90,23 @@
             self.attempts.pop(attempt, None)
 
     def headers(
-        self, call: messages.Call, place: announcements.Served
+        self, call: messages.Call, place: localservices.LocalService
     ) -> list[messages.Header]:
         """Returns the fields for the backend server."""
         words = self.vocabulary
         added = [messages.Header(name=words.caller, value=call.caller)]
-        if place.said.instance:
+        if place.announcement.instance:
             # Its address may by now be another's, or another incarnation may
             # run there: that one says so and does not run the request.
             added.append(
-                messages.Header(name=words.target, value=place.said.instance)
+                messages.Header(
+                    name=words.target, value=place.announcement.instance
+                )
             )
         return [*call.headers, *added]
 
     def reply_of(
-        self, answer: backend.Answer, running: retryallowance.RunningCall
+        self, answer: backend.Response, running: retryallowance.RunningCall
     ) -> messages.Reply:
         """Returns the reply that says what a backend server answered."""
         del running
@@ -114,7 +116,9 @@
             # Passed on it would tell the caller that the request never ran,
             # which only the field of its own says.
             return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
-        signed = fields.find(answer.headers, self.vocabulary.backend.signature)
+        signed = httpheaders.find(
+            answer.headers, self.vocabulary.backend.signature
+        )
         if answer.status < FIRST_REDIRECT and not signed:
             return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
         return messages.Reply(
@@ -133,7 +137,7 @@
       table: the routes in force; None before the first document.
       caller: the service on this host.
       run_of: finds what runs at the backend server here, by attempt.
-      departure: when the node takes no more requests.
+      shutdown: when the node takes no more requests.
     """
 
     def __init__(
@@ -143,8 +147,8 @@
         run_of: FindRun,
         dispatcher: dispatch.Dispatcher,
         counts: metrics.Metrics,
-        log: decisions.DecisionLog,
-        times: departure.Departure,
+        log: requestlog.RequestLog,
+        times: shutdown.ShutdownSchedule,
     ):
         self.vocabulary = vocabulary
         self.replaced = vocabulary.replaced
@@ -153,7 +157,7 @@
         self.dispatcher = dispatcher
         self.metrics = counts
         self.log = log
-        self.departure = times
+        self.shutdown = times
         self.table: routes.Table | None = None
 
     async def handle(
@@ -167,14 +171,14 @@
             call = self.call_of(request, attempt, client)
         except calls.RequestError as error:
             reply = calls.not_run_reply(error.reason, error.retry_after)
-            self.log.refused_unread(attempt, error, self.table)
-            return refusals.response(reply)
+            self.log.log_refused(attempt, error, self.table)
+            return refusals.from_reply(reply)
         loop = asyncio.get_running_loop()
         began = loop.time()
         if parent is not None:
             call.inherit_from(parent.call)
-            if not self.departure.takes_work(began):
-                last = self.departure.last_deadline()
+            if not self.shutdown.accepts_work(began):
+                last = self.shutdown.latest_deadline()
                 call.deadline = min(call.deadline, last)
             parent.running_call.child_started(began)
         reply = calls.unknown_reply(Reason.CANCELLED)
@@ -187,12 +191,12 @@
             seconds = now - began
             self.metrics.ended(call.operation, reply, seconds)
             if not execution.is_success(reply):
-                self.log.ended(attempt, call, reply, seconds)
+                self.log.log_unanswered(attempt, call, reply, seconds)
         if reply.outcome is Outcome.ANSWERED:
             return leanhttp.Response(
                 status=reply.status, headers=reply.headers, body=reply.body
             )
-        return refusals.response(reply)
+        return refusals.from_reply(reply)
 
     def check_taken(self, parent: calls.Parent | None) -> None:
         """Refuses new requests of a node that is about to end.
@@ -203,8 +207,8 @@
           calls.RequestError: the node takes no more.
         """
         now = asyncio.get_running_loop().time()
-        if parent is None and not self.departure.takes_work(now):
-            ends_in = max(self.departure.ends_at - now, 0)
+        if parent is None and not self.shutdown.accepts_work(now):
+            ends_in = max(self.shutdown.abort_at - now, 0)
             raise calls.RequestError(Reason.LEAVING, "the node ends", ends_in)
 
     def attempt_of(self, request: leanhttp.Request) -> ids.AttemptId:
@@ -249,7 +253,7 @@
             allowance=retryallowance.RetryAllowance(operation.tries),
             key=ids.IdempotencyKey(""),
             trace=UNTRACED,
-            tree=fields.new_tree(),
+            tree=httpheaders.new_tree_id(),
         )
 
     def parent_of(self, attempt: ids.AttemptId) -> calls.Parent | None:
--- a/mangobay/heartbeats.py
+++ b/mangobay/heartbeats.py
@@ -9,7 +9,7 @@
 import enum
 import typing
 
-from mangobay import announcements, ids, logs, options
+from mangobay import ids, localservices, logs, options
 
 
 class State(enum.Enum):
@@ -25,40 +25,40 @@
 
     Attributes:
       instance: names the incarnation; may be used again by a later one.
-      born_ms: when the incarnation started, Unix milliseconds.
+      start_unix_ms: when the incarnation started, Unix milliseconds.
       sequence: increases with each heartbeat of the incarnation.
       service: what it serves.
       slots: requests that it runs at once.
       state: whether it takes requests.
-      cold: seconds for which it will still be slow after its start.
+      warmup_seconds: seconds for which it will still be slow after its start.
     """
 
     instance: ids.InstanceId
-    born_ms: int
+    start_unix_ms: int
     sequence: int
     service: ids.ServiceName
     slots: int
     state: State
-    cold: float = 0.0
+    warmup_seconds: float = 0.0
 
 
-class Verdict(enum.Enum):
+class HeartbeatResult(enum.Enum):
     """What becomes of a heartbeat."""
 
-    TAKEN = "taken"
-    OLDER = "older"
+    ACCEPTED = "taken"
+    STALE = "older"
     """A newer one was taken before: acknowledged, and nothing changed."""
-    FOREIGN = "foreign"
+    WRONG_SERVICE = "foreign"
     """Of another service than the one on this host."""
 
 
-class Places(typing.Protocol):
+class Announcer(typing.Protocol):
     """What is needed of `announcements.Announcements`."""
 
-    def announce(self, said: announcements.Announcement) -> None:
+    def announce(self, announcement: localservices.Announcement) -> None:
         """Takes an announcement, new or renewed."""
 
-    def leave(self, service: ids.ServiceName) -> bool:
+    def withdraw(self, service: ids.ServiceName) -> bool:
         """Takes a service out; returns whether it was there."""
 
 
@@ -67,15 +67,15 @@
     """The newest incarnation that was heard of.
 
     Attributes:
-      last: its newest heartbeat.
-      gone: it said that it goes; nothing brings it back.
+      last_heartbeat: its newest heartbeat.
+      deregistered: it said that it goes; nothing brings it back.
     """
 
-    last: Heartbeat
-    gone: bool = False
+    last_heartbeat: Heartbeat
+    deregistered: bool = False
 
 
-class Heartbeats:
+class HeartbeatReceiver:
     """Turns heartbeats into announcements of one backend server.
 
     Attributes:
@@ -87,83 +87,98 @@
 
     def __init__(
         self,
-        places: Places,
+        announcer: Announcer,
         service: ids.ServiceName,
         address: options.Address,
     ):
-        self.places = places
+        self.announcer = announcer
         self.service = service
         self.address = address
         self.current: Incarnation | None = None
 
-    def take(self, beat: Heartbeat) -> Verdict:
+    def receive(self, heartbeat: Heartbeat) -> HeartbeatResult:
         """Takes a heartbeat, or leaves it for a newer one."""
-        if beat.service != self.service:
-            return Verdict.FOREIGN
-        if not self.is_newer(beat):
-            return Verdict.OLDER
+        if heartbeat.service != self.service:
+            return HeartbeatResult.WRONG_SERVICE
+        if not self.is_newer(heartbeat):
+            return HeartbeatResult.STALE
         former = self.current
-        replaced = former is None or not same(former.last, beat)
-        gone = not replaced and former.gone
-        self.current = Incarnation(last=beat, gone=gone)
-        if gone or beat.state is not State.READY:
-            self.leave(beat, former)
-            return Verdict.TAKEN
+        replaced = former is None or not is_same_incarnation(
+            former.last_heartbeat, heartbeat
+        )
+        gone = not replaced and former.deregistered
+        self.current = Incarnation(last_heartbeat=heartbeat, deregistered=gone)
+        if gone or heartbeat.state is not State.READY:
+            self.withdraw(heartbeat, former)
+            return HeartbeatResult.ACCEPTED
         if replaced:
             # Another run knows nothing of the one before: its times and
             # its limit start anew.
-            self.places.leave(self.service)
-            self.say("backend server starts", beat)
-        self.places.announce(
-            announcements.Announcement(
+            self.announcer.withdraw(self.service)
+            self.log_change("backend server starts", heartbeat)
+        self.announcer.announce(
+            localservices.Announcement(
                 service=self.service,
                 address=self.address,
-                slots=beat.slots,
-                instance=beat.instance,
+                slots=heartbeat.slots,
+                instance=heartbeat.instance,
             )
         )
-        return Verdict.TAKEN
+        return HeartbeatResult.ACCEPTED
 
-    def deregister(self, instance: ids.InstanceId, born_ms: int | None) -> None:
+    def deregister(
+        self, instance: ids.InstanceId, start_unix_ms: int | None
+    ) -> None:
         """Takes the word of a backend server that it is gone.
 
         Args:
           instance: who says so.
-          born_ms: its start, None where it does not say.
+          start_unix_ms: its start, None where it does not say.
         """
         current = self.current
-        if current is None or current.last.instance != instance:
+        if current is None or current.last_heartbeat.instance != instance:
             return
-        if born_ms is not None and born_ms != current.last.born_ms:
+        if (
+            start_unix_ms is not None
+            and start_unix_ms != current.last_heartbeat.start_unix_ms
+        ):
             return
-        current.gone = True
-        self.leave(current.last, current)
+        current.deregistered = True
+        self.withdraw(current.last_heartbeat, current)
 
-    def is_newer(self, beat: Heartbeat) -> bool:
+    def is_newer(self, heartbeat: Heartbeat) -> bool:
         """Returns whether a heartbeat says more than what is known."""
         if self.current is None:
             return True
-        last = self.current.last
-        return (beat.born_ms, beat.sequence) > (last.born_ms, last.sequence)
+        last = self.current.last_heartbeat
+        return (heartbeat.start_unix_ms, heartbeat.sequence) > (
+            last.start_unix_ms,
+            last.sequence,
+        )
 
-    def leave(self, beat: Heartbeat, former: Incarnation | None) -> None:
+    def withdraw(
+        self, heartbeat: Heartbeat, former: Incarnation | None
+    ) -> None:
         """Takes the backend server out of use."""
-        if self.places.leave(self.service) and former is not None:
-            self.say("backend server leaves", beat)
+        if self.announcer.withdraw(self.service) and former is not None:
+            self.log_change("backend server leaves", heartbeat)
 
-    def say(self, sentence: str, beat: Heartbeat) -> None:
+    def log_change(self, sentence: str, heartbeat: Heartbeat) -> None:
         """Logs what changed and by which heartbeat."""
         logs.say(
             logs.Part.NODE,
             sentence,
             service=self.service,
-            instance=beat.instance,
-            born_ms=beat.born_ms,
-            sequence=beat.sequence,
-            state=beat.state.value,
+            instance=heartbeat.instance,
+            born_ms=heartbeat.start_unix_ms,
+            sequence=heartbeat.sequence,
+            state=heartbeat.state.value,
         )
 
 
-def same(first: Heartbeat, second: Heartbeat) -> bool:
+def is_same_incarnation(first: Heartbeat, second: Heartbeat) -> bool:
     """Returns whether two heartbeats are of one incarnation."""
-    return (first.instance, first.born_ms) == (second.instance, second.born_ms)
+    return (first.instance, first.start_unix_ms) == (
+        second.instance,
+        second.start_unix_ms,
+    )
--- a/mangobay/fields.py
+++ b/mangobay/httpheaders.py
@@ -21,13 +21,13 @@
 """On the local listener: which of several announced services calls."""
 RETRY_AFTER = "Retry-After"
 
-SYSTEM_PREFIX = "mangobay-"
-STATE_KEY = "mangobay"
+RESERVED_PREFIX = "mangobay-"
+TRACESTATE_KEY = "mangobay"
 """The system's entry of tracestate; its value is the id of the parent call."""
-LONGEST_TIMEOUT = 3600.0
-LONGEST_KEY = 255
+MAX_TIMEOUT_SECONDS = 3600.0
+MAX_KEY_LENGTH = 255
 
-CONNECTION_FIELDS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -43,7 +43,7 @@
     }
 )
 """Of one connection, never passed on (RFC 9110, 7.6.1)."""
-DROPPED = CONNECTION_FIELDS | {
+NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
     "host",
     "request-timeout",
     "traceparent",
@@ -51,17 +51,17 @@
 }
 """Of one connection, or made anew for each hop."""
 
-Fields = collections.abc.Mapping[str, str]
+HeaderMap = collections.abc.Mapping[str, str]
 """Names in any case; a name may stand several times in `items`."""
 
-TRACEPARENT_FORM = re.compile(
+TRACEPARENT_PATTERN = re.compile(
     r"(?P<version>[0-9a-f]{2})-(?P<trace>[0-9a-f]{32})"
     r"-(?P<span>[0-9a-f]{16})-(?P<flags>[0-9a-f]{2})(-.*)?"
 )
-SAMPLED = 1
+SAMPLED_FLAG = 1
 
 
-def passed_on(received: Fields) -> list[messages.Header]:
+def end_to_end_headers(received: HeaderMap) -> list[messages.Header]:
     """Returns the end-to-end fields, without those only the system may set.
 
     A field that a caller smuggles in (`Mangobay-Outcome`, say) would be taken
@@ -83,7 +83,9 @@
 def is_end_to_end(name: str) -> bool:
     """Returns whether a field is passed on; names repeat, so it is cached."""
     low = name.lower()
-    return low not in DROPPED and not low.startswith(SYSTEM_PREFIX)
+    return low not in NOT_FORWARDED_HEADERS and not low.startswith(
+        RESERVED_PREFIX
+    )
 
 
 def parse_timeout(text: str) -> float:
@@ -98,10 +100,10 @@
         seconds = math.nan
     if not 0 < seconds < math.inf:
         raise ValueError(f"{REQUEST_TIMEOUT} must be seconds above 0")
-    return min(seconds, LONGEST_TIMEOUT)
+    return min(seconds, MAX_TIMEOUT_SECONDS)
 
 
-def parse_key(text: str) -> ids.IdempotencyKey:
+def parse_idempotency_key(text: str) -> ids.IdempotencyKey:
     """Returns an idempotency key; the quotes of a structured field go.
 
     Raises:
@@ -110,25 +112,25 @@
     key = text.strip()
     if len(key) > 1 and key[0] == key[-1] == '"':
         key = key[1:-1]
-    if not key or len(key) > LONGEST_KEY or not key.isprintable():
+    if not key or len(key) > MAX_KEY_LENGTH or not key.isprintable():
         raise ValueError(
-            f"{IDEMPOTENCY_KEY} must be 1 to {LONGEST_KEY} printable characters"
+            f"{IDEMPOTENCY_KEY} must be 1 to {MAX_KEY_LENGTH} printable characters"
         )
     return ids.IdempotencyKey(key)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Trace:
+class TraceContext:
     """Where a call stands in its trace.
 
     Attributes:
       trace_id: 32 hex digits, the same for the whole call tree.
-      parent: span of the caller, 16 hex digits, or empty.
+      parent_span: span of the caller, 16 hex digits, or empty.
       sampled: spans are recorded.
     """
 
     trace_id: str
-    parent: str
+    parent_span: str
     sampled: bool
 
     def traceparent(self, span: str) -> str:
@@ -136,28 +138,28 @@
         return f"00-{self.trace_id}-{span}-{'01' if self.sampled else '00'}"
 
 
-def parse_traceparent(text: str) -> Trace | None:
+def parse_traceparent(text: str) -> TraceContext | None:
     """Returns the trace that a traceparent names, None where it is malformed."""
-    match = TRACEPARENT_FORM.fullmatch(text)
+    match = TRACEPARENT_PATTERN.fullmatch(text)
     if match is None or match["version"] == "ff":
         return None
     if not int(match["trace"], 16) or not int(match["span"], 16):
         return None
-    sampled = bool(int(match["flags"], 16) & SAMPLED)
-    return Trace(match["trace"], match["span"], sampled)
+    sampled = bool(int(match["flags"], 16) & SAMPLED_FLAG)
+    return TraceContext(match["trace"], match["span"], sampled)
 
 
-def own_trace(traceparent: str, call_id: ids.CallId) -> Trace:
+def child_trace(traceparent: str, call_id: ids.CallId) -> TraceContext:
     """Returns the trace in a traceparent made by a node, unchecked."""
-    return Trace(traceparent[3:35], call_id, traceparent.endswith("1"))
+    return TraceContext(traceparent[3:35], call_id, traceparent.endswith("1"))
 
 
-def new_span() -> ids.CallId:
+def new_call_id() -> ids.CallId:
     """Returns a fresh id of a call; it is the id of its span as well."""
     return ids.CallId(f"{random.getrandbits(64) or 1:016x}")
 
 
-def new_tree() -> ids.TreeId:
+def new_tree_id() -> ids.TreeId:
     """Returns a fresh name of a call tree.
 
     Within an importance, its hash decides who is shed first. By the trace id
@@ -167,28 +169,28 @@
     return ids.TreeId(f"{random.getrandbits(64):016x}")
 
 
-def new_trace(sample: float) -> Trace:
+def new_trace(sample_rate: float) -> TraceContext:
     """Returns a trace of its own; sample is the share that is recorded."""
     trace_id = f"{random.getrandbits(128) or 1:032x}"
-    return Trace(trace_id, "", random.random() < sample)
+    return TraceContext(trace_id, "", random.random() < sample_rate)
 
 
-def split_state(tracestate: str) -> tuple[ids.CallId, str]:
+def split_tracestate(tracestate: str) -> tuple[ids.CallId, str]:
     """Returns the system's entry of a tracestate, and the other entries."""
     mine = ids.CallId("")
     others = []
     for entry in tracestate.split(","):
         key, _, value = entry.strip().partition("=")
-        if key == STATE_KEY:
+        if key == TRACESTATE_KEY:
             mine = ids.CallId(value)
         elif key:
             others.append(entry.strip())
     return mine, ",".join(others)
 
 
-def join_state(call_id: ids.CallId, others: str) -> str:
+def join_tracestate(call_id: ids.CallId, others: str) -> str:
     """Returns a tracestate with the system's entry in front."""
-    mine = f"{STATE_KEY}={call_id}"
+    mine = f"{TRACESTATE_KEY}={call_id}"
     return f"{mine},{others}" if others else mine
 
 
--- a/mangobay/httpserver.py
+++ b/mangobay/httpserver.py
@@ -9,7 +9,7 @@
 
 from mangobay import (
     calls,
-    fields,
+    httpheaders,
     httpparse,
     leanhttp,
     listening,
@@ -252,12 +252,12 @@
 ) -> web.Response:
     """Returns the HTTP answer that says what a reply says."""
     if reply.outcome is not messages.Outcome.ANSWERED:
-        shown = problems.problem(reply, rng, detail)
+        shown = problems.from_reply(reply, rng, detail)
         return web.Response(
             status=shown.status, headers=shown.headers, body=shown.body
         )
     headers = multidict.CIMultiDict(
         [(header.name, header.value) for header in reply.headers]
     )
-    headers[fields.OUTCOME] = "answered"
+    headers[httpheaders.OUTCOME] = "answered"
     return web.Response(status=reply.status, headers=headers, body=reply.body)
--- a/mangobay/inbound.py
+++ b/mangobay/inbound.py
@@ -5,7 +5,7 @@
 
 from aiohttp import web
 
-from mangobay import calls, fields, ids
+from mangobay import calls, httpheaders, ids
 from mangobay.generated import messages
 
 Reason = messages.Reason
@@ -27,7 +27,7 @@
 
 
 def deadline_of(
-    operation: messages.Operation, received: fields.Fields
+    operation: messages.Operation, received: httpheaders.HeaderMap
 ) -> float:
     """Returns the loop time by which the caller must have its answer.
 
@@ -35,37 +35,41 @@
       calls.RequestError: Request-Timeout is malformed.
     """
     seconds = operation.deadline_ms / 1000 or calls.DEFAULT_DEADLINE
-    given = received.get(fields.REQUEST_TIMEOUT)
+    given = received.get(httpheaders.REQUEST_TIMEOUT)
     if given is not None:
         try:
-            seconds = min(seconds, fields.parse_timeout(given))
+            seconds = min(seconds, httpheaders.parse_timeout(given))
         except ValueError as error:
             raise calls.RequestError(Reason.MALFORMED, str(error)) from None
     return asyncio.get_running_loop().time() + seconds
 
 
-def key_of(received: fields.Fields) -> ids.IdempotencyKey:
+def key_of(received: httpheaders.HeaderMap) -> ids.IdempotencyKey:
     """Returns the idempotency key, empty where there is none.
 
     Raises:
       calls.RequestError: it is malformed.
     """
-    given = received.get(fields.IDEMPOTENCY_KEY)
+    given = received.get(httpheaders.IDEMPOTENCY_KEY)
     if given is None:
         return ids.IdempotencyKey("")
     try:
-        return fields.parse_key(given)
+        return httpheaders.parse_idempotency_key(given)
     except ValueError as error:
         raise calls.RequestError(Reason.MALFORMED, str(error)) from None
 
 
-def headers_of(received: fields.Fields) -> list[messages.Header]:
+def headers_of(received: httpheaders.HeaderMap) -> list[messages.Header]:
     """Returns the fields passed on, with the tracestate of others."""
-    kept = fields.passed_on(received)
-    if fields.TRACESTATE in received:
-        _, others = fields.split_state(received[fields.TRACESTATE])
+    kept = httpheaders.end_to_end_headers(received)
+    if httpheaders.TRACESTATE in received:
+        _, others = httpheaders.split_tracestate(
+            received[httpheaders.TRACESTATE]
+        )
         if others:
-            kept.append(messages.Header(name=fields.TRACESTATE, value=others))
+            kept.append(
+                messages.Header(name=httpheaders.TRACESTATE, value=others)
+            )
     return kept
 
 
--- a/mangobay/leanclient.py
+++ b/mangobay/leanclient.py
@@ -13,7 +13,7 @@
 from mangobay import (
     backend,
     errors,
-    fields,
+    httpheaders,
     httpparse,
     ids,
     leanhttp,
@@ -160,7 +160,7 @@
         now = self.loop.time()
         self.idle_since = now
         self.note_keep_alive(message)
-        answer = backend.Answer(
+        answer = backend.Response(
             status=message.status,
             headers=leanhttp.end_to_end(message, self.names.private),
             body=b"" if self.bodiless else message.body,
@@ -249,7 +249,7 @@
         address: options.Address,
         request: backend.Request,
         attempt: backend.Attempt,
-    ) -> backend.Answer:
+    ) -> backend.Response:
         """Returns the whole answer to one request.
 
         Cancelling the task ends the connection, and with it the work.
@@ -266,8 +266,8 @@
         connection = None
         try:
             connection = await self.reach(address, request)
-            if attempt.gate is not None:
-                await attempt.gate()
+            if attempt.before_send is not None:
+                await attempt.before_send()
             if connection.transport is None:
                 raise errors.BackendUnreachableError(
                     "closed before the request"
@@ -282,7 +282,7 @@
         connection: Connection,
         request: backend.Request,
         attempt: backend.Attempt,
-    ) -> backend.Answer:
+    ) -> backend.Response:
         """Writes the request and returns its answer."""
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -290,7 +290,7 @@
         sending = Sending(self.attempt_id(request), future, now)
         attempt.sent = True
         connection.send(self.encode(request, now), sending)
-        timer = loop.call_at(request.cut_at, expire, future)
+        timer = loop.call_at(request.abort_at, expire, future)
         try:
             return await future
         except (asyncio.CancelledError, errors.BackendTimeoutError):
@@ -302,7 +302,9 @@
 
     def attempt_id(self, request: backend.Request) -> ids.AttemptId:
         """Returns the name of the request, empty where it has none."""
-        return ids.AttemptId(fields.find(request.headers, self.names.attempt))
+        return ids.AttemptId(
+            httpheaders.find(request.headers, self.names.attempt)
+        )
 
     def encode(self, request: backend.Request, now: float) -> bytes:
         """Returns the bytes of a request, with the time that is left."""
@@ -330,14 +332,14 @@
         if not request.idempotent:
             # A backend server may drop idle connections without a word; that
             # leaves it open whether a request sent there ran.
-            longest = min(longest, backend.FRESH_SECONDS)
+            longest = min(longest, backend.NON_IDEMPOTENT_REUSE_SECONDS)
         while idle and not bodiless:
             connection = idle.pop()
             if connection.is_usable(loop.time(), longest):
                 return connection
             connection.abort()
         try:
-            async with asyncio.timeout_at(request.cut_at):
+            async with asyncio.timeout_at(request.abort_at):
                 _, connection = await loop.create_connection(
                     lambda: Connection(self.names, self.answer_bytes, bodiless),
                     address.ip,
--- a/mangobay/leanhttp.py
+++ b/mangobay/leanhttp.py
@@ -10,7 +10,7 @@
 import http
 import typing
 
-from mangobay import fields
+from mangobay import httpheaders
 from mangobay.generated import messages
 
 LONGEST_LINE = 16 * 1024
@@ -100,7 +100,9 @@
     """
     text = raw.decode("utf-8", "surrogateescape")
     low = text.lower()
-    return "" if low in fields.CONNECTION_FIELDS or low in dropped else text
+    return (
+        "" if low in httpheaders.HOP_BY_HOP_HEADERS or low in dropped else text
+    )
 
 
 def end_to_end(
--- a/mangobay/localapi.py
+++ b/mangobay/localapi.py
@@ -7,10 +7,10 @@
 from aiohttp import web
 
 from mangobay import (
-    announcements,
     calls,
     edges,
     httpserver,
+    localservices,
     metrics,
     metricstext,
 )
@@ -30,7 +30,7 @@
     missing: tuple[str, ...] = ()
 
 
-class Status(typing.Protocol):
+class ReadinessSource(typing.Protocol):
     """Says how the node is."""
 
     def readiness(self) -> Readiness:
@@ -42,18 +42,18 @@
 
     def __init__(
         self,
-        local: edges.Local,
-        served: announcements.Announcements,
+        local_edge: edges.LocalEdge,
+        local_services: localservices.LocalServices,
         counts: metrics.Metrics,
-        status: Status,
+        readiness_source: ReadinessSource,
     ):
-        self.local = local
-        self.served = served
+        self.local_edge = local_edge
+        self.local_services = local_services
         self.metrics = counts
-        self.status = status
-        self.paths = {
+        self.readiness_source = readiness_source
+        self.handlers = {
             ("POST", "/mangobay/announce"): self.announce,
-            ("DELETE", "/mangobay/announce"): self.leave,
+            ("DELETE", "/mangobay/announce"): self.withdraw,
             ("GET", "/mangobay/health"): self.health,
             ("GET", "/mangobay/ready"): self.ready,
             ("GET", "/mangobay/metrics"): self.show_metrics,
@@ -63,9 +63,9 @@
         """Answers one request of the local listener."""
         path = request.raw_path.partition("?")[0]
         if not path.startswith(edges.API_PREFIX):
-            return await self.local.handle(request)
+            return await self.local_edge.handle(request)
         try:
-            answer = self.paths.get((request.method, path))
+            answer = self.handlers.get((request.method, path))
             if answer is None:
                 raise calls.RequestError(Reason.NO_SUCH_OPERATION, path)
             return await answer(request)
@@ -73,31 +73,33 @@
             reply = messages.Reply(
                 outcome=messages.Outcome.NOT_RUN, reason=error.reason
             )
-            return httpserver.to_response(reply, self.local.dice, str(error))
+            return httpserver.to_response(
+                reply, self.local_edge.rng, str(error)
+            )
 
     async def announce(self, request: web.BaseRequest) -> web.Response:
         """Takes an announcement, new or renewed."""
-        document = await self.document_of(request)
-        self.served.announce(announcements.parse(document))
-        return in_json({"silence": self.served.silence})
+        document = await self.read_json(request)
+        self.local_services.announce(localservices.parse_announcement(document))
+        return json_response({"silence": self.local_services.timeout_seconds})
 
-    async def leave(self, request: web.BaseRequest) -> web.Response:
+    async def withdraw(self, request: web.BaseRequest) -> web.Response:
         """Takes a service out: its backend server gets no new calls."""
-        document = await self.document_of(request)
+        document = await self.read_json(request)
         service = document.get("service") if isinstance(document, dict) else ""
-        if not self.served.leave(service):
+        if not self.local_services.withdraw(service):
             raise calls.RequestError(
                 Reason.MALFORMED, "service: not announced here"
             )
-        return in_json({})
+        return json_response({})
 
-    async def document_of(self, request: web.BaseRequest) -> typing.Any:
+    async def read_json(self, request: web.BaseRequest) -> typing.Any:
         """Returns the JSON document in the body.
 
         Raises:
           calls.RequestError: there is none.
         """
-        body = await self.local.body_of(request)
+        body = await self.local_edge.read_body(request)
         try:
             return json.loads(body)
         except ValueError:
@@ -108,13 +110,13 @@
     async def health(self, request: web.BaseRequest) -> web.Response:
         """Answers as long as the process turns."""
         del request
-        return in_json({"status": "running"})
+        return json_response({"status": "running"})
 
     async def ready(self, request: web.BaseRequest) -> web.Response:
         """Says whether callers should be sent here, and what is missing."""
         del request
-        missing = self.status.readiness().missing
-        return in_json(
+        missing = self.readiness_source.readiness().missing
+        return json_response(
             {"ready": not missing, "missing": list(missing)},
             503 if missing else 200,
         )
@@ -128,6 +130,6 @@
         )
 
 
-def in_json(document: dict, status: int = 200) -> web.Response:
+def json_response(document: dict, status: int = 200) -> web.Response:
     """Returns a JSON answer."""
     return web.json_response(document, status=status)
--- /dev/null
+++ b/mangobay/localservices.py
@@ -0,0 +1,187 @@
+"""Which backend servers on this host have announced themselves."""
+
+import asyncio
+import collections.abc
+import dataclasses
+import re
+import typing
+
+from mangobay import calls, ids, logs, options
+from mangobay.generated import messages
+
+if typing.TYPE_CHECKING:
+    from mangobay import admission
+
+SERVICE_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
+MAX_SERVICES = 64
+MAX_SLOTS = 100_000
+EXPIRY_CHECKS_PER_TIMEOUT = 4
+"""How often within the silence the announcements are looked through."""
+
+ChangeListener = collections.abc.Callable[[list[messages.ServedService]], None]
+AdmissionFactory = collections.abc.Callable[[], "admission.Admission"]
+
+
+@dataclasses.dataclass(slots=True, kw_only=True)
+class Announcement:
+    """What a backend server says of itself.
+
+    Attributes:
+      service: what it serves.
+      address: where it takes calls.
+      slots: calls it says it can run at once; a start, not the truth.
+      healthy: its own word; a hint that only keeps this node from preferring
+        it, since such words lag and lie.
+      instance: names its incarnation, where it told one.
+    """
+
+    service: ids.ServiceName
+    address: options.Address
+    slots: int
+    healthy: bool = True
+    instance: ids.InstanceId = ids.InstanceId("")
+
+
+@dataclasses.dataclass(slots=True, kw_only=True)
+class LocalService:
+    """A service that the backend server on this host serves.
+
+    Attributes:
+      announcement: the last announcement.
+      renewed_at: loop time when it came.
+      admission: of this service's calls here.
+    """
+
+    announcement: Announcement
+    renewed_at: float
+    admission: "admission.AdmissionController"
+
+
+def parse_announcement(document: typing.Any) -> Announcement:
+    """Returns the announcement in a JSON document.
+
+    Raises:
+      calls.RequestError: with every fault of the document.
+    """
+    if not isinstance(document, dict):
+        raise malformed_error(["not a JSON object"])
+    faults = []
+    service = document.get("service")
+    if not isinstance(service, str) or not SERVICE_NAME_PATTERN.fullmatch(
+        service
+    ):
+        faults.append("service: a name of letters, digits, '.', '_' and '-'")
+    slots = document.get("slots")
+    if type(slots) is not int or not 1 <= slots <= MAX_SLOTS:
+        faults.append(f"slots: a whole number from 1 to {MAX_SLOTS}")
+    healthy = document.get("healthy", True)
+    if not isinstance(healthy, bool):
+        faults.append("healthy: true or false")
+    address = options.Address("", 0)
+    try:
+        address = options.parse_address(str(document.get("address")))
+    except ValueError as error:
+        faults.append(f"address: {error}")
+    if faults:
+        raise malformed_error(faults)
+    return Announcement(
+        service=service, address=address, slots=slots, healthy=healthy
+    )
+
+
+def malformed_error(faults: list[str]) -> calls.RequestError:
+    """Returns the error that tells every fault at once."""
+    return calls.RequestError(messages.Reason.MALFORMED, "; ".join(faults))
+
+
+class LocalServices:
+    """The services served on this host; one goes when it falls silent.
+
+    Attributes:
+      timeout_seconds: seconds without a renewal after which one is gone.
+      by_name: by service.
+    """
+
+    def __init__(
+        self,
+        timeout_seconds: float,
+        make_admission: AdmissionFactory,
+        on_change: ChangeListener,
+    ):
+        self.timeout_seconds = timeout_seconds
+        self.make_admission = make_admission
+        self.on_change = on_change
+        self.by_name: dict[ids.ServiceName, LocalService] = {}
+
+    def announce(self, announcement: Announcement) -> None:
+        """Takes an announcement, new or renewed.
+
+        Raises:
+          calls.RequestError: too many services on one host.
+        """
+        now = asyncio.get_running_loop().time()
+        known = self.by_name.get(announcement.service)
+        if known is None:
+            if len(self.by_name) >= MAX_SERVICES:
+                raise malformed_error([f"more than {MAX_SERVICES} services"])
+            known = LocalService(
+                announcement=announcement,
+                renewed_at=now,
+                admission=self.make_admission(),
+            )
+            self.by_name[announcement.service] = known
+            known.admission.set_slots(announcement.slots)
+            self.report_change("announced", announcement.service)
+            return
+        changed = known.announcement.slots != announcement.slots
+        known.announcement = announcement
+        known.renewed_at = now
+        if changed:
+            known.admission.set_slots(announcement.slots)
+            self.report_change("slots changed", announcement.service)
+
+    def withdraw(self, service: ids.ServiceName) -> bool:
+        """Takes a service out; returns whether it was there."""
+        place = self.by_name.pop(service, None)
+        if place is None:
+            return False
+        place.admission.refuse_all_waiting()
+        self.report_change("left", service)
+        return True
+
+    def find(self, service: ids.ServiceName) -> LocalService | None:
+        """Returns a service served here, None where it is not."""
+        return self.by_name.get(service)
+
+    def report_change(self, sentence: str, service: ids.ServiceName) -> None:
+        """Logs a change and passes the services on to the watcher."""
+        logs.say(logs.Part.NODE, f"backend server {sentence}", service=service)
+        self.on_change(
+            [
+                messages.ServedService(name=name, slots=each.announcement.slots)
+                for name, each in sorted(self.by_name.items())
+            ]
+        )
+
+    def remove_expired(self) -> None:
+        """Takes out every service that fell silent."""
+        oldest = asyncio.get_running_loop().time() - self.timeout_seconds
+        for service, each in list(self.by_name.items()):
+            if each.renewed_at < oldest:
+                del self.by_name[service]
+                self.report_change("fell silent", service)
+
+    async def run_expiry(self) -> None:
+        """Looks for silent ones until cancelled."""
+        while True:
+            await asyncio.sleep(self.next_check_delay())
+            self.remove_expired()
+
+    def next_check_delay(self) -> float:
+        """Returns the seconds until one of them may have fallen silent."""
+        now = asyncio.get_running_loop().time()
+        first = min(
+            (each.renewed_at for each in self.by_name.values()), default=now
+        )
+        shortest = self.timeout_seconds / EXPIRY_CHECKS_PER_TIMEOUT
+        return max(first + self.timeout_seconds - now, shortest)
--- a/mangobay/metricspage.py
+++ b/mangobay/metricspage.py
@@ -9,7 +9,9 @@
 """Of the Prometheus text format."""
 
 
-def handler(render: collections.abc.Callable[[], bytes]) -> leanserver.Handle:
+def make_handler(
+    render: collections.abc.Callable[[], bytes],
+) -> leanserver.Handle:
     """Returns a handler that answers every request with the metrics."""
 
     async def handle(
--- a/mangobay/node.py
+++ b/mangobay/node.py
@@ -25,7 +25,7 @@
             config.limits.answer_bytes,
         )
         self.executor = execution.CallExecutor(
-            self.process, self.served, self.backend, self.once
+            self.process, self.local_services, self.backend, self.once
         )
 
     def make_edges(self) -> None:
@@ -42,10 +42,10 @@
             sample,
         )
         self.local_api = localapi.LocalApi(
-            edges.Local(*parts), self.served, self.metrics, self
+            edges.LocalEdge(*parts), self.local_services, self.metrics, self
         )
         self.outside_listener = self.listener(
-            config.listen.outside, edges.Outside(*parts).handle
+            config.listen.outside, edges.OutsideEdge(*parts).handle
         )
         self.local_listener = self.listener(
             config.listen.local, self.local_api.handle
@@ -85,7 +85,7 @@
         self.control.draining.subscribe(self.drained)
         for work in (
             self.control.run(),
-            self.served.run(),
+            self.local_services.run_expiry(),
             self.once.run_expiry(),
             self.ledger.run(),
         ):
@@ -100,10 +100,10 @@
         self.control.leaving = True
         for listener in self.caller_listeners():
             listener.leave()
-        times = self.executor.departure
-        times.begin(self.told_at, grace, linger=0)
+        times = self.executor.shutdown
+        times.start(self.told_at, grace, linger=0)
         try:
-            async with asyncio.timeout_at(times.ends_at):
+            async with asyncio.timeout_at(times.abort_at):
                 await self.finished()
                 handed_over = await self.hand_over()
                 await self.answers_taken()
@@ -160,7 +160,7 @@
         """Closes listeners, tasks and connections."""
         await self.give_up()
         await self.close_listeners()
-        await self.peer_listener.close(self.seconds_to_write())
+        await self.peer_listener.close(self.write_timeout())
         await self.end_tasks()
         self.ledger.write(last=True)
         await self.close_connections()
--- a/mangobay/nodegauges.py
+++ b/mangobay/nodegauges.py
@@ -10,7 +10,7 @@
 
 def gauges_of(node: "basenode.BaseNode") -> list[metrics.Gauge]:
     """Returns the numbers of a node that the metrics read when asked."""
-    places = node.served.served
+    places = node.local_services.by_name
     return [
         metrics.Gauge(
             name="lease",
--- a/mangobay/table.py
+++ b/mangobay/operationtable.py
@@ -22,7 +22,7 @@
 Operations = collections.abc.Iterable[messages.Operation]
 
 
-def segments_of(path: str) -> tuple[str, ...]:
+def split_segments(path: str) -> tuple[str, ...]:
     """Returns the segments of a path; `{name}` segments become wildcards."""
     return tuple(
         WILDCARD if part == WILDCARD or part.startswith("{") else part
@@ -30,7 +30,7 @@
     )
 
 
-def reference(operation: messages.Operation) -> messages.OperationRef:
+def operation_ref(operation: messages.Operation) -> messages.OperationRef:
     """Returns what names the operation."""
     return messages.OperationRef(service=operation.service, name=operation.name)
 
@@ -40,18 +40,18 @@
     return operation.service, operation.name
 
 
-class Pattern:
+class PathPattern:
     """A path with wildcards.
 
     Attributes:
-      shape: for each segment whether it is a wildcard; sorts literals first.
-      form: matches the path, with a group for each wildcard.
+      wildcards: for each segment whether it is a wildcard; sorts literals first.
+      regex: matches the path, with a group for each wildcard.
     """
 
     def __init__(self, segments: tuple[str, ...], operation):
         self.operation = operation
-        self.shape = tuple(segment == WILDCARD for segment in segments)
-        self.form = re.compile(
+        self.wildcards = tuple(segment == WILDCARD for segment in segments)
+        self.regex = re.compile(
             "".join(
                 "/([^/]+)" if segment == WILDCARD else f"/{re.escape(segment)}"
                 for segment in segments
@@ -60,36 +60,36 @@
 
     def matches(self, path: str) -> bool:
         """Returns whether a path of as many segments is meant."""
-        match = self.form.fullmatch(path)
+        match = self.regex.fullmatch(path)
         return match is not None and not any(
             map(UNSAFE_SEGMENT.fullmatch, match.groups())
         )
 
 
-class Offers:
+class ServiceOperations:
     """The operations of one service, found by method and path."""
 
     def __init__(self, operations: dict[str, messages.Operation]):
         self.operations = operations
-        self.literal: dict[tuple[str, str], messages.Operation] = {}
-        self.patterns: dict[tuple[str, int], list[Pattern]] = {}
+        self.by_literal_path: dict[tuple[str, str], messages.Operation] = {}
+        self.patterns: dict[tuple[str, int], list[PathPattern]] = {}
         for operation in operations.values():
             self.add(operation)
         for patterns in self.patterns.values():
-            patterns.sort(key=lambda pattern: pattern.shape)
+            patterns.sort(key=lambda pattern: pattern.wildcards)
 
     def add(self, operation: messages.Operation) -> None:
         """Files an operation under its method and path."""
-        segments = segments_of(operation.path)
+        segments = split_segments(operation.path)
         if WILDCARD not in segments:
-            self.literal[operation.method, operation.path] = operation
+            self.by_literal_path[operation.method, operation.path] = operation
             return
         group = self.patterns.setdefault((operation.method, len(segments)), [])
-        group.append(Pattern(segments, operation))
+        group.append(PathPattern(segments, operation))
 
     def find(self, method: str, path: str) -> messages.Operation | None:
         """Returns the operation; a literal segment goes before a wildcard."""
-        operation = self.literal.get((method, path))
+        operation = self.by_literal_path.get((method, path))
         if operation or not self.patterns:
             return operation
         for pattern in self.patterns.get((method, path.count("/")), ()):
@@ -98,7 +98,7 @@
         return None
 
 
-class Table:
+class OperationTable:
     """All operations of one revision; never changed once made.
 
     Attributes:
@@ -111,7 +111,7 @@
     def __init__(
         self,
         revision: ids.Revision = NO_REVISION,
-        services: dict[ids.ServiceName, Offers] | None = None,
+        services: dict[ids.ServiceName, ServiceOperations] | None = None,
     ):
         self.revision = revision
         self.services = services or {}
@@ -138,7 +138,7 @@
             return operation.outside
         return caller in operation.callers or ids.EVERYONE in operation.callers
 
-    def rows(self) -> list[messages.Operation]:
+    def operations(self) -> list[messages.Operation]:
         """Returns every operation, by service and name."""
         return sorted(
             (
@@ -149,18 +149,18 @@
             key=sort_key,
         )
 
-    def without(
+    def without_services(
         self, services: collections.abc.Set[ids.ServiceName]
-    ) -> "Table":
+    ) -> "OperationTable":
         """Returns the table of the same revision without some services."""
         kept = {
             name: offers
             for name, offers in self.services.items()
             if name not in services
         }
-        return Table(self.revision, kept)
+        return OperationTable(self.revision, kept)
 
-    def updated(self, update: messages.TableUpdate) -> "Table":
+    def updated(self, update: messages.TableUpdate) -> "OperationTable":
         """Returns the table after an update; only changed services are built.
 
         Raises:
@@ -183,12 +183,12 @@
         for operation in update.changed:
             changes[operation.service][operation.name] = operation
         for service, changed in changes.items():
-            replace(services, service, changed)
-        return Table(update.revision, services)
+            replace_operations(services, service, changed)
+        return OperationTable(update.revision, services)
 
 
-def replace(
-    services: dict[ids.ServiceName, Offers],
+def replace_operations(
+    services: dict[ids.ServiceName, ServiceOperations],
     service: ids.ServiceName,
     changed: dict[ids.OperationName, messages.Operation | None],
 ) -> None:
@@ -198,7 +198,7 @@
     kept = {name: operation for name, operation in merged.items() if operation}
     services.pop(service, None)
     if kept:
-        services[service] = Offers(kept)
+        services[service] = ServiceOperations(kept)
 
 
 @dataclasses.dataclass(slots=True)
@@ -223,6 +223,6 @@
             after[key] for key in sorted(after) if after[key] != before.get(key)
         ],
         removed=[
-            reference(before[key]) for key in sorted(before.keys() - after)
+            operation_ref(before[key]) for key in sorted(before.keys() - after)
         ],
     )
--- a/mangobay/problems.py
+++ b/mangobay/problems.py
@@ -5,7 +5,7 @@
 import math
 import random
 
-from mangobay import fields
+from mangobay import httpheaders
 from mangobay.generated import messages
 
 MEDIA_TYPE = "application/problem+json"
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kind:
+class ProblemType:
     """How a reason is shown.
 
     Attributes:
@@ -26,37 +26,39 @@
     title: str
 
 
-KINDS = {
-    Reason.NO_SUCH_OPERATION: Kind(404, "No such operation"),
-    Reason.OVERLOADED: Kind(503, "Overloaded"),
-    Reason.QUEUE_TIMEOUT: Kind(503, "No free slot in time"),
-    Reason.DEADLINE_EXCEEDED: Kind(504, "Deadline exceeded"),
-    Reason.NO_BACKEND: Kind(503, "No backend server"),
-    Reason.LEAVING: Kind(503, "The host is leaving"),
-    Reason.NO_LEASE: Kind(503, "The host is cut off from the control group"),
-    Reason.NOT_OWNER: Kind(503, "The key's owner changes"),
-    Reason.COPY_FAILED: Kind(503, "The key could not be recorded"),
-    Reason.KEY_EXPIRED: Kind(409, "The key is too old"),
-    Reason.KEY_REUSED: Kind(422, "The key was used for another request"),
-    Reason.KEY_REQUIRED: Kind(400, "An idempotency key is required"),
-    Reason.OWNER_CHANGED: Kind(503, "The key's owner changed"),
-    Reason.CONNECTION_FAILED: Kind(503, "No connection"),
-    Reason.CONNECTION_BROKEN: Kind(502, "The connection broke"),
-    Reason.INCOMPLETE_ANSWER: Kind(502, "The answer was incomplete"),
-    Reason.BACKEND_SHED: Kind(503, "The backend server refused"),
-    Reason.TOO_LARGE: Kind(413, "Too large"),
-    Reason.CANCELLED: Kind(503, "Cancelled"),
-    Reason.TRIES_EXHAUSTED: Kind(503, "No tries left"),
-    Reason.CALLER_THROTTLED: Kind(429, "The caller sends too much"),
-    Reason.MALFORMED: Kind(400, "Malformed request"),
-    Reason.INTERNAL: Kind(500, "Internal fault"),
-    Reason.RUNNING: Kind(409, "The first request of the key still runs"),
+PROBLEM_TYPES = {
+    Reason.NO_SUCH_OPERATION: ProblemType(404, "No such operation"),
+    Reason.OVERLOADED: ProblemType(503, "Overloaded"),
+    Reason.QUEUE_TIMEOUT: ProblemType(503, "No free slot in time"),
+    Reason.DEADLINE_EXCEEDED: ProblemType(504, "Deadline exceeded"),
+    Reason.NO_BACKEND: ProblemType(503, "No backend server"),
+    Reason.LEAVING: ProblemType(503, "The host is leaving"),
+    Reason.NO_LEASE: ProblemType(
+        503, "The host is cut off from the control group"
+    ),
+    Reason.NOT_OWNER: ProblemType(503, "The key's owner changes"),
+    Reason.COPY_FAILED: ProblemType(503, "The key could not be recorded"),
+    Reason.KEY_EXPIRED: ProblemType(409, "The key is too old"),
+    Reason.KEY_REUSED: ProblemType(422, "The key was used for another request"),
+    Reason.KEY_REQUIRED: ProblemType(400, "An idempotency key is required"),
+    Reason.OWNER_CHANGED: ProblemType(503, "The key's owner changed"),
+    Reason.CONNECTION_FAILED: ProblemType(503, "No connection"),
+    Reason.CONNECTION_BROKEN: ProblemType(502, "The connection broke"),
+    Reason.INCOMPLETE_ANSWER: ProblemType(502, "The answer was incomplete"),
+    Reason.BACKEND_SHED: ProblemType(503, "The backend server refused"),
+    Reason.TOO_LARGE: ProblemType(413, "Too large"),
+    Reason.CANCELLED: ProblemType(503, "Cancelled"),
+    Reason.TRIES_EXHAUSTED: ProblemType(503, "No tries left"),
+    Reason.CALLER_THROTTLED: ProblemType(429, "The caller sends too much"),
+    Reason.MALFORMED: ProblemType(400, "Malformed request"),
+    Reason.INTERNAL: ProblemType(500, "Internal fault"),
+    Reason.RUNNING: ProblemType(409, "The first request of the key still runs"),
 }
 
-ANSWER_TOO_LARGE = Kind(502, "The answer was too large")
-CUT_SHORT = Kind(502, "The host left before the answer")
+RESPONSE_TOO_LARGE = ProblemType(502, "The answer was too large")
+ABORTED_BY_SHUTDOWN = ProblemType(502, "The host left before the answer")
 
-RETRY_LATER = frozenset(
+RETRYABLE_REASONS = frozenset(
     {
         Reason.OVERLOADED,
         Reason.QUEUE_TIMEOUT,
@@ -72,7 +74,7 @@
     }
 )
 """Refusals after which another try may fare better."""
-DEFAULT_RETRY_AFTER = 1.0
+DEFAULT_RETRY_AFTER_SECONDS = 1.0
 """Seconds, where the refusal itself names no time."""
 
 
@@ -85,40 +87,43 @@
     body: bytes
 
 
-def retry_after(reply: messages.Reply, dice: random.Random) -> int:
+def retry_after_seconds(reply: messages.Reply, rng: random.Random) -> int:
     """Returns whole seconds for Retry-After, 0 for none.
 
     The field holds whole seconds only: rounding at random keeps the mean, so
     that callers refused together don't come back together.
     """
-    if reply.reason not in RETRY_LATER or reply.outcome != Outcome.NOT_RUN:
+    if (
+        reply.reason not in RETRYABLE_REASONS
+        or reply.outcome != Outcome.NOT_RUN
+    ):
         return 0
     seconds = reply.retry_after_ms / 1000
     if not seconds:
-        seconds = DEFAULT_RETRY_AFTER * dice.uniform(0.5, 1.5)
-    return max(1, math.floor(seconds + dice.random()))
+        seconds = DEFAULT_RETRY_AFTER_SECONDS * rng.uniform(0.5, 1.5)
+    return max(1, math.floor(seconds + rng.random()))
 
 
-def kind_of(outcome: Outcome, reason: Reason) -> Kind:
+def problem_type(outcome: Outcome, reason: Reason) -> ProblemType:
     """Returns how a refusal is shown."""
     if outcome == Outcome.UNKNOWN and reason == Reason.TOO_LARGE:
-        return ANSWER_TOO_LARGE
+        return RESPONSE_TOO_LARGE
     if outcome == Outcome.UNKNOWN and reason == Reason.LEAVING:
-        return CUT_SHORT
-    return KINDS.get(reason, KINDS[Reason.INTERNAL])
+        return ABORTED_BY_SHUTDOWN
+    return PROBLEM_TYPES.get(reason, PROBLEM_TYPES[Reason.INTERNAL])
 
 
-def problem(
-    reply: messages.Reply, dice: random.Random, detail: str = ""
+def from_reply(
+    reply: messages.Reply, rng: random.Random, detail: str = ""
 ) -> Problem:
     """Returns the problem details of a reply that is not an answer."""
-    kind = kind_of(reply.outcome, reply.reason)
+    kind = problem_type(reply.outcome, reply.reason)
     outcome = reply.outcome.name.lower()
     reason = reply.reason.name.lower()
     headers = {
         "Content-Type": MEDIA_TYPE,
-        fields.OUTCOME: outcome,
-        fields.REASON: reason,
+        httpheaders.OUTCOME: outcome,
+        httpheaders.REASON: reason,
     }
     members: dict[str, str | int] = {
         "type": f"urn:mangobay:{reason}",
@@ -129,8 +134,8 @@
     }
     if detail:
         members["detail"] = detail
-    seconds = retry_after(reply, dice)
+    seconds = retry_after_seconds(reply, rng)
     if seconds:
-        headers[fields.RETRY_AFTER] = str(seconds)
+        headers[httpheaders.RETRY_AFTER] = str(seconds)
     body = json.dumps(members).encode() + b"\n"
     return Problem(kind.status, headers, body)
--- a/mangobay/decisions.py
+++ b/mangobay/requestlog.py
@@ -11,26 +11,26 @@
 from mangobay import calls, ids, logs, routes
 from mangobay.generated import messages
 
-LINES_A_SECOND = 50.0
+LINES_PER_SECOND = 50.0
 """Keeps the lines far below a hundredth of a core."""
-BURST = 200.0
+BURST_LINES = 200.0
 """Lines that a sudden trouble may write before the rate counts."""
 
 
-class DecisionLog:
+class RequestLog:
     """Writes the lines of one node.
 
     Attributes:
-      allowance: lines that may be written now.
+      tokens: lines that may be written now.
       dropped: lines left out since the last one.
     """
 
     def __init__(self):
-        self.allowance = BURST
+        self.tokens = BURST_LINES
         self.counted = 0.0
         self.dropped = 0
 
-    def ended(
+    def log_unanswered(
         self,
         attempt: ids.AttemptId,
         call: calls.Request,
@@ -38,7 +38,7 @@
         seconds: float,
     ) -> None:
         """Notes a request that got no answer, or a failure."""
-        if not self.may_write():
+        if not self.take_token():
             return
         logs.say(
             logs.Part.CALL,
@@ -57,17 +57,17 @@
             limit=reply.limit,
             held_ms=int(seconds * 1000),
             retry_after_ms=reply.retry_after_ms,
-            dropped=self.take_dropped(),
+            dropped=self.reset_dropped(),
         )
 
-    def refused_unread(
+    def log_refused(
         self,
         attempt: ids.AttemptId,
         error: calls.RequestError,
         table: routes.Table | None,
     ) -> None:
         """Notes a request that became no call."""
-        if not self.may_write():
+        if not self.take_token():
             return
         logs.say(
             logs.Part.CALL,
@@ -76,22 +76,22 @@
             reason=error.reason.name.lower(),
             why=str(error),
             routes_version=table.document.version if table else 0,
-            dropped=self.take_dropped(),
+            dropped=self.reset_dropped(),
         )
 
-    def may_write(self) -> bool:
+    def take_token(self) -> bool:
         """Counts a line; returns whether it may be written."""
         now = asyncio.get_running_loop().time()
-        earned = (now - self.counted) * LINES_A_SECOND
-        self.allowance = min(BURST, self.allowance + earned)
+        earned = (now - self.counted) * LINES_PER_SECOND
+        self.tokens = min(BURST_LINES, self.tokens + earned)
         self.counted = now
-        if self.allowance < 1:
+        if self.tokens < 1:
             self.dropped += 1
             return False
-        self.allowance -= 1
+        self.tokens -= 1
         return True
 
-    def take_dropped(self) -> int:
+    def reset_dropped(self) -> int:
         """Returns how many lines were left out, and starts over."""
         dropped, self.dropped = self.dropped, 0
         return dropped
--- a/mangobay/routedcontrol.py
+++ b/mangobay/routedcontrol.py
@@ -91,7 +91,7 @@
         taken = intake.Intake()
         api = taking(taken, self.make_api(self.publisher))
         made = [leanserver.Listener(config.listen.operator, api, limits)]
-        page = metricspage.handler(self.render_metrics)
+        page = metricspage.make_handler(self.render_metrics)
         made += [
             leanserver.Listener(address, page, leanserver.Limits())
             for address in config.listen.metrics
--- a/mangobay/routednode.py
+++ b/mangobay/routednode.py
@@ -6,7 +6,6 @@
 
 from mangobay import (
     basenode,
-    decisions,
     errors,
     gateway,
     heartbeats,
@@ -18,6 +17,7 @@
     options,
     publishing,
     refusals,
+    requestlog,
     routes,
 )
 from mangobay.generated import messages, settings
@@ -41,7 +41,9 @@
 
     vocabulary: gateway.Vocabulary
     decode: gateway.Decoder
-    heartbeat_api: typing.Callable[[heartbeats.Heartbeats], leanserver.Handle]
+    heartbeat_api: typing.Callable[
+        [heartbeats.HeartbeatReceiver], leanserver.Handle
+    ]
     ready_api: typing.Callable[[typing.Callable[[], bool]], leanserver.Handle]
 
 
@@ -75,12 +77,12 @@
         self.executor = gateway.RoutedCallExecutor(
             self.dialect.vocabulary,
             self.process,
-            self.served,
+            self.local_services,
             self.backend,
             self.once,
         )
-        self.heartbeats = heartbeats.Heartbeats(
-            self.served,
+        self.heartbeats = heartbeats.HeartbeatReceiver(
+            self.local_services,
             ids.ServiceName(config.backend.service),
             first(config.backend.address),
         )
@@ -94,8 +96,8 @@
             self.executor.run_of,
             self.dispatcher,
             self.metrics,
-            decisions.DecisionLog(),
-            self.executor.departure,
+            requestlog.RequestLog(),
+            self.executor.shutdown,
         )
         limits = leanserver.Limits(
             body_bytes=config.limits.body_bytes,
@@ -106,7 +108,7 @@
             config.listen.outside, self.gateway.handle, limits
         )
         # The limit is not known before the routes are.
-        self.outside_listener.oversized = refusals.retry_later()
+        self.outside_listener.oversized = refusals.retry_later_response()
         small = (
             (
                 config.listen.heartbeats,
@@ -115,7 +117,7 @@
             (config.listen.ready, self.dialect.ready_api(self.is_ready)),
             (
                 config.listen.metrics,
-                metricspage.handler(self.metrics.render),
+                metricspage.make_handler(self.metrics.render),
             ),
         )
         self.listeners = [
@@ -144,7 +146,7 @@
         self.control.views.subscribe(self.share_slack)
         self.control.routes.subscribe(self.take_routes)
         self.control.draining.subscribe(self.drained)
-        for work in (self.control.run(), self.served.run()):
+        for work in (self.control.run(), self.local_services.run_expiry()):
             self.tasks.append(asyncio.create_task(work))
         logs.say(logs.Part.NODE, "started", host=self.process.host)
 
@@ -188,11 +190,11 @@
         config = self.config.leaving
         logs.say(logs.Part.NODE, "leaving", grace=config.grace)
         self.outside_listener.leaving = True
-        times = self.executor.departure
-        times.begin(self.told_at, config.grace, config.linger)
-        linger = times.takes_until - self.told_at
+        times = self.executor.shutdown
+        times.start(self.told_at, config.grace, config.linger)
+        linger = times.accept_until - self.told_at
         try:
-            async with asyncio.timeout_at(times.ends_at):
+            async with asyncio.timeout_at(times.abort_at):
                 await asyncio.sleep(max(linger - TOLD_BEFORE, 0))
                 self.control.leaving = True
                 await asyncio.sleep(min(linger, TOLD_BEFORE))
--- a/mangobay/sheet.py
+++ b/mangobay/sheet.py
@@ -6,7 +6,7 @@
 import io
 import json
 
-from mangobay import cells, errors, findings, ids, table
+from mangobay import cells, errors, findings, ids, operationtable
 from mangobay.generated import messages
 
 MAX_BYTES = 16 * 1024 * 1024
@@ -167,7 +167,7 @@
         names: dict[tuple, int] = {}
         requests: dict[tuple, int] = {}
         for row, operation in self.operations_by_row.items():
-            first = names.setdefault(table.sort_key(operation), row)
+            first = names.setdefault(operationtable.sort_key(operation), row)
             if first != row:
                 self.report(
                     f"{operation.service} {operation.name} is in row {first}"
@@ -221,5 +221,7 @@
     if not parser.operations_by_row and not faulty_rows:
         parser.report("has no operations; an empty sheet would stop everything")
     parser.raise_findings()
-    operations = sorted(parser.operations_by_row.values(), key=table.sort_key)
+    operations = sorted(
+        parser.operations_by_row.values(), key=operationtable.sort_key
+    )
     return Sheet(operations, compute_digest(operations))
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -8,12 +8,12 @@
 import yarl
 from aiohttp import web
 
-from mangobay import ids, node, options, settings, table
+from mangobay import ids, node, operationtable, options, settings
 from mangobay.generated import messages
 from mangobay.generated import settings as generated
 
-LONG = 20.0
-PATIENCE = 0.3
+WAIT_SECONDS = 20.0
+HEADER_TIMEOUT_SECONDS = 0.3
 SETTINGS = """
 [host]
 name = {host}
@@ -45,7 +45,7 @@
     return messages.Operation(name=name, method=method, **(given | more))
 
 
-ROWS = [
+OPERATIONS = [
     operation("price"),
     operation("book", "POST"),
     operation("sign", "POST", key_required=True),
@@ -63,7 +63,7 @@
         self.requests: list[web.BaseRequest] = []
         self.cancelled = 0
 
-    async def answer(self, request: web.BaseRequest) -> web.Response:
+    async def respond(self, request: web.BaseRequest) -> web.Response:
         self.requests.append(request)
         try:
             return await self.handle(request)
@@ -72,32 +72,37 @@
             raise
 
 
-class World:
+class NodeCluster:
     """Nodes that were started, each with its backend server and addresses."""
 
-    def __init__(self, folder, stack: contextlib.AsyncExitStack):
-        self.folder = folder
+    def __init__(self, directory, stack: contextlib.AsyncExitStack):
+        self.directory = directory
         self.stack = stack
         self.nodes: list[node.Node] = []
-        self.asked: list[ids.ServiceName] = []
+        self.interest_requests: list[ids.ServiceName] = []
         self.views: list[messages.ServiceView] = []
 
     async def start(
-        self, host: str, handle, extra: str = "", patience: float = PATIENCE
+        self,
+        host: str,
+        handle,
+        extra_settings: str = "",
+        header_timeout: float = HEADER_TIMEOUT_SECONDS,
     ) -> node.Node:
         """Starts a node with a backend server, announced as `stock`.
 
         Args:
           host: its name.
           handle: answers for the backend server; None for no backend server.
-          extra: further settings.
-          patience: seconds that a caller has to send its request.
+          extra_settings: further settings.
+          header_timeout: seconds that a caller has to send its request.
         """
-        path = self.folder / f"{host}.ini"
-        text = SETTINGS.format(host=host) + extra
+        path = self.directory / f"{host}.ini"
+        text = SETTINGS.format(host=host) + extra_settings
         path.write_text(
             text.replace(
-                f"header_timeout = {PATIENCE}", f"header_timeout = {patience}"
+                f"header_timeout = {HEADER_TIMEOUT_SECONDS}",
+                f"header_timeout = {header_timeout}",
             )
         )
         config = settings.load(
@@ -110,25 +115,25 @@
         self.stack.push_async_callback(started.close)
         now = asyncio.get_running_loop().time()
         started.control.lease.extend(now, 1e6)
-        started.control.tables.on_next(self.table())
+        started.control.tables.on_next(self.make_table())
         self.nodes.append(started)
         if handle is not None:
             await self.serve(started, BackendServer(handle))
-        self.tell_views()
+        self.publish_views()
         return started
 
     async def interest(self, service: ids.ServiceName) -> None:
-        self.asked.append(service)
+        self.interest_requests.append(service)
 
     @staticmethod
-    def table() -> table.Table:
-        update = messages.TableUpdate(revision=5, changed=ROWS)
-        return table.Table().updated(update)
+    def make_table() -> operationtable.OperationTable:
+        update = messages.TableUpdate(revision=5, changed=OPERATIONS)
+        return operationtable.OperationTable().updated(update)
 
     async def serve(self, started: node.Node, server: BackendServer) -> None:
         """Starts the backend server and announces it over HTTP."""
         listening = await asyncio.get_running_loop().create_server(
-            web.Server(server.answer, handler_cancellation=True),
+            web.Server(server.respond, handler_cancellation=True),
             "127.0.0.1",
             0,
         )
@@ -145,7 +150,7 @@
         )
         assert status == 200, body
 
-    def tell_views(self) -> None:
+    def publish_views(self) -> None:
         """Gives every node the view of all that serve `stock`."""
         members = [
             messages.Member(
@@ -157,7 +162,7 @@
                 leaving=each.executor.leaving,
             )
             for each in self.nodes
-            if each.served.served
+            if each.local_services.by_name
         ]
         view = messages.ServiceView(
             service="stock",
@@ -185,21 +190,21 @@
         ):
             return response.status, response.headers, await response.read()
 
-    async def outside(self, started: node.Node, method, path, **more):
+    async def send_outside(self, started: node.Node, method, path, **more):
         """Sends one request to a node's outside listener."""
         address = started.outside_listener.address
         return await self.send(address, method, path, **more)
 
 
 @contextlib.asynccontextmanager
-async def world(folder):
+async def node_cluster(folder):
     """Gives a world whose nodes are closed at the end."""
     async with contextlib.AsyncExitStack() as stack:
-        yield World(folder, stack)
+        yield NodeCluster(folder, stack)
 
 
-async def until(condition) -> None:
+async def wait_until(condition) -> None:
     """Waits until a condition holds."""
-    async with asyncio.timeout(LONG):
+    async with asyncio.timeout(WAIT_SECONDS):
         while not condition():
             await asyncio.sleep(0.002)
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -9,29 +9,29 @@
     aiohttpbackend,
     backend,
     errors,
-    fields,
+    httpheaders,
     invariants,
     options,
 )
 from mangobay.generated import messages
 
-LONG = 20.0
+WAIT_SECONDS = 20.0
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class Part(bytes):
+class ClosingBytes(bytes):
     """Bytes after which the backend server drops the connection."""
 
 
-DROP = Part()
-SILENCE = b""
+CLOSE_WITHOUT_RESPONSE = ClosingBytes()
+NO_RESPONSE = b""
 
 
-class Server:
+class ScriptedServer:
     """Reads requests and answers each with the next of its scripts."""
 
-    def __init__(self, scripts):
-        self.scripts = list(scripts)
+    def __init__(self, responses):
+        self.responses = list(responses)
         self.requests: list[bytes] = []
         self.connections = 0
         self.closed = asyncio.Event()
@@ -42,17 +42,17 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.requests.append(head)
-                script = self.scripts.pop(0)
+                script = self.responses.pop(0)
                 writer.write(script)
-                if isinstance(script, Part):
+                if isinstance(script, ClosingBytes):
                     break
         self.closed.set()
         writer.close()
 
 
 @contextlib.asynccontextmanager
-async def running(*scripts):
-    server = Server(scripts)
+async def scripted_server(*scripts):
+    server = ScriptedServer(scripts)
     listening = await asyncio.start_server(server.serve, "127.0.0.1", 0)
     port = listening.sockets[0].getsockname()[1]
     calling = aiohttpbackend.Backend(100, 2.0, 100)
@@ -63,7 +63,7 @@
         listening.close()
 
 
-def request(method="GET", idempotent=True, seconds=LONG, headers=()):
+def request(method="GET", idempotent=True, seconds=WAIT_SECONDS, headers=()):
     end = asyncio.get_running_loop().time() + seconds
     return backend.Request(
         method=method,
@@ -72,7 +72,7 @@
         body=b"",
         idempotent=idempotent,
         deadline=end,
-        cut_at=end,
+        abort_at=end,
     )
 
 
@@ -80,7 +80,7 @@
     """Exactly one request, and a true word on its fate."""
 
     async def test_a_whole_answer_comes_back_and_nothing_is_added(self):
-        async with running(OK) as (server, calling, address):
+        async with scripted_server(OK) as (server, calling, address):
             given = messages.Header(name="X-Sale", value="1")
             answer = await calling.send(
                 address, request(headers=[given]), backend.Attempt()
@@ -102,7 +102,11 @@
         run that nobody counted.  Exactly one request must be seen there, and
         its outcome is unknown.
         """
-        async with running(OK, DROP, OK) as (server, calling, address):
+        async with scripted_server(OK, CLOSE_WITHOUT_RESPONSE, OK) as (
+            server,
+            calling,
+            address,
+        ):
             await calling.send(
                 address, request(method, idempotent), backend.Attempt()
             )
@@ -123,8 +127,12 @@
         """
         broken = invariants.Promise.AT_MOST_ONCE
         before = invariants.broken[broken]
-        async with running(OK, DROP, OK) as (server, calling, address):
-            calling.any_session._retry_connection = True
+        async with scripted_server(OK, CLOSE_WITHOUT_RESPONSE, OK) as (
+            server,
+            calling,
+            address,
+        ):
+            calling.idempotent_session._retry_connection = True
             await calling.send(address, request(), backend.Attempt())
             with pytest.raises(errors.InvariantError):
                 await calling.send(address, request(), backend.Attempt())
@@ -161,14 +169,18 @@
         Passed on, the caller would take the part for the whole.  It gets an
         error instead, and since the request was sent its fate is unknown.
         """
-        async with running(Part(script)) as (_, calling, address):
+        async with scripted_server(ClosingBytes(script)) as (
+            _,
+            calling,
+            address,
+        ):
             attempt = backend.Attempt()
             with pytest.raises(error):
                 await calling.send(address, request(), attempt)
             assert attempt.sent
 
     async def test_nobody_listening_means_that_nothing_was_sent(self):
-        async with running() as (_, calling, address):
+        async with scripted_server() as (_, calling, address):
             nobody = options.Address(address.ip, 1)
             attempt = backend.Attempt()
             with pytest.raises(errors.BackendUnreachableError):
@@ -182,7 +194,7 @@
         async def gate():
             raise ShutError
 
-        async with running(OK) as (server, calling, address):
+        async with scripted_server(OK) as (server, calling, address):
             attempt = backend.Attempt(gate)
             with pytest.raises(ShutError):
                 await calling.send(address, request(), attempt)
@@ -196,20 +208,20 @@
         Both at the deadline and when the caller hangs up, the connection is
         closed, so that the backend server sees that nobody waits.
         """
-        async with running(SILENCE) as (server, calling, address):
+        async with scripted_server(NO_RESPONSE) as (server, calling, address):
             with pytest.raises(errors.BackendTimeoutError):
                 await calling.send(
                     address, request(seconds=0.05), backend.Attempt()
                 )
-            await asyncio.wait_for(server.closed.wait(), LONG)
-        async with running(SILENCE) as (server, calling, address):
+            await asyncio.wait_for(server.closed.wait(), WAIT_SECONDS)
+        async with scripted_server(NO_RESPONSE) as (server, calling, address):
             sending = asyncio.create_task(
                 calling.send(address, request(), backend.Attempt())
             )
             while not server.requests:
                 await asyncio.sleep(0.001)
             sending.cancel()
-            await asyncio.wait_for(server.closed.wait(), LONG)
+            await asyncio.wait_for(server.closed.wait(), WAIT_SECONDS)
             assert calling.inflight == 0
 
     async def test_redirects_and_cookies_are_left_to_the_caller(self):
@@ -217,11 +229,11 @@
             b"HTTP/1.1 302 Found\r\nLocation: /x\r\nSet-Cookie: a=1\r\n"
             b"Content-Encoding: gzip\r\nContent-Length: 3\r\n\r\nraw"
         )
-        async with running(moved, OK) as (server, calling, address):
+        async with scripted_server(moved, OK) as (server, calling, address):
             answer = await calling.send(address, request(), backend.Attempt())
             await calling.send(address, request(), backend.Attempt())
         assert (answer.status, answer.body) == (302, b"raw")
-        assert fields.find(answer.headers, "set-cookie") == "a=1"
+        assert httpheaders.find(answer.headers, "set-cookie") == "a=1"
         assert b"ookie" not in server.requests[1]
 
     async def test_an_old_connection_carries_no_booking(self, monkeypatch):
@@ -231,8 +243,8 @@
         whether the booking ran.  It goes over a fresh connection; a read may
         use the old one, since it can be repeated.
         """
-        monkeypatch.setattr(backend, "FRESH_SECONDS", 0.01)
-        async with running(*[OK] * 4) as (server, calling, address):
+        monkeypatch.setattr(backend, "NON_IDEMPOTENT_REUSE_SECONDS", 0.01)
+        async with scripted_server(*[OK] * 4) as (server, calling, address):
             for idempotent in (True, False):
                 for _ in range(2):
                     await calling.send(
@@ -248,7 +260,7 @@
             b"HTTP/1.1 503 Busy\r\nMangobay-Outcome: not_run\r\n"
             b"Content-Length: 0\r\n\r\n"
         )
-        async with running(shed) as (_, calling, address):
+        async with scripted_server(shed) as (_, calling, address):
             answer = await calling.send(address, request(), backend.Attempt())
         assert answer.shed
-        assert not fields.find(answer.headers, fields.OUTCOME)
+        assert not httpheaders.find(answer.headers, httpheaders.OUTCOME)
--- a/tests/test_controlclient.py
+++ b/tests/test_controlclient.py
@@ -248,7 +248,7 @@
             )
             await client.interest("quotes")
             await client.interest("prices")
-            names = [row.name for row in client.tables.value.rows()]
+            names = [row.name for row in client.tables.value.operations()]
             assert sorted(names) == ["rank", "sign"]
             assert client.tables.value.revision == 1
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -7,14 +7,14 @@
 import pytest
 
 from mangobay import (
-    announcements,
     calls,
     dispatch,
     errors,
     execution,
-    fields,
+    httpheaders,
     inflight,
     keyslots,
+    localservices,
     options,
     remotetraffic,
     retryallowance,
@@ -98,7 +98,7 @@
     section = defaults(
         settings.NodeRetries, settings.NODE_RETRIES_OPTIONS, **retries
     )
-    served = announcements.Announcements(1, None, None)
+    served = localservices.LocalServices(1, None, None)
     tools = dispatch.Dependencies(
         process=PROCESS,
         router=router,
@@ -130,7 +130,7 @@
         deadline=asyncio.get_running_loop().time() + seconds,
         allowance=retryallowance.RetryAllowance(granted),
         key=key,
-        trace=fields.new_trace(0),
+        trace=httpheaders.new_trace(0),
     )
 
 
@@ -153,7 +153,7 @@
     """A backend server on this host, with room, that fails some calls."""
 
     def __init__(self, failing):
-        self.served = self
+        self.local_services = self
         self.leaving = False
         self.remote_traffic = remotetraffic.RemoteTraffic()
         self.failing = failing
@@ -162,7 +162,7 @@
     def find(self, service):
         del service
         return types.SimpleNamespace(
-            said=types.SimpleNamespace(healthy=True),
+            announcement=types.SimpleNamespace(healthy=True),
             admission=types.SimpleNamespace(threshold=0, running=0, limit=9),
         )
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -7,18 +7,18 @@
 import pytest
 from aiohttp import web
 
-from mangobay import fields, table
+from mangobay import httpheaders, operationtable
 
-GRACE = "[leaving]\ngrace = 1\n"
+SHORT_GRACE_SETTINGS = "[leaving]\ngrace = 1\n"
 
 
-async def answer(request):
+async def echo(request):
     return web.Response(text=f"{request.method} {request.raw_path}")
 
 
 @pytest.fixture
 async def world(tmp_path):
-    async with nodes.world(tmp_path) as made:
+    async with nodes.node_cluster(tmp_path) as made:
         yield made
 
 
@@ -26,16 +26,16 @@
     return json.loads(body)["reason"]
 
 
-class Caller:
+class RawClient:
     """One connection of a caller, written and read by hand."""
 
     def __init__(self, address, **more):
         self.address = address
-        self.more = more
+        self.connection_options = more
 
     async def __aenter__(self):
         self.reader, self.writer = await asyncio.open_connection(
-            *self.address, **self.more
+            *self.address, **self.connection_options
         )
         return self
 
@@ -48,9 +48,9 @@
         head += f"Content-Length: {length or len(body)}\r\n\r\n"
         self.writer.write(head.encode() + body)
 
-    async def answer(self) -> tuple[int, dict[str, str], bytes]:
+    async def read_response(self) -> tuple[int, dict[str, str], bytes]:
         """Returns status, fields (names in lower case) and body."""
-        async with asyncio.timeout(nodes.LONG):
+        async with asyncio.timeout(nodes.WAIT_SECONDS):
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode()
             first, *lines = head.strip().split("\r\n")
             found = dict(line.lower().split(": ", 1) for line in lines)
@@ -59,25 +59,28 @@
 
     async def is_closed(self) -> bool:
         """Returns whether the connection ends with nothing more on it."""
-        return await asyncio.wait_for(self.reader.read(), nodes.LONG) == b""
+        return (
+            await asyncio.wait_for(self.reader.read(), nodes.WAIT_SECONDS)
+            == b""
+        )
 
 
-class TestOutside:
+class TestOutsideEdge:
     """What a caller gets."""
 
     async def test_a_call_reaches_the_backend_server_and_comes_back(
         self, world
     ):
-        one = await world.start("one", answer)
-        status, headers, body = await world.outside(
+        one = await world.start("one", echo)
+        status, headers, body = await world.send_outside(
             one, "GET", "/stock/price?a=%2f"
         )
         assert (status, body) == (200, b"GET /price?a=%2f")
-        assert headers[fields.OUTCOME] == "answered"
+        assert headers[httpheaders.OUTCOME] == "answered"
         (request,) = one.backend_server.requests
-        state = request.headers[fields.TRACESTATE]
-        assert request.headers[fields.TRACEPARENT].split("-")[2] in state
-        assert 0 < float(request.headers[fields.REQUEST_TIMEOUT]) <= 20
+        state = request.headers[httpheaders.TRACESTATE]
+        assert request.headers[httpheaders.TRACEPARENT].split("-")[2] in state
+        assert 0 < float(request.headers[httpheaders.REQUEST_TIMEOUT]) <= 20
 
     async def test_callers_cannot_set_what_the_system_sets(self, world):
         """A caller poses as a running call of a backend server.
@@ -85,13 +88,13 @@
         It sends the system's own headers and a parent call's id.  None of
         them reaches the backend server, and its call stays a first call.
         """
-        one = await world.start("one", answer)
+        one = await world.start("one", echo)
         forged = {
             "Mangobay-Service": "stock",
             "Mangobay-Outcome": "answered",
             "tracestate": "a=1,mangobay=0123456789abcdef",
         }
-        await world.outside(one, "GET", "/stock/price", headers=forged)
+        await world.send_outside(one, "GET", "/stock/price", headers=forged)
         (request,) = one.backend_server.requests
         assert not [n for n in request.headers if n.startswith("Mangobay")]
         assert request.headers["tracestate"].endswith(",a=1")
@@ -106,7 +109,7 @@
         wrong method: status, headers and body are the same bytes, and each
         asks control for as much, so that the time tells nothing either.
         """
-        one = await world.start("one", answer)
+        one = await world.start("one", echo)
         seen = []
         for method, path in (
             ("GET", "/freight/freight"),
@@ -115,10 +118,10 @@
             ("GET", "/stock/nothing"),
             ("DELETE", "/stock/price"),
         ):
-            world.asked.clear()
-            status, headers, body = await world.outside(one, method, path)
+            world.interest_requests.clear()
+            status, headers, body = await world.send_outside(one, method, path)
             kept = {n: v for n, v in headers.items() if n != "Date"}
-            seen.append((status, kept, body, len(world.asked)))
+            seen.append((status, kept, body, len(world.interest_requests)))
         assert seen[0][0] == 404
         assert all(each == seen[0] for each in seen)
         assert seen[0][3] == 2
@@ -146,10 +149,10 @@
     async def test_bad_requests_are_problems_that_did_not_run(
         self, world, path, more, status, reason
     ):
-        one = await world.start("one", answer)
-        got, headers, body = await world.outside(one, "POST", path, **more)
+        one = await world.start("one", echo)
+        got, headers, body = await world.send_outside(one, "POST", path, **more)
         assert (got, reason_of(body)) == (status, reason)
-        assert headers[fields.OUTCOME] == "not_run"
+        assert headers[httpheaders.OUTCOME] == "not_run"
         assert headers["Content-Type"] == "application/problem+json"
         assert not one.backend_server.requests
 
@@ -168,12 +171,12 @@
         It gets a refusal where HTTP allows one, and the connection ends
         within the settings' time, so that it holds nothing.
         """
-        one = await world.start("one", answer)
+        one = await world.start("one", echo)
         reader, writer = await asyncio.open_connection(
             *one.outside_listener.address
         )
         writer.write(sent)
-        got = await asyncio.wait_for(reader.read(), nodes.LONG)
+        got = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
         writer.close()
         assert not got or b"Mangobay-Outcome: not_run" in got
         assert not one.backend_server.requests
@@ -186,32 +189,32 @@
         The price is cancelled down to the backend server.  The booking may
         have been made already, so it is finished.
         """
-        one = await world.start("one", self.wait_for_booking)
+        one = await world.start("one", self.answer_when_released)
         self.release = asyncio.Event()
         for method, path in (("GET", "/stock/price"), ("POST", "/stock/book")):
-            asking = asyncio.create_task(world.outside(one, method, path))
+            asking = asyncio.create_task(world.send_outside(one, method, path))
             seen = len(one.backend_server.requests) + 1
-            await nodes.until(
+            await nodes.wait_until(
                 lambda seen=seen: len(one.backend_server.requests) == seen
             )
             asking.cancel()
-        await nodes.until(lambda: one.backend_server.cancelled == 1)
-        await nodes.until(lambda: not one.dispatcher.in_flight.open)
+        await nodes.wait_until(lambda: one.backend_server.cancelled == 1)
+        await nodes.wait_until(lambda: not one.dispatcher.in_flight.open)
         assert len(one.executor.parents) == 1
         self.release.set()
-        await nodes.until(lambda: one.executor.idle)
+        await nodes.wait_until(lambda: one.executor.idle)
         assert one.backend_server.cancelled == 1
 
-    async def wait_for_booking(self, request):
+    async def answer_when_released(self, request):
         await self.release.wait()
-        return await answer(request)
+        return await echo(request)
 
     async def test_the_deadline_ends_a_call_with_its_true_outcome(self, world):
         async def never(request):
             await asyncio.Event().wait()
 
         one = await world.start("one", never)
-        status, _, body = await world.outside(one, "GET", "/stock/late")
+        status, _, body = await world.send_outside(one, "GET", "/stock/late")
         assert (status, reason_of(body)) == (504, "deadline_exceeded")
         assert json.loads(body)["outcome"] == "unknown"
 
@@ -221,8 +224,8 @@
 
     async def test_a_call_goes_to_the_node_of_the_service(self, world):
         one = await world.start("one", None)
-        two = await world.start("two", answer)
-        status, _, body = await world.outside(
+        two = await world.start("two", echo)
+        status, _, body = await world.send_outside(
             one, "POST", "/stock/book", data=b"x"
         )
         assert (status, body) == (200, b"POST /book")
@@ -235,30 +238,34 @@
         goes on to another host at once, and the caller sees only answers.
         """
         one = await world.start("one", None)
-        two = await world.start("two", answer)
-        three = await world.start("three", answer)
+        two = await world.start("two", echo)
+        three = await world.start("three", echo)
         two.executor.leaving = True
         for _ in range(6):
-            status, _, body = await world.outside(one, "POST", "/stock/book")
+            status, _, body = await world.send_outside(
+                one, "POST", "/stock/book"
+            )
             assert status == 200, body
         assert not two.backend_server.requests
         assert len(three.backend_server.requests) == 6
 
     async def test_a_dead_host_costs_no_call(self, world):
         one = await world.start("one", None)
-        two = await world.start("two", answer)
-        await world.start("three", answer)
+        two = await world.start("two", echo)
+        await world.start("three", echo)
         await two.peer_listener.close()
         for _ in range(6):
-            status, _, body = await world.outside(one, "GET", "/stock/price")
+            status, _, body = await world.send_outside(
+                one, "GET", "/stock/price"
+            )
             assert status == 200, body
 
     async def test_a_keyed_call_runs_once_whichever_node_is_asked(self, world):
-        one = await world.start("one", answer)
-        two = await world.start("two", answer)
+        one = await world.start("one", echo)
+        two = await world.start("two", echo)
         headers = {"Idempotency-Key": "0190b0aa-foreign"}
         for started in (one, two, one):
-            status, _, body = await world.outside(
+            status, _, body = await world.send_outside(
                 started, "POST", "/stock/sign", headers=headers
             )
             assert (status, body) == (200, b"POST /sign")
@@ -266,16 +273,18 @@
         assert len(requests) == 1
 
     async def test_without_a_lease_only_idempotent_calls_go(self, world):
-        one = await world.start("one", answer)
+        one = await world.start("one", echo)
         one.control.lease.until = 0
-        status, _, _ = await world.outside(one, "GET", "/stock/price")
+        status, _, _ = await world.send_outside(one, "GET", "/stock/price")
         assert status == 200
-        status, headers, body = await world.outside(one, "POST", "/stock/book")
+        status, headers, body = await world.send_outside(
+            one, "POST", "/stock/book"
+        )
         assert (status, reason_of(body)) == (503, "no_lease")
         assert int(headers["Retry-After"]) >= 1
 
 
-class TestLocal:
+class TestLocalEdge:
     """Calls that the backend server makes, and its announcements."""
 
     async def test_a_child_call_inherits_from_its_parent(self, world):
@@ -305,7 +314,7 @@
             return await serve(call)
 
         one.executor.serve = note
-        _, _, body = await world.outside(
+        _, _, body = await world.send_outside(
             one, "GET", "/stock/price", headers={"Request-Timeout": "9"}
         )
         assert body == b"child"
@@ -326,7 +335,7 @@
         through; so the node makes the name, while the trace stays theirs.
         """
         seen = []
-        one = await world.start("one", answer)
+        one = await world.start("one", echo)
         serve = one.executor.serve
 
         async def note(call):
@@ -336,7 +345,7 @@
         one.executor.serve = note
         theirs = f"00-{'ab' * 16}-{'cd' * 8}-01"
         for _ in range(2):
-            await world.outside(
+            await world.send_outside(
                 one, "GET", "/stock/price", headers={"traceparent": theirs}
             )
         first, second = seen
@@ -368,7 +377,7 @@
             return web.Response()
 
         one = await world.start("one", repeat)
-        await world.outside(one, "GET", "/stock/price")
+        await world.send_outside(one, "GET", "/stock/price")
         assert statuses.count(500) <= 1 + 4
         assert statuses[-1] == 503
         assert not one.executor.parents
@@ -382,7 +391,7 @@
     async def test_announcements_tell_all_faults_and_can_be_withdrawn(
         self, world
     ):
-        one = await world.start("one", answer)
+        one = await world.start("one", echo)
         local = one.local_listener.address
         path = "/mangobay/announce"
         bad = json.dumps({"service": "a/b", "address": "db:1", "slots": 0})
@@ -396,13 +405,13 @@
         assert (status, one.control.serves) == (200, [])
 
     async def test_a_silent_backend_server_is_gone(self, world):
-        one = await world.start("one", answer, "[backend]\nsilence = 0.2\n")
+        one = await world.start("one", echo, "[backend]\nsilence = 0.2\n")
         assert one.control.serves
-        await nodes.until(lambda: not one.control.serves)
+        await nodes.wait_until(lambda: not one.control.serves)
 
     async def test_health_readiness_and_metrics_are_told(self, world):
-        one = await world.start("one", answer)
-        await world.outside(one, "GET", "/stock/price")
+        one = await world.start("one", echo)
+        await world.send_outside(one, "GET", "/stock/price")
         local = one.local_listener.address
         assert (await world.send(local, "GET", "/mangobay/health"))[0] == 200
         assert (await world.send(local, "GET", "/mangobay/ready"))[0] == 200
@@ -429,20 +438,22 @@
 
         async def wait(request):
             await release.wait()
-            return await answer(request)
+            return await echo(request)
 
         one = await world.start("one", wait)
-        asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
-        await nodes.until(lambda: one.backend_server.requests)
+        asking = asyncio.create_task(
+            world.send_outside(one, "POST", "/stock/book")
+        )
+        await nodes.wait_until(lambda: one.backend_server.requests)
         one.control.draining.on_next(True)
-        await nodes.until(lambda: one.executor.leaving)
-        status, _, body = await world.outside(one, "GET", "/stock/price")
+        await nodes.wait_until(lambda: one.executor.leaving)
+        status, _, body = await world.send_outside(one, "GET", "/stock/price")
         assert (status, reason_of(body)) == (503, "leaving")
         assert one.control.leaving
         release.set()
         assert (await asking)[0] == 200
-        world.tell_views()
-        await asyncio.wait_for(one.ended.wait(), nodes.LONG)
+        world.publish_views()
+        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
     async def test_told_a_second_time_it_goes_on_leaving(self, world):
@@ -451,11 +462,13 @@
 
         async def wait(request):
             await release.wait()
-            return await answer(request)
+            return await echo(request)
 
         one = await world.start("one", wait)
-        asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
-        await nodes.until(lambda: one.backend_server.requests)
+        asking = asyncio.create_task(
+            world.send_outside(one, "POST", "/stock/book")
+        )
+        await nodes.wait_until(lambda: one.backend_server.requests)
         one.control.draining.on_next(True)
         one.stop()
         one.stop()
@@ -463,8 +476,8 @@
         assert not one.ended.is_set()
         release.set()
         assert (await asking)[0] == 200
-        world.tell_views()
-        await asyncio.wait_for(one.ended.wait(), nodes.LONG)
+        world.publish_views()
+        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
     async def test_interrupted_while_leaving_it_says_what_it_cuts(self, world):
@@ -472,8 +485,10 @@
             await asyncio.Event().wait()
 
         one = await world.start("one", never)
-        asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
-        await nodes.until(lambda: one.backend_server.requests)
+        asking = asyncio.create_task(
+            world.send_outside(one, "POST", "/stock/book")
+        )
+        await nodes.wait_until(lambda: one.backend_server.requests)
         one.interrupt()
         assert not one.ended.is_set()
         one.interrupt()
@@ -493,49 +508,51 @@
             return web.Response(body=bytes(size))
 
         one = await world.start("one", large)
-        async with Caller(one.outside_listener.address, limit=1000) as caller:
+        async with RawClient(
+            one.outside_listener.address, limit=1000
+        ) as caller:
             caller.send("GET", "/stock/price")
-            await nodes.until(
+            await nodes.wait_until(
                 lambda: one.backend_server.requests and one.executor.idle
             )
-            await nodes.until(lambda: not one.dispatcher.in_flight.open)
+            await nodes.wait_until(lambda: not one.dispatcher.in_flight.open)
             one.stop()
-            await nodes.until(lambda: one.executor.leaving)
-            world.tell_views()
+            await nodes.wait_until(lambda: one.executor.leaving)
+            world.publish_views()
             await asyncio.sleep(0.3)
             assert not one.ended.is_set()
-            _, _, body = await caller.answer()
+            _, _, body = await caller.read_response()
         assert len(body) == size
-        await asyncio.wait_for(one.ended.wait(), nodes.LONG)
+        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
     async def test_a_leaving_node_waits_until_other_nodes_took_theirs(
         self, world
     ):
         """Calls of other nodes that ran to their end are told `unknown`."""
-        slow = Slow(bytes(4_000_000))
+        slow = BlockingHandler(bytes(4_000_000))
         one = await world.start("one", None)
         two = await world.start("two", slow)
         asking = [
-            asyncio.create_task(world.outside(one, "POST", "/stock/book"))
+            asyncio.create_task(world.send_outside(one, "POST", "/stock/book"))
             for _ in range(4)
         ]
-        await nodes.until(lambda: len(two.backend_server.requests) == 4)
+        await nodes.wait_until(lambda: len(two.backend_server.requests) == 4)
         (peer,) = one.peers.peers.values()
         peer.connection.transport.pause_reading()
         two.stop()
-        await nodes.until(lambda: two.executor.leaving)
-        world.tell_views()
+        await nodes.wait_until(lambda: two.executor.leaving)
+        world.publish_views()
         slow.release.set()
-        await nodes.until(lambda: two.executor.idle)
+        await nodes.wait_until(lambda: two.executor.idle)
         await asyncio.sleep(0.3)
         assert not two.ended.is_set()
         peer.connection.transport.resume_reading()
         assert [(await each)[0] for each in asking] == [200] * 4
-        await asyncio.wait_for(two.ended.wait(), nodes.LONG)
+        await asyncio.wait_for(two.ended.wait(), nodes.WAIT_SECONDS)
 
 
-class Slow:
+class BlockingHandler:
     """A backend server that answers once it is released."""
 
     def __init__(self, body=b""):
@@ -546,7 +563,7 @@
         await self.release.wait()
         if self.body:
             return web.Response(body=self.body)
-        return await answer(request)
+        return await echo(request)
 
 
 class TestLateRequests:
@@ -554,35 +571,37 @@
 
     async def test_one_whose_body_ends_late_is_refused_unrun(self, world):
         """It is carried by a node that ends under it."""
-        one = await world.start("one", None, patience=nodes.LONG)
-        two = await world.start("two", answer)
-        async with Caller(one.outside_listener.address) as caller:
+        one = await world.start("one", None, header_timeout=nodes.WAIT_SECONDS)
+        two = await world.start("two", echo)
+        async with RawClient(one.outside_listener.address) as caller:
             caller.send("POST", "/stock/book", b"a", length=2)
-            await nodes.until(lambda: one.outside_listener.busy)
+            await nodes.wait_until(lambda: one.outside_listener.busy)
             one.stop()
             await asyncio.sleep(0.2)
             assert not one.ended.is_set()
             caller.writer.write(b"b")
-            status, _, body = await caller.answer()
+            status, _, body = await caller.read_response()
         assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
-        await asyncio.wait_for(one.ended.wait(), nodes.LONG)
+        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
 
     async def test_one_that_waits_for_control_is_refused_unrun(self, world):
         """It is carried by a node that ends under it."""
         one = await world.start("one", None)
-        two = await world.start("two", answer)
-        one.control.tables.on_next(table.Table())
+        two = await world.start("two", echo)
+        one.control.tables.on_next(operationtable.OperationTable())
         told = asyncio.Event()
 
         async def interest(service):
-            world.asked.append(service)
+            world.interest_requests.append(service)
             await told.wait()
-            one.control.tables.on_next(world.table())
+            one.control.tables.on_next(world.make_table())
 
         one.control.interest = interest
-        asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
-        await nodes.until(lambda: world.asked)
+        asking = asyncio.create_task(
+            world.send_outside(one, "POST", "/stock/book")
+        )
+        await nodes.wait_until(lambda: world.interest_requests)
         one.stop()
         await asyncio.sleep(0.2)
         assert not one.ended.is_set()
@@ -590,7 +609,7 @@
         status, _, body = await asking
         assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
-        await asyncio.wait_for(one.ended.wait(), nodes.LONG)
+        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
 
 
 class TestCallsOfBackendServers:
@@ -598,13 +617,15 @@
 
     async def test_those_of_no_run_here_are_refused_unrun(self, world):
         """New work is taken until the node ends under it."""
-        slow = Slow()
+        slow = BlockingHandler()
         one = await world.start("one", slow)
-        two = await world.start("two", answer)
-        asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
-        await nodes.until(lambda: one.backend_server.requests)
+        two = await world.start("two", echo)
+        asking = asyncio.create_task(
+            world.send_outside(one, "POST", "/stock/book")
+        )
+        await nodes.wait_until(lambda: one.backend_server.requests)
         one.stop()
-        await nodes.until(lambda: one.executor.leaving)
+        await nodes.wait_until(lambda: one.executor.leaving)
         local = one.local_listener.address
         ended = {"tracestate": "mangobay=0123456789abcdef"}
         for headers in ({}, ended):
@@ -618,7 +639,7 @@
 
     async def test_those_of_a_run_here_are_taken(self, world):
         """A run that was taken in time fails, since its calls are refused."""
-        slow = Slow()
+        slow = BlockingHandler()
 
         async def ask_freight(request):
             await slow.release.wait()
@@ -632,30 +653,32 @@
             return web.Response(status=status, body=body)
 
         one = await world.start("one", ask_freight)
-        two = await world.start("two", answer)
-        asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
-        await nodes.until(lambda: one.backend_server.requests)
+        two = await world.start("two", echo)
+        asking = asyncio.create_task(
+            world.send_outside(one, "POST", "/stock/book")
+        )
+        await nodes.wait_until(lambda: one.backend_server.requests)
         one.stop()
-        await nodes.until(lambda: one.executor.leaving)
+        await nodes.wait_until(lambda: one.executor.leaving)
         slow.release.set()
         status, _, body = await asking
         assert (status, body) == (200, b"GET /inside")
         assert len(two.backend_server.requests) == 1
-        world.tell_views()
-        await asyncio.wait_for(one.ended.wait(), nodes.LONG)
+        world.publish_views()
+        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
     async def test_one_whose_body_ends_late_is_refused_unrun(self, world):
         """New work is carried by a node that ends under it."""
-        one = await world.start("one", answer, patience=nodes.LONG)
-        two = await world.start("two", answer)
-        async with Caller(one.local_listener.address) as caller:
+        one = await world.start("one", echo, header_timeout=nodes.WAIT_SECONDS)
+        two = await world.start("two", echo)
+        async with RawClient(one.local_listener.address) as caller:
             caller.send("POST", "/stock/book", b"a", length=2)
-            await nodes.until(lambda: one.local_listener.busy)
+            await nodes.wait_until(lambda: one.local_listener.busy)
             one.stop()
-            await nodes.until(lambda: one.executor.leaving)
+            await nodes.wait_until(lambda: one.executor.leaving)
             caller.writer.write(b"b")
-            status, _, body = await caller.answer()
+            status, _, body = await caller.read_response()
         assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
 
@@ -665,40 +688,40 @@
 
     async def test_each_answer_closes_its_connection(self, world):
         """A caller's next request crosses the end of the process."""
-        slow = Slow()
+        slow = BlockingHandler()
         one = await world.start("one", slow)
         address = one.outside_listener.address
-        async with Caller(address) as busy, Caller(address) as idle:
+        async with RawClient(address) as busy, RawClient(address) as idle:
             idle.send("GET", "/stock/nothing")
-            _, headers, _ = await idle.answer()
+            _, headers, _ = await idle.read_response()
             assert "connection" not in headers
             busy.send("POST", "/stock/book")
-            await nodes.until(lambda: one.backend_server.requests)
+            await nodes.wait_until(lambda: one.backend_server.requests)
             one.stop()
-            await nodes.until(lambda: one.executor.leaving)
+            await nodes.wait_until(lambda: one.executor.leaving)
             idle.send("GET", "/stock/price")
-            status, headers, body = await idle.answer()
+            status, headers, body = await idle.read_response()
             assert (status, reason_of(body)) == (503, "leaving")
             assert headers["connection"] == "close"
             assert await idle.is_closed()
             slow.release.set()
-            status, headers, _ = await busy.answer()
+            status, headers, _ = await busy.read_response()
             assert (status, headers["connection"]) == (200, "close")
             assert await busy.is_closed()
 
     async def test_requests_behind_one_in_flight_are_answered(self, world):
         """Closed behind the first answer, a caller's others get none."""
-        slow = Slow()
+        slow = BlockingHandler()
         one = await world.start("one", slow)
-        async with Caller(one.outside_listener.address) as caller:
+        async with RawClient(one.outside_listener.address) as caller:
             caller.send("POST", "/stock/book")
             caller.send("GET", "/stock/price")
             caller.send("GET", "/stock/price")
-            await nodes.until(lambda: one.backend_server.requests)
+            await nodes.wait_until(lambda: one.backend_server.requests)
             one.stop()
-            await nodes.until(lambda: one.executor.leaving)
+            await nodes.wait_until(lambda: one.executor.leaving)
             slow.release.set()
-            seen = [await caller.answer() for _ in range(3)]
+            seen = [await caller.read_response() for _ in range(3)]
             assert [status for status, _, _ in seen] == [200, 503, 503]
             closes = ["connection" in headers for _, headers, _ in seen]
             assert closes == [False, False, True]
@@ -707,12 +730,12 @@
 
     async def test_those_of_a_backend_server_are_closed_too(self, world):
         """Its next call crosses the end of the process."""
-        one = await world.start("one", answer)
+        one = await world.start("one", echo)
         one.stop()
-        await nodes.until(lambda: one.executor.leaving)
-        async with Caller(one.local_listener.address) as caller:
+        await nodes.wait_until(lambda: one.executor.leaving)
+        async with RawClient(one.local_listener.address) as caller:
             caller.send("GET", "/mangobay/ready")
-            status, headers, _ = await caller.answer()
+            status, headers, _ = await caller.read_response()
             assert (status, headers["connection"]) == (503, "close")
             assert await caller.is_closed()
 
@@ -722,24 +745,28 @@
 
     async def test_a_callers_own_is_answered_as_unknown(self, world):
         """Its connection ends with no answer."""
-        one = await world.start("one", Slow(), GRACE)
-        asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
-        await nodes.until(lambda: one.backend_server.requests)
+        one = await world.start("one", BlockingHandler(), SHORT_GRACE_SETTINGS)
+        asking = asyncio.create_task(
+            world.send_outside(one, "POST", "/stock/book")
+        )
+        await nodes.wait_until(lambda: one.backend_server.requests)
         await self.end(one)
         status, headers, body = await asking
         assert (status, reason_of(body)) == (502, "leaving")
-        assert headers[fields.OUTCOME] == "unknown"
+        assert headers[httpheaders.OUTCOME] == "unknown"
         assert headers["Connection"] == "close"
 
     async def test_one_of_another_node_is_answered_as_unknown(self, world):
         """Its caller is told that it has not run."""
         one = await world.start("one", None)
-        two = await world.start("two", Slow(), GRACE)
-        asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
-        await nodes.until(lambda: two.backend_server.requests)
+        two = await world.start("two", BlockingHandler(), SHORT_GRACE_SETTINGS)
+        asking = asyncio.create_task(
+            world.send_outside(one, "POST", "/stock/book")
+        )
+        await nodes.wait_until(lambda: two.backend_server.requests)
         await self.end(two)
         _, headers, _ = await asking
-        assert headers[fields.OUTCOME] == "unknown"
+        assert headers[httpheaders.OUTCOME] == "unknown"
 
     async def test_one_of_a_run_here_is_answered_as_unknown(self, world):
         """The run waits for an answer until its connection ends."""
@@ -754,57 +781,62 @@
             told.append(await asking)
             return web.Response()
 
-        one = await world.start("one", ask_freight, GRACE)
-        asking = asyncio.create_task(world.outside(one, "POST", "/stock/book"))
-        await nodes.until(lambda: one.backend_server.requests)
-        two = await world.start("two", Slow())
+        one = await world.start("one", ask_freight, SHORT_GRACE_SETTINGS)
+        asking = asyncio.create_task(
+            world.send_outside(one, "POST", "/stock/book")
+        )
+        await nodes.wait_until(lambda: one.backend_server.requests)
+        two = await world.start("two", BlockingHandler())
         one.stop()
-        await nodes.until(lambda: one.executor.leaving)
+        await nodes.wait_until(lambda: one.executor.leaving)
         leaving.set()
-        await nodes.until(lambda: two.backend_server.requests)
+        await nodes.wait_until(lambda: two.backend_server.requests)
         await self.end(one)
-        await nodes.until(lambda: told)
+        await nodes.wait_until(lambda: told)
         ((status, headers, body),) = told
         assert (status, reason_of(body)) == (502, "leaving")
-        assert headers[fields.OUTCOME] == "unknown"
+        assert headers[httpheaders.OUTCOME] == "unknown"
         assert (await asking)[0] == 502
 
     async def end(self, node):
         """Tells a node to leave, and closes it when its grace is over."""
         node.stop()
-        await asyncio.wait_for(node.ended.wait(), nodes.LONG)
+        await asyncio.wait_for(node.ended.wait(), nodes.WAIT_SECONDS)
         assert node.cut
         await node.close()
 
     async def test_calls_that_wait_for_a_slot_are_refused_unrun(self, world):
         """Their callers are told `unknown`, and dare not send them again."""
-        slow = Slow()
-        one = await world.start("one", slow, GRACE)
+        slow = BlockingHandler()
+        one = await world.start("one", slow, SHORT_GRACE_SETTINGS)
         asking = [
-            asyncio.create_task(world.outside(one, "POST", "/stock/book"))
+            asyncio.create_task(world.send_outside(one, "POST", "/stock/book"))
             for _ in range(8)
         ]
-        await nodes.until(lambda: len(one.dispatcher.in_flight.open) == 8)
+        await nodes.wait_until(lambda: len(one.dispatcher.in_flight.open) == 8)
         await asyncio.sleep(0.1)
         await self.end(one)
         told = [
-            each[1][fields.OUTCOME] for each in await asyncio.gather(*asking)
+            each[1][httpheaders.OUTCOME]
+            for each in await asyncio.gather(*asking)
         ]
         assert told.count("unknown") == len(one.backend_server.requests)
         assert told.count("not_run") == 8 - len(one.backend_server.requests)
 
     async def test_a_request_that_is_not_whole_is_not_run(self, world):
         """It is run by a node that is gone before the answer."""
-        one = await world.start("one", answer, GRACE, patience=nodes.LONG)
-        async with Caller(one.outside_listener.address) as caller:
+        one = await world.start(
+            "one", echo, SHORT_GRACE_SETTINGS, header_timeout=nodes.WAIT_SECONDS
+        )
+        async with RawClient(one.outside_listener.address) as caller:
             caller.send("POST", "/stock/book", b"a", length=2)
-            await nodes.until(lambda: one.outside_listener.busy)
+            await nodes.wait_until(lambda: one.outside_listener.busy)
             one.stop()
-            await asyncio.wait_for(one.ended.wait(), nodes.LONG)
+            await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
             closing = asyncio.create_task(one.close())
             await asyncio.sleep(0.1)
             caller.writer.write(b"b")
-            status, headers, body = await caller.answer()
+            status, headers, body = await caller.read_response()
             assert (status, reason_of(body)) == (503, "leaving")
             assert headers["connection"] == "close"
             await closing
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -61,7 +61,7 @@
                 assert plan.table.allows(called, work.operation.service)
 
     def test_covers_every_operation(self, plan):
-        for operation in plan.table.rows():
+        for operation in plan.table.operations():
             target = deployment.target_of(operation, 7)
             assert (
                 plan.table.find(operation.service, operation.method, target)
--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -5,12 +5,12 @@
 import pytest
 
 from mangobay import (
-    announcements,
     backend,
     calls,
     errors,
     execution,
-    fields,
+    httpheaders,
+    localservices,
     options,
 )
 from mangobay.generated import messages
@@ -70,8 +70,8 @@
         self.cancelled = 0
 
     async def send(self, address, request, attempt):
-        if attempt.gate is not None:
-            await attempt.gate()
+        if attempt.before_send is not None:
+            await attempt.before_send()
         try:
             return await self.act(attempt)
         except asyncio.CancelledError:
@@ -80,12 +80,12 @@
 
 
 def make_executor(act) -> execution.CallExecutor:
-    served = announcements.Announcements(
+    served = localservices.LocalServices(
         5, FakeAdmission, lambda services: None
     )
     address = options.Address("127.0.0.1", 1)
     served.announce(
-        announcements.Announcement(service="stock", address=address, slots=4)
+        localservices.Announcement(service="stock", address=address, slots=4)
     )
     return execution.CallExecutor(PROCESS, served, FakeBackendClient(act), None)
 
@@ -98,7 +98,7 @@
         deadline_ms=deadline_ms,
         tries=5,
         idempotent=idempotent,
-        traceparent=fields.new_trace(0).traceparent("00000000000000ab"),
+        traceparent=httpheaders.new_trace(0).traceparent("00000000000000ab"),
     )
 
 
@@ -113,7 +113,7 @@
 def shed():
     async def act(attempt):
         attempt.sent = True
-        return backend.Answer(
+        return backend.Response(
             status=503, headers=[], body=b"", seconds=0.1, shed=True
         )
 
@@ -205,13 +205,13 @@
             attempt.sent = True
             (parent,) = made.parents.values()
             parent.running_call.child_refused(500)
-            return backend.Answer(
+            return backend.Response(
                 status=502, headers=[], body=b"", seconds=0.1, shed=False
             )
 
         made = make_executor(refused)
         await made.serve(call())
-        permit = made.served.find("stock").admission.permit
+        permit = made.local_services.find("stock").admission.permit
         assert (permit.left, permit.below) == ([False], [500])
 
     async def test_refusals_hand_every_try_back(self):
@@ -285,7 +285,7 @@
         asking.cancel()
         await asyncio.wait({asking})
         assert made.idle
-        permit = made.served.find("stock").admission.permit
+        permit = made.local_services.find("stock").admission.permit
         assert permit.left == [False]
         assert made.backend_client.cancelled == 1
 
@@ -296,7 +296,7 @@
         to take the booking for one that may have run.
         """
         made = make_executor(shed())
-        place = made.served.find("stock")
+        place = made.local_services.find("stock")
 
         async def never(ticket):
             await asyncio.sleep(60)
@@ -330,7 +330,7 @@
                 parent.running_call.child_started(loop.time())
                 await asyncio.sleep(0.01)
                 parent.running_call.child_ended(loop.time())
-            return backend.Answer(
+            return backend.Response(
                 status=500, headers=[], body=b"", seconds=0.1, shed=False
             )
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -101,6 +101,7 @@
 
         nodes = virtual.run(made()).nodes
         policies = {
-            node.served.make_admission().settings.policy for node in nodes
+            node.local_services.make_admission().settings.policy
+            for node in nodes
         }
         assert policies == {"fixed"}
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -12,14 +12,14 @@
     admission,
     admissionrequest,
     calls,
-    decisions,
-    departure,
     gateway,
     ids,
     leanhttp,
     metrics,
+    requestlog,
     retryallowance,
     routes,
+    shutdown,
 )
 from mangobay.generated import messages
 
@@ -69,7 +69,7 @@
 
     def __init__(self):
         self.dispatcher = FakeDispatcher()
-        self.departure = departure.Departure()
+        self.departure = shutdown.ShutdownSchedule()
         self.runs = {}
         self.gateway = gateway.Gateway(
             words.VOCABULARY,
@@ -77,7 +77,7 @@
             self.runs.get,
             self.dispatcher,
             metrics.Metrics(),
-            decisions.DecisionLog(),
+            requestlog.RequestLog(),
             self.departure,
         )
         route = routes.Route(
@@ -194,7 +194,7 @@
         """A request taken last is cut when the process ends."""
         world = World()
         now = asyncio.get_running_loop().time()
-        world.departure.begin(now, grace=6, linger=2)
+        world.departure.start(now, grace=6, linger=2)
         assert await world.call("while-lingering") == 200
         await asyncio.sleep(2)
         assert await world.call("late") == 503
@@ -204,6 +204,6 @@
         """A run that was taken in time fails, since its calls are refused."""
         world = World()
         now = asyncio.get_running_loop().time()
-        world.departure.begin(now, grace=6, linger=2)
+        world.departure.start(now, grace=6, linger=2)
         await asyncio.sleep(2)
         assert await world.run("a1", CRITICAL)
--- a/tests/test_fields.py
+++ b/tests/test_httpheaders.py
@@ -3,7 +3,7 @@
 import multidict
 import pytest
 
-from mangobay import fields
+from mangobay import httpheaders
 
 
 class TestPassedOn:
@@ -21,7 +21,10 @@
                 ("Transfer-Encoding", "chunked"),
             ]
         )
-        kept = [(each.name, each.value) for each in fields.passed_on(received)]
+        kept = [
+            (each.name, each.value)
+            for each in httpheaders.end_to_end_headers(received)
+        ]
         assert kept == [
             ("Accept", "*/*"),
             ("Set-Cookie", "a"),
@@ -35,13 +38,13 @@
     @pytest.mark.parametrize("text", ["0", "-1", "nan", "inf", "soon", ""])
     def test_a_timeout_must_be_seconds(self, text):
         with pytest.raises(ValueError, match="seconds above 0"):
-            fields.parse_timeout(text)
+            httpheaders.parse_timeout(text)
 
     def test_a_key_loses_its_quotes_and_is_bounded(self):
-        assert fields.parse_key('"a-b"') == "a-b"
+        assert httpheaders.parse_idempotency_key('"a-b"') == "a-b"
         for text in ("", '""', "x" * 256, "a\x00b"):
             with pytest.raises(ValueError, match="printable"):
-                fields.parse_key(text)
+                httpheaders.parse_idempotency_key(text)
 
     @pytest.mark.parametrize(
         "text",
@@ -53,17 +56,17 @@
         ],
     )
     def test_a_malformed_traceparent_is_none(self, text):
-        assert fields.parse_traceparent(text) is None
+        assert httpheaders.parse_traceparent(text) is None
 
     def test_a_traceparent_names_its_parent(self):
-        trace = fields.new_trace(1.0)
-        text = trace.traceparent(fields.new_span())
-        parsed = fields.parse_traceparent(text)
+        trace = httpheaders.new_trace(1.0)
+        text = trace.traceparent(httpheaders.new_call_id())
+        parsed = httpheaders.parse_traceparent(text)
         assert parsed.trace_id == trace.trace_id
-        assert parsed.traceparent(parsed.parent) == text
+        assert parsed.traceparent(parsed.parent_span) == text
 
     def test_tracestate_keeps_the_entries_of_others(self):
-        mine, others = fields.split_state("a=1, mangobay=77 ,b=2")
+        mine, others = httpheaders.split_tracestate("a=1, mangobay=77 ,b=2")
         assert (mine, others) == ("77", "a=1,b=2")
-        assert fields.join_state("8", others) == "mangobay=8,a=1,b=2"
-        assert fields.split_state("") == ("", "")
+        assert httpheaders.join_tracestate("8", others) == "mangobay=8,a=1,b=2"
+        assert httpheaders.split_tracestate("") == ("", "")
--- a/tests/test_httpserver.py
+++ b/tests/test_httpserver.py
@@ -40,7 +40,7 @@
         options.Address("127.0.0.1", 0),
         handler,
         connections=10,
-        head_seconds=nodes.LONG,
+        head_seconds=nodes.WAIT_SECONDS,
     )
     await made.start()
     yield made
@@ -67,12 +67,12 @@
         reader, writer = await connect_slowly(listener)
         writer.write(GET % 1)
         handler.release.set()
-        await nodes.until(lambda: handler.paths and not listener.busy)
-        closing = asyncio.create_task(listener.close(nodes.LONG))
+        await nodes.wait_until(lambda: handler.paths and not listener.busy)
+        closing = asyncio.create_task(listener.close(nodes.WAIT_SECONDS))
         await asyncio.sleep(0.2)
         assert not closing.done()
         assert listener.owed
-        got = await asyncio.wait_for(reader.read(), nodes.LONG)
+        got = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
         assert got.endswith(LARGE)
         assert await closing == 0
         writer.close()
@@ -83,11 +83,11 @@
         """They were read, and their connection ends with no answer."""
         reader, writer = await asyncio.open_connection(*listener.address)
         writer.write(GET % 1 + GET % 2)
-        await nodes.until(lambda: handler.paths)
-        closing = asyncio.create_task(listener.close(nodes.LONG))
+        await nodes.wait_until(lambda: handler.paths)
+        closing = asyncio.create_task(listener.close(nodes.WAIT_SECONDS))
         await asyncio.sleep(0.1)
         handler.release.set()
-        got = await asyncio.wait_for(reader.read(), nodes.LONG)
+        got = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
         assert got.count(b"HTTP/1.1 200") == 2
         await closing
         writer.close()
@@ -99,6 +99,8 @@
         _, writer = await connect_slowly(listener)
         writer.write(GET % 1)
         handler.release.set()
-        await nodes.until(lambda: handler.paths)
-        assert await asyncio.wait_for(listener.close(0.2), nodes.LONG) == 1
+        await nodes.wait_until(lambda: handler.paths)
+        assert (
+            await asyncio.wait_for(listener.close(0.2), nodes.WAIT_SECONDS) == 1
+        )
         writer.close()
--- a/tests/test_leanclient.py
+++ b/tests/test_leanclient.py
@@ -81,7 +81,7 @@
             body=b"",
             idempotent=idempotent,
             deadline=now + seconds,
-            cut_at=now + seconds,
+            abort_at=now + seconds,
         )
         return await self.client.send(self.address, request, self.attempt)
 
@@ -197,7 +197,7 @@
         The backend server forgets an idle connection without a word, just as
         the booking is sent over it.
         """
-        monkeypatch.setattr(backend, "FRESH_SECONDS", 0.0)
+        monkeypatch.setattr(backend, "NON_IDEMPOTENT_REUSE_SECONDS", 0.0)
         async with BackendServer([whole()], [whole()], [whole()]) as server:
             await server.send("a1")
             await server.send("a2", idempotent=False)
--- a/tests/test_table.py
+++ b/tests/test_operationtable.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mangobay import errors, ids, table
+from mangobay import errors, ids, operationtable
 from mangobay.generated import messages
 
 
@@ -11,16 +11,16 @@
     return messages.Operation(service=service, name=name, path=path, **fields)
 
 
-def table_of(*operations):
+def make_table(*operations):
     update = messages.TableUpdate(revision=1, changed=list(operations))
-    return table.Table().updated(update)
+    return operationtable.OperationTable().updated(update)
 
 
 class TestFind:
     """Which operation a request names."""
 
     def test_literal_segments_go_first(self):
-        rows = table_of(
+        rows = make_table(
             operation("any", "/a/*/*"),
             operation("end", "/a/*/c"),
             operation("start", "/a/b/*"),
@@ -40,7 +40,7 @@
         A backend server that resolves `..` or `%2F` would serve another path
         than the one the sheet allows, so such a segment names nothing.
         """
-        rows = table_of(operation("one", "/b/*"))
+        rows = make_table(operation("one", "/b/*"))
         assert rows.find("units", "GET", target) is None
         assert rows.find("units", "POST", "/b/c") is None
         assert rows.find("other", "GET", "/b/c") is None
@@ -52,7 +52,7 @@
     def test_callers(self):
         own = operation("credit", callers=["quotes"])
         everyone = operation("price", callers=[ids.EVERYONE], outside=True)
-        allows = table.Table.allows
+        allows = operationtable.OperationTable.allows
         assert allows(own, "quotes")
         assert not allows(own, "catalogue")
         assert not allows(own, ids.OUTSIDE)
@@ -66,14 +66,14 @@
     def test_leads_from_one_set_of_rows_to_another(self):
         old = [operation("a", "/a"), operation("b", "/b")]
         new = [operation("b", "/c"), operation("d", "/d", "other")]
-        step = table.difference(old, new)
+        step = operationtable.difference(old, new)
         update = messages.TableUpdate(
             revision=2, base=1, changed=step.changed, removed=step.removed
         )
-        before = table_of(*old)
+        before = make_table(*old)
         after = before.updated(update)
-        assert after.rows() == sorted(new, key=table.sort_key)
-        assert before.rows() == old
+        assert after.operations() == sorted(new, key=operationtable.sort_key)
+        assert before.operations() == old
         assert after.find("units", "GET", "/b") is None
         assert after.updated(update) is after
 
@@ -81,7 +81,10 @@
         update = messages.TableUpdate(
             revision=9, changed=[operation("z", "/z", "other")]
         )
-        assert table_of(operation("a")).updated(update).rows() == update.changed
+        assert (
+            make_table(operation("a")).updated(update).operations()
+            == update.changed
+        )
 
     def test_never_to_an_older_revision(self):
         """A control host that lags hands out the table it still has.
@@ -89,7 +92,7 @@
         The node would let callers in whom a newer sheet shut out.  The
         update is refused and the newer table stays in force.
         """
-        newer = table.Table(ids.Revision(5))
+        newer = operationtable.OperationTable(ids.Revision(5))
         with pytest.raises(errors.InvariantError):
             newer.updated(messages.TableUpdate(revision=4))
         with pytest.raises(errors.UpdateBaseError):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -161,17 +161,17 @@
     )
 
 
-class Places:
+class FakeLocalServices:
     """Notes what is announced."""
 
     def __init__(self):
-        self.said = None
+        self.announcement = None
 
-    def announce(self, said):
-        self.said = said
+    def announce(self, announcement):
+        self.announcement = announcement
 
-    def leave(self, service):
-        was, self.said = self.said, None
+    def withdraw(self, service):
+        was, self.announcement = self.announcement, None
         return was is not None
 
 
@@ -204,9 +204,9 @@
     """Heartbeats of the backend server, and of others."""
 
     def setup_method(self):
-        self.places = Places()
+        self.places = FakeLocalServices()
         address = options.Address("10.0.0.1", 80)
-        self.beats = heartbeats.Heartbeats(self.places, "a", address)
+        self.beats = heartbeats.HeartbeatReceiver(self.places, "a", address)
         self.handle = calls.heartbeat_api(self.beats)
 
     async def send(self, call):
@@ -214,10 +214,10 @@
 
     async def test_ready_draining_and_gone(self):
         assert await self.send(beat()) == 200
-        assert self.places.said.instance == "i-1"
+        assert self.places.announcement.instance == "i-1"
         status = {"state": "draining", "sequence": 5, "cold_remaining": "0ms"}
         assert await self.send(beat(status=status)) == 200
-        assert self.places.said is None
+        assert self.places.announcement is None
 
     @pytest.mark.parametrize(
         "broken",
@@ -232,7 +232,7 @@
     async def test_what_is_none_changes_nothing(self, broken):
         assert await self.send(beat()) == 200
         assert await self.send(beat(**broken)) == 400
-        assert self.places.said.instance == "i-1"
+        assert self.places.announcement.instance == "i-1"
 
     async def test_bytes_that_cannot_be_read(self):
         call = request("instances.heartbeat", "i-1", b"\xff{")
@@ -248,7 +248,7 @@
         status = {"state": "draining", "sequence": 5, "cold_remaining": "0ms"}
         await self.send(beat(status=status))
         assert await self.send(beat()) == 200
-        assert self.places.said is None
+        assert self.places.announcement is None
 
     async def test_one_of_a_former_incarnation(self):
         """Requests go to a backend server that crashed.
@@ -259,7 +259,7 @@
         old = beat(born=5)
         await self.send(beat(born=9))
         assert await self.send(old) == 200
-        assert self.beats.current.last.born_ms == 9
+        assert self.beats.current.last_heartbeat.start_unix_ms == 9
 
     async def test_deregistered_ones_stay_out(self):
         await self.send(beat())
@@ -267,9 +267,9 @@
         assert await self.send(gone) == 200
         status = {"state": "ready", "sequence": 8, "cold_remaining": "0ms"}
         await self.send(beat(status=status))
-        assert self.places.said is None
+        assert self.places.announcement is None
         await self.send(beat(born=6))
-        assert self.places.said is not None
+        assert self.places.announcement is not None
 
 
 class TestBoundary:
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -103,14 +103,14 @@
             await release.wait()
             return web.Response()
 
-        async with nodes.world(tmp_path) as world:
+        async with nodes.node_cluster(tmp_path) as world:
             one = await world.start("one", book)
             asking = asyncio.create_task(
-                world.outside(one, "POST", "/stock/book")
+                world.send_outside(one, "POST", "/stock/book")
             )
-            await nodes.until(lambda: one.backend_server.requests)
+            await nodes.wait_until(lambda: one.backend_server.requests)
             asking.cancel()
-            await nodes.until(lambda: one.ledger.counts)
+            await nodes.wait_until(lambda: one.ledger.counts)
             release.set()
             ((kind, count),) = one.ledger.counts.items()
         assert (kind.operation, kind.outside, count) == ("book", True, 1)
--- a/tests/test_departure.py
+++ b/tests/test_shutdown.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from mangobay import departure
+from mangobay import shutdown
 
 
-def told(grace, linger):
+def shutdown_after(grace, linger):
     """Returns the departure of a process that was told to stop at 100."""
-    made = departure.Departure()
-    made.begin(100.0, grace, linger)
+    made = shutdown.ShutdownSchedule()
+    made.start(100.0, grace, linger)
     return made
 
 
@@ -16,30 +16,30 @@
     """The times within the grace."""
 
     def test_a_process_that_was_not_told_takes_everything(self):
-        made = departure.Departure()
-        assert made.takes_work(1e9)
-        assert made.outlasts(1e9)
+        made = shutdown.ShutdownSchedule()
+        assert made.accepts_work(1e9)
+        assert made.allows_deadline(1e9)
 
     def test_work_is_taken_for_the_linger_and_cut_before_the_grace_ends(self):
-        made = told(grace=6, linger=2)
-        assert made.takes_work(101.9)
-        assert not made.takes_work(102)
-        assert made.ends_at == 105
-        assert made.outlasts(105)
-        assert not made.outlasts(105.1)
+        made = shutdown_after(grace=6, linger=2)
+        assert made.accepts_work(101.9)
+        assert not made.accepts_work(102)
+        assert made.abort_at == 105
+        assert made.allows_deadline(105)
+        assert not made.allows_deadline(105.1)
 
     @pytest.mark.parametrize("grace", [1.5, 3, 6, 30])
     def test_half_of_the_grace_is_left_for_what_was_taken_last(self, grace):
         """Work taken late in a short grace is cut before it is done."""
-        made = told(grace, linger=60)
-        assert made.takes_until == 100 + grace / 2
+        made = shutdown_after(grace, linger=60)
+        assert made.accept_until == 100 + grace / 2
 
     @pytest.mark.parametrize("grace", [1.5, 3, 6, 30])
     def test_nothing_is_cut_before_the_last_sixth_of_the_grace(self, grace):
         """In a short grace, work is cut while there is time to end it."""
-        made = told(grace, linger=2)
-        assert made.ends_at >= 100 + grace * 5 / 6
-        assert made.ends_at < 100 + grace
+        made = shutdown_after(grace, linger=2)
+        assert made.abort_at >= 100 + grace * 5 / 6
+        assert made.abort_at < 100 + grace
 
     @pytest.mark.parametrize(
         ("now", "seconds"), [(102, 1.0), (105, 0.6), (105.6, 0.1), (106, 0.1)]
@@ -48,5 +48,5 @@
         self, now, seconds
     ):
         """Answers are cut with time left, or by the kill."""
-        made = told(grace=6, linger=2)
-        assert made.seconds_to_write(now) == pytest.approx(seconds)
+        made = shutdown_after(grace=6, linger=2)
+        assert made.write_timeout(now) == pytest.approx(seconds)
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from mangobay import calls, fields, filetracer, retryallowance, traces
+from mangobay import calls, filetracer, httpheaders, retryallowance, traces
 from mangobay.generated import messages
 
 ME = calls.Process("me", "lima", "run-1")
@@ -15,7 +15,7 @@
     async def test_a_span_names_hop_outcome_and_tries(self, tmp_path):
         path = tmp_path / "spans"
         tracer = filetracer.FileTracer(str(path), ME)
-        trace = fields.Trace("ab" * 16, "cd" * 8, True)
+        trace = httpheaders.TraceContext("ab" * 16, "cd" * 8, True)
         operation = messages.Operation(service="stock", name="price")
         request = calls.Request(
             operation=operation,
