--- a/bench/fleet/backends.py
+++ b/bench/fleet/backends.py
@@ -191,6 +191,6 @@
         )
 
 
-def parent_of(attempt: ids.AttemptId) -> ids.AttemptId:
+def parent_attempt_of(attempt: ids.AttemptId) -> ids.AttemptId:
     """Returns the request that the id of a call names, empty for none."""
     return ids.AttemptId(attempt.rpartition(".")[0])
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -28,17 +28,17 @@
 from mangobay.generated import messages
 
 DEADLINE = "Deadline"
-VOCABULARY = gateway.Vocabulary(
-    backend=leanclient.Names(
-        attempt=backends.ATTEMPT,
+HEADER_NAMES = gateway.HeaderNames(
+    backend=leanclient.BackendHeaderNames(
+        attempt_id=backends.ATTEMPT,
         deadline=DEADLINE,
         signature="Signature",
         not_run="Not-Run",
         private=frozenset(),
     ),
-    caller="Caller",
-    target="Target",
-    parent_of=backends.parent_of,
+    caller_service="Caller",
+    target_instance="Target",
+    parent_attempt_of=backends.parent_attempt_of,
 )
 RETRIES = {"spent": 0.9, "burst": 4, "client_share": 0}
 """Settings of retries, as nodes on the platform have them."""
@@ -102,7 +102,7 @@
             FOREVER, self.new_admission(world), lambda told: None
         )
         self.executor = gateway.RoutedCallExecutor(
-            VOCABULARY, self.process, self.local_services, self.server, None
+            HEADER_NAMES, self.process, self.local_services, self.server, None
         )
         self.gateway = self.make_gateway(world)
         self.asked = world.asked
@@ -140,9 +140,9 @@
             ),
         )
         made = gateway.Gateway(
-            VOCABULARY,
+            HEADER_NAMES,
             self.service,
-            self.executor.run_of,
+            self.executor.find_parent,
             entry_side,
             metrics.Metrics(),
             Reasons(world.reasons),
@@ -176,14 +176,14 @@
         self.asked[kind.name] += 1
         fields = {
             "Host": "fleet.example",
-            VOCABULARY.backend.attempt: attempt,
-            VOCABULARY.backend.deadline: str(int(left * 1000)),
+            HEADER_NAMES.backend.attempt_id: attempt,
+            HEADER_NAMES.backend.deadline: str(int(left * 1000)),
         }
         request = leanhttp.Request(
             method=GET,
             target=f"/{kind.name}/",
-            fields=fields,
-            raw=[
+            headers=fields,
+            raw_headers=[
                 (name.encode(), value.encode())
                 for name, value in fields.items()
             ],
--- a/mangobay/aiohttpbackend.py
+++ b/mangobay/aiohttpbackend.py
@@ -99,7 +99,7 @@
         except TimeoutError:
             raise errors.BackendTimeoutError("no answer in time") from None
         except aiohttp.ClientPayloadError as error:
-            raise errors.IncompleteAnswerError(str(error)) from None
+            raise errors.IncompleteResponseError(str(error)) from None
         except (aiohttp.ClientError, OSError) as error:
             text = str(error) or type(error).__name__
             if attempt.sent:
@@ -156,9 +156,9 @@
         length = response.content_length
         bodiless = method == "HEAD" or response.status in BODILESS_STATUSES
         if length is None and "chunked" not in coding and not bodiless:
-            raise errors.IncompleteAnswerError("the answer has no length")
+            raise errors.IncompleteResponseError("the answer has no length")
         if not bodiless and (length or 0) > self.max_response_bytes:
-            raise errors.AnswerTooLargeError(f"an answer of {length} bytes")
+            raise errors.ResponseTooLargeError(f"an answer of {length} bytes")
         if length is not None:
             return await response.read()
         parts = []
@@ -166,7 +166,7 @@
         async for part in response.content.iter_any():
             size += len(part)
             if size > self.max_response_bytes:
-                raise errors.AnswerTooLargeError(
+                raise errors.ResponseTooLargeError(
                     f"an answer above {self.max_response_bytes} bytes"
                 )
             parts.append(part)
@@ -192,8 +192,8 @@
         auto_decompress=False,
         skip_auto_headers=SKIPPED_AUTO_HEADERS,
         timeout=aiohttp.ClientTimeout(total=None),
-        max_line_size=leanhttp.LONGEST_LINE,
-        max_field_size=leanhttp.LONGEST_LINE,
+        max_line_size=leanhttp.MAX_LINE_BYTES,
+        max_field_size=leanhttp.MAX_LINE_BYTES,
     )
     # Off, a broken connection is told at once instead of through the check
     # in GatedRequest, which would count it as a broken promise.
--- a/mangobay/errors.py
+++ b/mangobay/errors.py
@@ -82,11 +82,11 @@
     """The backend server may have run the request; no whole answer came."""
 
 
-class IncompleteAnswerError(BackendBrokenError):
+class IncompleteResponseError(BackendBrokenError):
     """The answer ended early, or nothing says that it is whole."""
 
 
-class AnswerTooLargeError(BackendBrokenError):
+class ResponseTooLargeError(BackendBrokenError):
     """The answer is longer than the settings allow."""
 
 
--- a/mangobay/execution.py
+++ b/mangobay/execution.py
@@ -380,9 +380,9 @@
     match error:
         case errors.BackendTimeoutError():
             reason = Reason.DEADLINE_EXCEEDED
-        case errors.AnswerTooLargeError():
+        case errors.ResponseTooLargeError():
             reason = Reason.TOO_LARGE
-        case errors.IncompleteAnswerError():
+        case errors.IncompleteResponseError():
             reason = Reason.INCOMPLETE_ANSWER
         case errors.BackendBrokenError():
             reason = Reason.CONNECTION_BROKEN
--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -28,36 +28,40 @@
 Reason = messages.Reason
 
 UNTRACED = httpheaders.TraceContext("", "", False)
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses by which callers take a request for one that never ran."""
-FIRST_REDIRECT = 300
+FIRST_REDIRECT_STATUS = 300
 
-FindRun = typing.Callable[[ids.AttemptId], calls.Parent | None]
+FindParent = typing.Callable[[ids.AttemptId], calls.Parent | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Vocabulary:
+class HeaderNames:
     """The fields that callers and backend servers use.
 
     Attributes:
       backend: in exchanges with backend servers.
-      caller: names the service on whose host a request began.
-      target: names the incarnation that alone may run a request.
-      parent_of: returns the attempt that a call's own id names as the one that
+      caller_service: names the service on whose host a request began.
+      target_instance: names the incarnation that alone may run a request.
+      parent_attempt_of: returns the attempt that a call's own id names as the one that
         it is made for, empty where it names none.
     """
 
-    backend: leanclient.Names
-    caller: str
-    target: str
-    parent_of: typing.Callable[[ids.AttemptId], ids.AttemptId]
+    backend: leanclient.BackendHeaderNames
+    caller_service: str
+    target_instance: str
+    parent_attempt_of: typing.Callable[[ids.AttemptId], ids.AttemptId]
 
     @property
-    def replaced(self) -> frozenset[str]:
+    def system_header_names(self) -> frozenset[str]:
         """Fields of a request that the system sets itself, lower case."""
         return frozenset(
             name.lower()
-            for name in (self.caller, self.target, self.backend.deadline)
+            for name in (
+                self.caller_service,
+                self.target_instance,
+                self.backend.deadline,
+            )
         )
 
 
@@ -65,42 +69,45 @@
     """Runs calls at a backend server that speaks in a vocabulary.
 
     Attributes:
-      vocabulary: the fields it uses.
-      attempts: calls that wait or run here, by the attempt that they are of.
+      header_names: the fields it uses.
+      call_ids_by_attempt: calls that wait or run here, by the attempt that they are of.
     """
 
-    def __init__(self, vocabulary: Vocabulary, *parts):
+    def __init__(self, header_names: HeaderNames, *parts):
         super().__init__(*parts)
-        self.vocabulary = vocabulary
-        self.attempts: dict[ids.AttemptId, ids.CallId] = {}
+        self.header_names = header_names
+        self.call_ids_by_attempt: dict[ids.AttemptId, ids.CallId] = {}
 
-    def run_of(self, attempt: ids.AttemptId) -> calls.Parent | None:
+    def find_parent(self, attempt: ids.AttemptId) -> calls.Parent | None:
         """Returns the run of an attempt at the backend server here."""
-        call_id = self.attempts.get(attempt)
+        call_id = self.call_ids_by_attempt.get(attempt)
         return self.parents.get(call_id) if call_id is not None else None
 
     async def admit_and_run(self, call: messages.Call, *rest) -> messages.Reply:
         """Admits a call and runs it at the backend server."""
-        named = httpheaders.find(call.headers, self.vocabulary.backend.attempt)
+        named = httpheaders.find(
+            call.headers, self.header_names.backend.attempt_id
+        )
         attempt = ids.AttemptId(named)
-        self.attempts[attempt] = call.call_id
+        self.call_ids_by_attempt[attempt] = call.call_id
         try:
             return await super().admit_and_run(call, *rest)
         finally:
-            self.attempts.pop(attempt, None)
+            self.call_ids_by_attempt.pop(attempt, None)
 
     def headers(
         self, call: messages.Call, place: localservices.LocalService
     ) -> list[messages.Header]:
         """Returns the fields for the backend server."""
-        words = self.vocabulary
-        added = [messages.Header(name=words.caller, value=call.caller)]
+        words = self.header_names
+        added = [messages.Header(name=words.caller_service, value=call.caller)]
         if place.announcement.instance:
             # Its address may by now be another's, or another incarnation may
             # run there: that one says so and does not run the request.
             added.append(
                 messages.Header(
-                    name=words.target, value=place.announcement.instance
+                    name=words.target_instance,
+                    value=place.announcement.instance,
                 )
             )
         return [*call.headers, *added]
@@ -112,14 +119,14 @@
         del running
         if answer.shed:
             return calls.not_run_reply(Reason.BACKEND_SHED)
-        if answer.status in PROMISES:
+        if answer.status in NOT_RUN_STATUSES:
             # Passed on it would tell the caller that the request never ran,
             # which only the field of its own says.
             return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
         signed = httpheaders.find(
-            answer.headers, self.vocabulary.backend.signature
+            answer.headers, self.header_names.backend.signature
         )
-        if answer.status < FIRST_REDIRECT and not signed:
+        if answer.status < FIRST_REDIRECT_STATUS and not signed:
             return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
         return messages.Reply(
             outcome=Outcome.ANSWERED,
@@ -136,24 +143,24 @@
     Attributes:
       table: the routes in force; None before the first document.
       caller: the service on this host.
-      run_of: finds what runs at the backend server here, by attempt.
+      find_parent: finds what runs at the backend server here, by attempt.
       shutdown: when the node takes no more requests.
     """
 
     def __init__(
         self,
-        vocabulary: Vocabulary,
+        header_names: HeaderNames,
         caller: ids.ServiceName,
-        run_of: FindRun,
+        find_parent: FindParent,
         dispatcher: dispatch.Dispatcher,
         counts: metrics.Metrics,
         log: requestlog.RequestLog,
         times: shutdown.ShutdownSchedule,
     ):
-        self.vocabulary = vocabulary
-        self.replaced = vocabulary.replaced
+        self.header_names = header_names
+        self.system_header_names = header_names.system_header_names
         self.caller = ids.CallerName(caller)
-        self.run_of = run_of
+        self.find_parent = find_parent
         self.dispatcher = dispatcher
         self.metrics = counts
         self.log = log
@@ -161,14 +168,14 @@
         self.table: routes.Table | None = None
 
     async def handle(
-        self, request: leanhttp.Request, client: leanserver.Client
+        self, request: leanhttp.Request, client: leanserver.Connection
     ) -> leanhttp.Response:
         """Answers one request."""
-        attempt = self.attempt_of(request)
+        attempt = self.attempt_id_of(request)
         parent = self.parent_of(attempt)
         try:
-            self.check_taken(parent)
-            call = self.call_of(request, attempt, client)
+            self.check_accepting(parent)
+            call = self.build_call(request, attempt, client)
         except calls.RequestError as error:
             reply = calls.not_run_reply(error.reason, error.retry_after)
             self.log.log_refused(attempt, error, self.table)
@@ -198,7 +205,7 @@
             )
         return refusals.from_reply(reply)
 
-    def check_taken(self, parent: calls.Parent | None) -> None:
+    def check_accepting(self, parent: calls.Parent | None) -> None:
         """Refuses new requests of a node that is about to end.
 
         A call that a run here makes belongs to work that was taken before.
@@ -211,16 +218,16 @@
             ends_in = max(self.shutdown.abort_at - now, 0)
             raise calls.RequestError(Reason.LEAVING, "the node ends", ends_in)
 
-    def attempt_of(self, request: leanhttp.Request) -> ids.AttemptId:
+    def attempt_id_of(self, request: leanhttp.Request) -> ids.AttemptId:
         """Returns the caller's name of the request, empty without one."""
-        named = request.fields.get(self.vocabulary.backend.attempt, "")
+        named = request.headers.get(self.header_names.backend.attempt_id, "")
         return ids.AttemptId(named)
 
-    def call_of(
+    def build_call(
         self,
         request: leanhttp.Request,
         attempt: ids.AttemptId,
-        client: leanserver.Client,
+        client: leanserver.Connection,
     ) -> calls.Request:
         """Returns the call that a request asks for.
 
@@ -229,7 +236,7 @@
         """
         if self.table is None:
             raise calls.RequestError(Reason.NO_LEASE, "no routes known yet")
-        found = self.table.find(request.fields.get("Host", ""), request.path)
+        found = self.table.find(request.headers.get("Host", ""), request.path)
         if found is None:
             raise calls.RequestError(Reason.NO_SUCH_OPERATION, "no route")
         if not attempt:
@@ -243,7 +250,9 @@
             operation=operation,
             revision=ids.Revision(self.table.document.version),
             target=request.target,
-            headers=leanhttp.end_to_end(request, self.replaced),
+            headers=leanhttp.end_to_end_headers(
+                request, self.system_header_names
+            ),
             body=request.body,
             caller=self.caller,
             client=ids.ClientId(client.remote),
@@ -265,7 +274,7 @@
         without its calls becomes known.  A wrong guess by what an id names
         makes no call run twice, nor where it must not.
         """
-        return self.run_of(self.vocabulary.parent_of(attempt))
+        return self.find_parent(self.header_names.parent_attempt_of(attempt))
 
     def seconds_left(self, request: leanhttp.Request) -> float:
         """Returns how long the caller waits; without its word, for ever.
@@ -273,7 +282,7 @@
         Raises:
           calls.RequestError: what it says is no time.
         """
-        told = request.fields.get(self.vocabulary.backend.deadline)
+        told = request.headers.get(self.header_names.backend.deadline)
         if told is None:
             return float("inf")
         try:
@@ -285,7 +294,7 @@
         return milliseconds / 1000
 
 
-class Decoder(typing.Protocol):
+class RoutesDecoder(typing.Protocol):
     """Reads a routes document in the operator's format."""
 
     def __call__(self, data: bytes) -> routes.Document:
--- a/mangobay/httpparse.py
+++ b/mangobay/httpparse.py
@@ -10,11 +10,11 @@
 import httptools
 import multidict
 
-MOST_HEADERS = 128
-SINGLE_FIELDS = ("Content-Length", "Host")
+MAX_HEADERS = 128
+SINGLETON_HEADERS = ("Content-Length", "Host")
 """Fields whose repetition lets two servers read two different requests."""
-TARGET_STARTS = ("/", "http://", "https://")
-NEVER_LONG = frozenset({204, 304})
+TARGET_PREFIXES = ("/", "http://", "https://")
+NO_BODY_STATUSES = frozenset({204, 304})
 """Statuses of answers without a body."""
 
 
@@ -42,58 +42,64 @@
       method: in capitals; empty in an answer.
       status: of an answer; 0 in a request.
       target: path and query, as received; empty in an answer.
-      fields: by name in any case.
-      raw: every field, as received.
-      parts: the body, as it came.
-      size: bytes of the body that have come.
-      declared: bytes of the body by its head, 0 where that does not say.
-      close: the connection ends behind the message.
+      headers: by name in any case.
+      raw_headers: every field, as received.
+      body_parts: the body, as it came.
+      body_size: bytes of the body that have come.
+      content_length: bytes of the body by its head, 0 where that does not say.
+      should_close: the connection ends behind the message.
       until_eof: an answer whose body ends with its connection.
-      whole: the message has come to its end.
+      complete: the message has come to its end.
     """
 
     method: str = ""
     status: int = 0
     target: str = ""
-    fields: multidict.CIMultiDict[str] = dataclasses.field(
+    headers: multidict.CIMultiDict[str] = dataclasses.field(
         default_factory=multidict.CIMultiDict
     )
-    raw: list[tuple[bytes, bytes]] = dataclasses.field(default_factory=list)
-    parts: list[bytes] = dataclasses.field(default_factory=list)
-    size: int = 0
-    declared: int = 0
-    close: bool = False
+    raw_headers: list[tuple[bytes, bytes]] = dataclasses.field(
+        default_factory=list
+    )
+    body_parts: list[bytes] = dataclasses.field(default_factory=list)
+    body_size: int = 0
+    content_length: int = 0
+    should_close: bool = False
     until_eof: bool = False
-    whole: bool = False
+    complete: bool = False
 
     @property
     def body(self) -> bytes:
         """The body as far as it has come."""
-        return self.parts[0] if len(self.parts) == 1 else b"".join(self.parts)
+        return (
+            self.body_parts[0]
+            if len(self.body_parts) == 1
+            else b"".join(self.body_parts)
+        )
 
 
 class Parser:
     """Takes bytes and gives messages; subclasses read the first line.
 
     Attributes:
-      line_bytes: longest first line, and longest field.
+      max_line_bytes: longest first line, and longest field.
       error: why nothing more is read; None while all is well.
-      begun: messages whose heads came whole with the last bytes.
+      new_messages: messages whose heads came whole with the last bytes.
     """
 
-    def __init__(self, line_bytes: int):
-        self.line_bytes = line_bytes
+    def __init__(self, max_line_bytes: int):
+        self.max_line_bytes = max_line_bytes
         self.error: ParseError | None = None
-        self.begun: list[Message] = []
+        self.new_messages: list[Message] = []
         self.message: Message | None = None
         self.in_head = False
-        self.completed = False
-        self.unended = 0
-        self.field_count = 0
-        self.target: list[bytes] = []
-        self.native = self.make_native()
+        self.message_completed = False
+        self.partial_line_bytes = 0
+        self.header_count = 0
+        self.target_parts: list[bytes] = []
+        self.native_parser = self.make_native_parser()
 
-    def make_native(self) -> typing.Any:
+    def make_native_parser(self) -> typing.Any:
         """Returns the parser proper."""
         raise NotImplementedError
 
@@ -101,10 +107,10 @@
         """Takes bytes; returns the messages whose heads are now whole."""
         if self.error is not None:
             return []
-        self.begun = []
-        self.completed = False
+        self.new_messages = []
+        self.message_completed = False
         try:
-            self.native.feed_data(data)
+            self.native_parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             # What follows would be in another protocol, which is not spoken.
             self.error = ParseError(400, "no upgrade is spoken")
@@ -115,49 +121,51 @@
         except httptools.HttpParserError as error:
             self.error = ParseError(400, str(error))
         else:
-            self.bound_last_line(data)
-        return self.begun
+            self.check_partial_line(data)
+        return self.new_messages
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Lets go of the parser proper, which refers back to this one."""
-        self.native = None
+        self.native_parser = None
 
-    def bound_last_line(self, data: bytes) -> None:
+    def check_partial_line(self, data: bytes) -> None:
         """Refuses a head whose last line is too long before it ends."""
         end = data.rfind(b"\n") + 1
-        self.unended = len(data) - end + (0 if end else self.unended)
-        if self.completed:
+        self.partial_line_bytes = (
+            len(data) - end + (0 if end else self.partial_line_bytes)
+        )
+        if self.message_completed:
             # The last line may begin anywhere behind a body.
-            self.unended = 0
-        if self.in_head and self.unended > self.line_bytes:
+            self.partial_line_bytes = 0
+        if self.in_head and self.partial_line_bytes > self.max_line_bytes:
             self.error = ParseError(431, "a line is too long")
 
     def on_message_begin(self) -> None:
         """Starts a message."""
         self.message = Message()
         self.in_head = True
-        self.target = []
-        self.field_count = 0
+        self.target_parts = []
+        self.header_count = 0
 
     def on_url(self, data: bytes) -> None:
         """Takes a part of the target."""
-        self.target.append(data)
-        if sum(map(len, self.target)) > self.line_bytes:
+        self.target_parts.append(data)
+        if sum(map(len, self.target_parts)) > self.max_line_bytes:
             raise ParseError(431, "the target is too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Takes a field."""
-        if len(name) + len(value) > self.line_bytes:
+        if len(name) + len(value) > self.max_line_bytes:
             raise ParseError(431, "a field is too long")
-        self.field_count += 1
-        if self.field_count > MOST_HEADERS:
+        self.header_count += 1
+        if self.header_count > MAX_HEADERS:
             raise ParseError(431, "too many fields")
         if not self.in_head:
             # Behind the body, where nobody looks for what a field decides.
             return
         value = value.strip(b" \t")
-        self.message.raw.append((name, value))
-        self.message.fields.add(
+        self.message.raw_headers.append((name, value))
+        self.message.headers.add(
             name.decode("utf-8", "surrogateescape"),
             value.decode("utf-8", "surrogateescape"),
         )
@@ -166,69 +174,70 @@
         """Gives the message, whose body may yet come."""
         message = self.message
         self.in_head = False
-        for name in SINGLE_FIELDS:
-            if len(message.fields.getall(name, ())) > 1:
+        for name in SINGLETON_HEADERS:
+            if len(message.headers.getall(name, ())) > 1:
                 raise ParseError(400, f"several fields {name}")
-        self.read_first_line(message)
-        message.declared = int(message.fields.get("Content-Length", "0"))
-        message.close = (
-            not self.native.should_keep_alive() or self.native.should_upgrade()
+        self.read_start_line(message)
+        message.content_length = int(message.headers.get("Content-Length", "0"))
+        message.should_close = (
+            not self.native_parser.should_keep_alive()
+            or self.native_parser.should_upgrade()
         )
-        self.begun.append(message)
+        self.new_messages.append(message)
 
-    def read_first_line(self, message: Message) -> None:
+    def read_start_line(self, message: Message) -> None:
         """Fills in what the first line says."""
         raise NotImplementedError
 
     def on_body(self, data: bytes) -> None:
         """Takes a part of the body."""
-        self.message.parts.append(data)
-        self.message.size += len(data)
+        self.message.body_parts.append(data)
+        self.message.body_size += len(data)
 
     def on_message_complete(self) -> None:
         """Ends the message."""
-        self.message.whole = True
+        self.message.complete = True
         self.message = None
         self.in_head = False
-        self.completed = True
+        self.message_completed = True
 
 
 class RequestParser(Parser):
     """Reads the requests of one connection."""
 
-    def make_native(self) -> httptools.HttpRequestParser:
+    def make_native_parser(self) -> httptools.HttpRequestParser:
         """Returns the parser proper."""
         return httptools.HttpRequestParser(self)
 
-    def read_first_line(self, message: Message) -> None:
+    def read_start_line(self, message: Message) -> None:
         """Fills in method and target."""
-        message.method = self.native.get_method().decode("ascii")
-        message.target = b"".join(self.target).decode(
+        message.method = self.native_parser.get_method().decode("ascii")
+        message.target = b"".join(self.target_parts).decode(
             "utf-8", "surrogateescape"
         )
-        if not message.target.startswith(TARGET_STARTS):
+        if not message.target.startswith(TARGET_PREFIXES):
             raise ParseError(400, "the target is no path")
-        if "Host" not in message.fields and not self.is_old():
+        if "Host" not in message.headers and not self.is_http10():
             raise ParseError(400, "no field Host")
 
-    def is_old(self) -> bool:
+    def is_http10(self) -> bool:
         """Returns whether the request is of a version without Host."""
-        return self.native.get_http_version() == "1.0"
+        return self.native_parser.get_http_version() == "1.0"
 
 
 class ResponseParser(Parser):
     """Reads the answers of one connection."""
 
-    def make_native(self) -> httptools.HttpResponseParser:
+    def make_native_parser(self) -> httptools.HttpResponseParser:
         """Returns the parser proper."""
         return httptools.HttpResponseParser(self)
 
-    def read_first_line(self, message: Message) -> None:
+    def read_start_line(self, message: Message) -> None:
         """Fills in the status."""
-        message.status = self.native.get_status_code()
-        coding = message.fields.get("Transfer-Encoding", "").lower()
+        message.status = self.native_parser.get_status_code()
+        coding = message.headers.get("Transfer-Encoding", "").lower()
         message.until_eof = (
-            "Content-Length" not in message.fields
+            "Content-Length" not in message.headers
             and not coding.endswith("chunked")
-            and message.status not in NEVER_LONG
+            and message.status not in NO_BODY_STATUSES
         )
--- a/mangobay/httpserver.py
+++ b/mangobay/httpserver.py
@@ -28,7 +28,7 @@
 CANCEL_SECONDS = 0.1
 """For requests that are cut to end their tasks."""
 
-Handle = collections.abc.Callable[
+Handler = collections.abc.Callable[
     [web.BaseRequest], collections.abc.Awaitable[web.StreamResponse]
 ]
 
@@ -95,7 +95,7 @@
     """
 
     def __init__(
-        self, handle: Handle, most_connections: int, head_seconds: float
+        self, handle: Handler, most_connections: int, head_seconds: float
     ):
         super().__init__(self.mark, handler_cancellation=True)
         self.handle = handle
@@ -113,9 +113,9 @@
             auto_decompress=False,
             keepalive_timeout=KEEPALIVE_SECONDS,
             lingering_time=LINGERING_SECONDS,
-            max_line_size=leanhttp.LONGEST_LINE,
-            max_field_size=leanhttp.LONGEST_LINE,
-            max_headers=httpparse.MOST_HEADERS,
+            max_line_size=leanhttp.MAX_LINE_BYTES,
+            max_field_size=leanhttp.MAX_LINE_BYTES,
+            max_headers=httpparse.MAX_HEADERS,
         )
 
     async def mark(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -143,7 +143,7 @@
     def __init__(
         self,
         address: options.Address,
-        handle: Handle,
+        handle: Handler,
         *,
         connections: int,
         head_seconds: float,
@@ -219,7 +219,7 @@
     if (request.content_length or 0) > most:
         raise too_large(most)
     if request.headers.get("Expect", "").lower() == "100-continue":
-        request.transport.write(leanhttp.CONTINUE)
+        request.transport.write(leanhttp.CONTINUE_RESPONSE)
     parts = []
     size = 0
     try:
--- a/mangobay/leanclient.py
+++ b/mangobay/leanclient.py
@@ -21,26 +21,26 @@
 )
 from mangobay.generated import messages
 
-KEEP_ALIVE_MARGIN = 0.5
+KEEP_ALIVE_SHARE = 0.5
 """Share of the time told in Keep-Alive after which a connection is not used
 again: the rest covers a close that is already on its way."""
-FIRST_ANSWER = 200
+FIRST_FINAL_STATUS = 200
 """Statuses below are interim answers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Names:
+class BackendHeaderNames:
     """Fields by which a backend server's answers are read.
 
     Attributes:
-      attempt: names the request, in requests and answers.
+      attempt_id: names the request, in requests and answers.
       deadline: milliseconds left.
       signature: stands in whole answers of a backend server.
       not_run: stands in answers to requests that were not run.
       private: fields of answers that callers do not get, lower case.
     """
 
-    attempt: str
+    attempt_id: str
     deadline: str
     signature: str
     not_run: str
@@ -48,160 +48,167 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Sending:
+class PendingRequest:
     """One request that waits for its answer.
 
     Attributes:
       attempt_id: what the answer has to name; empty takes any.
       future: gets the answer.
-      began: loop time of the first byte.
+      started_at: loop time of the first byte.
     """
 
     attempt_id: ids.AttemptId
     future: asyncio.Future
-    began: float
+    started_at: float
 
 
-class Connection(leanhttp.Protocol):
+class Connection(leanhttp.BaseConnection):
     """One connection; it carries one request at a time.
 
     Attributes:
-      sending: the request that waits, None where the connection is idle.
+      pending: the request that waits, None where the connection is idle.
       message: its answer as it comes, None before its head.
-      bodiless: no answer has a body, whatever its head says.
+      head_only: no answer has a body, whatever its head says.
       reusable: another request may follow.
       idle_since: loop time of the last answer.
       keep_alive: seconds that it may stand idle, by the backend server's word.
     """
 
     __slots__ = (
-        "answer_bytes",
-        "bodiless",
+        "max_response_bytes",
+        "head_only",
         "idle_since",
         "keep_alive",
         "message",
-        "names",
+        "header_names",
         "parser",
         "reusable",
-        "sending",
+        "pending",
     )
 
-    def __init__(self, names: Names, answer_bytes: int, bodiless: bool):
+    def __init__(
+        self,
+        header_names: BackendHeaderNames,
+        max_response_bytes: int,
+        head_only: bool,
+    ):
         loop = asyncio.get_running_loop()
         super().__init__(loop)
-        self.parser = httpparse.ResponseParser(leanhttp.LONGEST_LINE)
-        self.bodiless = bodiless
-        self.names = names
-        self.answer_bytes = answer_bytes
-        self.sending: Sending | None = None
+        self.parser = httpparse.ResponseParser(leanhttp.MAX_LINE_BYTES)
+        self.head_only = head_only
+        self.header_names = header_names
+        self.max_response_bytes = max_response_bytes
+        self.pending: PendingRequest | None = None
         self.message: httpparse.Message | None = None
-        self.reusable = not bodiless
+        self.reusable = not head_only
         self.idle_since = loop.time()
         self.keep_alive = float("inf")
 
-    def send(self, data: bytes, sending: Sending) -> None:
+    def send(self, data: bytes, pending: PendingRequest) -> None:
         """Writes a whole request."""
-        self.sending = sending
+        self.pending = pending
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
         """Takes bytes of an answer."""
-        if self.sending is None:
+        if self.pending is None:
             # Nobody asked: what comes belongs to no request, and behind it
             # the next answer could not be told from the rest of this one.
             self.abort()
             return
         waiting = self.message
         begun = self.parser.feed(data)
-        if waiting is not None and waiting.whole:
-            self.finish()
+        if waiting is not None and waiting.complete:
+            self.deliver_response()
         for message in begun:
-            self.begin(message)
+            self.handle_head(message)
         if self.message is not None:
             self.check_size(self.message)
         if self.parser.error is not None:
             text = f"no answer: {self.parser.error}"
             self.fail(errors.BackendBrokenError(text))
 
-    def begin(self, message: httpparse.Message) -> None:
+    def handle_head(self, message: httpparse.Message) -> None:
         """Takes the head of an answer."""
-        if message.status < FIRST_ANSWER:
+        if message.status < FIRST_FINAL_STATUS:
             return
-        if self.sending is None or self.message is not None:
+        if self.pending is None or self.message is not None:
             self.reusable = False
             return
-        named = message.fields.get(self.names.attempt)
-        if self.sending.attempt_id and named != self.sending.attempt_id:
+        named = message.headers.get(self.header_names.attempt_id)
+        if self.pending.attempt_id and named != self.pending.attempt_id:
             # A second answer to an earlier request: its own answer may still
             # follow, but this connection carries no further request.
             self.reusable = False
             return
         self.message = message
-        if message.whole or self.bodiless:
-            self.finish()
+        if message.complete or self.head_only:
+            self.deliver_response()
 
     def check_size(self, message: httpparse.Message) -> bool:
         """Ends an answer that is too long; returns whether it may be taken."""
-        if message.size <= self.answer_bytes:
+        if message.body_size <= self.max_response_bytes:
             return True
         self.fail(
-            errors.AnswerTooLargeError(
-                f"an answer above {self.answer_bytes} bytes"
+            errors.ResponseTooLargeError(
+                f"an answer above {self.max_response_bytes} bytes"
             )
         )
         return False
 
-    def finish(self) -> None:
+    def deliver_response(self) -> None:
         """Hands the whole answer over."""
-        message, sending = self.message, self.sending
+        message, sending = self.message, self.pending
         if message is None or sending is None or not self.check_size(message):
             return
-        self.message = self.sending = None
+        self.message = self.pending = None
         now = self.loop.time()
         self.idle_since = now
-        self.note_keep_alive(message)
+        self.update_keep_alive(message)
         answer = backend.Response(
             status=message.status,
-            headers=leanhttp.end_to_end(message, self.names.private),
-            body=b"" if self.bodiless else message.body,
-            seconds=now - sending.began,
-            shed=self.names.not_run in message.fields,
+            headers=leanhttp.end_to_end_headers(
+                message, self.header_names.private
+            ),
+            body=b"" if self.head_only else message.body,
+            seconds=now - sending.started_at,
+            shed=self.header_names.not_run in message.headers,
         )
         if not sending.future.done():
             sending.future.set_result(answer)
 
-    def note_keep_alive(self, message: httpparse.Message) -> None:
+    def update_keep_alive(self, message: httpparse.Message) -> None:
         """Notes how long the connection may be used again."""
-        if message.close or not self.transport:
+        if message.should_close or not self.transport:
             self.reusable = False
         elif self.transport.get_write_buffer_size():
             # Answered before the body was out: the rest is still due.
             self.reusable = False
-        told = message.fields.get("Keep-Alive", "")
+        told = message.headers.get("Keep-Alive", "")
         for part in told.split(","):
             name, _, value = part.strip().partition("=")
             if name.lower() == "timeout" and value.isdecimal():
-                self.keep_alive = int(value) * KEEP_ALIVE_MARGIN
+                self.keep_alive = int(value) * KEEP_ALIVE_SHARE
 
     def connection_lost(self, exc) -> None:
         """Ends the answer that is on its way, whole or not."""
         super().connection_lost(exc)
-        self.parser.end()
+        self.parser.close()
         self.reusable = False
-        if self.sending is None:
+        if self.pending is None:
             return
         if exc is None and self.message is not None and self.message.until_eof:
             # One that was reset is not whole.
-            self.finish()
-        if self.sending is not None:
+            self.deliver_response()
+        if self.pending is not None:
             kind = errors.BackendBrokenError
             if self.message is not None:
-                kind = errors.IncompleteAnswerError
+                kind = errors.IncompleteResponseError
             self.fail(kind("the connection ended before the answer"))
 
     def fail(self, error: errors.BackendError) -> None:
         """Ends the waiting request and the connection."""
-        sending, self.sending = self.sending, None
+        sending, self.pending = self.pending, None
         self.message = None
         self.abort()
         if sending is not None and not sending.future.done():
@@ -213,14 +220,14 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def is_usable(self, now: float, longest_idle: float) -> bool:
+    def is_usable(self, now: float, max_idle_seconds: float) -> bool:
         """Returns whether another request may go over the connection."""
         idle = now - self.idle_since
         return (
             self.reusable
             and self.transport is not None
             and not self.transport.is_closing()
-            and idle < min(longest_idle, self.keep_alive)
+            and idle < min(max_idle_seconds, self.keep_alive)
         )
 
 
@@ -229,20 +236,24 @@
 
     Attributes:
       inflight: requests that hold a connection.
-      idle: connections that carry no request, the newest last.
+      idle_connections: connections that carry no request, the newest last.
     """
 
     def __init__(
-        self, names: Names, connections: int, idle: float, answer_bytes: int
+        self,
+        header_names: BackendHeaderNames,
+        max_connections: int,
+        max_idle_seconds: float,
+        max_response_bytes: int,
     ):
-        self.names = names
-        self.connections = connections
-        self.longest_idle = idle
-        self.answer_bytes = answer_bytes
+        self.header_names = header_names
+        self.max_connections = max_connections
+        self.max_idle_seconds = max_idle_seconds
+        self.max_response_bytes = max_response_bytes
         self.inflight = 0
-        self.idle: dict[options.Address, collections.deque[Connection]] = (
-            collections.defaultdict(collections.deque)
-        )
+        self.idle_connections: dict[
+            options.Address, collections.deque[Connection]
+        ] = collections.defaultdict(collections.deque)
 
     async def send(
         self,
@@ -260,24 +271,24 @@
           errors.BackendTimeoutError: the time to give up came.
           Exception: whatever the gate raises; no byte was sent.
         """
-        if self.inflight >= self.connections:
+        if self.inflight >= self.max_connections:
             raise errors.BackendUnreachableError("every connection is in use")
         self.inflight += 1
         connection = None
         try:
-            connection = await self.reach(address, request)
+            connection = await self.acquire_connection(address, request)
             if attempt.before_send is not None:
                 await attempt.before_send()
             if connection.transport is None:
                 raise errors.BackendUnreachableError(
                     "closed before the request"
                 )
-            return await self.exchange(connection, request, attempt)
+            return await self.round_trip(connection, request, attempt)
         finally:
             self.inflight -= 1
-            self.put_back(address, connection)
+            self.release_connection(address, connection)
 
-    async def exchange(
+    async def round_trip(
         self,
         connection: Connection,
         request: backend.Request,
@@ -287,29 +298,31 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         future = loop.create_future()
-        sending = Sending(self.attempt_id(request), future, now)
+        sending = PendingRequest(self.attempt_id_of(request), future, now)
         attempt.sent = True
-        connection.send(self.encode(request, now), sending)
-        timer = loop.call_at(request.abort_at, expire, future)
+        connection.send(self.encode_request(request, now), sending)
+        timer = loop.call_at(request.abort_at, fail_with_timeout, future)
         try:
             return await future
         except (asyncio.CancelledError, errors.BackendTimeoutError):
-            connection.sending = None
+            connection.pending = None
             connection.abort()
             raise
         finally:
             timer.cancel()
 
-    def attempt_id(self, request: backend.Request) -> ids.AttemptId:
+    def attempt_id_of(self, request: backend.Request) -> ids.AttemptId:
         """Returns the name of the request, empty where it has none."""
         return ids.AttemptId(
-            httpheaders.find(request.headers, self.names.attempt)
+            httpheaders.find(request.headers, self.header_names.attempt_id)
         )
 
-    def encode(self, request: backend.Request, now: float) -> bytes:
+    def encode_request(self, request: backend.Request, now: float) -> bytes:
         """Returns the bytes of a request, with the time that is left."""
         left = max(int((request.deadline - now) * 1000), 1)
-        named = messages.Header(name=self.names.deadline, value=str(left))
+        named = messages.Header(
+            name=self.header_names.deadline, value=str(left)
+        )
         return leanhttp.encode_request(
             request.method,
             request.target,
@@ -317,7 +330,7 @@
             request.body,
         )
 
-    async def reach(
+    async def acquire_connection(
         self, address: options.Address, request: backend.Request
     ) -> Connection:
         """Returns a connection that carries no request.
@@ -327,8 +340,8 @@
         """
         loop = asyncio.get_running_loop()
         bodiless = request.method == "HEAD"
-        idle = self.idle[address]
-        longest = self.longest_idle
+        idle = self.idle_connections[address]
+        longest = self.max_idle_seconds
         if not request.idempotent:
             # A backend server may drop idle connections without a word; that
             # leaves it open whether a request sent there ran.
@@ -341,7 +354,9 @@
         try:
             async with asyncio.timeout_at(request.abort_at):
                 _, connection = await loop.create_connection(
-                    lambda: Connection(self.names, self.answer_bytes, bodiless),
+                    lambda: Connection(
+                        self.header_names, self.max_response_bytes, bodiless
+                    ),
                     address.ip,
                     address.port,
                 )
@@ -353,26 +368,26 @@
             raise errors.BackendUnreachableError(str(error)) from None
         return connection
 
-    def put_back(
+    def release_connection(
         self, address: options.Address, connection: Connection | None
     ) -> None:
         """Keeps a connection for the next request, or ends it."""
         if connection is None or connection.transport is None:
             return
-        if connection.reusable and connection.sending is None:
-            self.idle[address].append(connection)
+        if connection.reusable and connection.pending is None:
+            self.idle_connections[address].append(connection)
         else:
             connection.transport.close()
 
     async def close(self) -> None:
         """Ends every idle connection."""
-        for connections in self.idle.values():
+        for connections in self.idle_connections.values():
             for connection in connections:
                 connection.abort()
-        self.idle.clear()
+        self.idle_connections.clear()
 
 
-def expire(future: asyncio.Future) -> None:
+def fail_with_timeout(future: asyncio.Future) -> None:
     """Fails a request whose time has passed."""
     if not future.done():
         future.set_exception(errors.BackendTimeoutError("no answer in time"))
--- a/mangobay/leanhttp.py
+++ b/mangobay/leanhttp.py
@@ -13,14 +13,14 @@
 from mangobay import httpheaders
 from mangobay.generated import messages
 
-LONGEST_LINE = 16 * 1024
+MAX_LINE_BYTES = 16 * 1024
 """Bytes of a request line or one header field; the usual bound of servers."""
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 Headers = typing.Sequence[messages.Header]
 
 
-class Protocol(asyncio.Protocol):
+class BaseConnection(asyncio.Protocol):
     """One connection.
 
     Attributes:
@@ -52,11 +52,11 @@
         self.writing_paused = False
 
 
-class RawMessage(typing.Protocol):
+class ParsedMessage(typing.Protocol):
     """What is needed of a message that was parsed."""
 
-    fields: typing.Mapping[str, str]
-    raw: typing.Sequence[tuple[bytes, bytes]]
+    headers: typing.Mapping[str, str]
+    raw_headers: typing.Sequence[tuple[bytes, bytes]]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -66,15 +66,15 @@
     Attributes:
       method: in capitals.
       target: path and query, as received.
-      fields: by name in any case; of a repeated field, the first.
-      raw: every field, as received.
+      headers: by name in any case; of a repeated field, the first.
+      raw_headers: every field, as received.
       body: the whole body.
     """
 
     method: str
     target: str
-    fields: typing.Mapping[str, str]
-    raw: typing.Sequence[tuple[bytes, bytes]]
+    headers: typing.Mapping[str, str]
+    raw_headers: typing.Sequence[tuple[bytes, bytes]]
     body: bytes = b""
 
     @property
@@ -93,34 +93,34 @@
 
 
 @functools.lru_cache(maxsize=4096)
-def kept_name(raw: bytes, dropped: frozenset[str]) -> str:
+def forwarded_name(raw_name: bytes, excluded: frozenset[str]) -> str:
     """Returns the name of a field that is passed on, empty for another.
 
     Names repeat from request to request, so the answers are cached.
     """
-    text = raw.decode("utf-8", "surrogateescape")
+    text = raw_name.decode("utf-8", "surrogateescape")
     low = text.lower()
     return (
-        "" if low in httpheaders.HOP_BY_HOP_HEADERS or low in dropped else text
+        "" if low in httpheaders.HOP_BY_HOP_HEADERS or low in excluded else text
     )
 
 
-def end_to_end(
-    message: RawMessage, dropped: frozenset[str]
+def end_to_end_headers(
+    message: ParsedMessage, excluded: frozenset[str]
 ) -> list[messages.Header]:
     """Returns the fields that are passed on.
 
     Args:
       message: what was received.
-      dropped: further names, in lower case, that are not passed on.
+      excluded: further names, in lower case, that are not passed on.
     """
-    named = message.fields.get("Connection")
+    named = message.headers.get("Connection")
     if named and named.lower() not in ("close", "keep-alive"):
         tokens = {token.strip() for token in named.lower().split(",")}
-        dropped = dropped | tokens
+        excluded = excluded | tokens
     kept = []
-    for name, value in message.raw:
-        text = kept_name(name, dropped)
+    for name, value in message.raw_headers:
+        text = forwarded_name(name, excluded)
         if text:
             kept.append(
                 messages.Header(
@@ -130,7 +130,7 @@
     return kept
 
 
-def encode_fields(headers: Headers) -> str:
+def encode_headers(headers: Headers) -> str:
     """Returns header lines, each ended."""
     return "".join([f"{each.name}: {each.value}\r\n" for each in headers])
 
@@ -145,20 +145,22 @@
     return f"HTTP/1.1 {status} {phrase}\r\n"
 
 
-def encode_response(response: Response, close: bool, bodiless: bool) -> bytes:
+def encode_response(
+    response: Response, should_close: bool, head_only: bool
+) -> bytes:
     """Returns the bytes of an answer.
 
     Args:
       response: the answer.
-      close: the connection ends behind it.
-      bodiless: it answers a HEAD request.
+      should_close: the connection ends behind it.
+      head_only: it answers a HEAD request.
     """
-    head = status_line(response.status) + encode_fields(response.headers)
+    head = status_line(response.status) + encode_headers(response.headers)
     if response.status not in (204, 304):
         head += f"Content-Length: {len(response.body)}\r\n"
-    if close:
+    if should_close:
         head += "Connection: close\r\n"
-    body = b"" if bodiless else response.body
+    body = b"" if head_only else response.body
     return f"{head}\r\n".encode("utf-8", "surrogateescape") + body
 
 
@@ -166,7 +168,7 @@
     method: str, target: str, headers: Headers, body: bytes
 ) -> bytes:
     """Returns the bytes of a request."""
-    head = f"{method} {target} HTTP/1.1\r\n{encode_fields(headers)}"
+    head = f"{method} {target} HTTP/1.1\r\n{encode_headers(headers)}"
     if body or method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
         head += f"Content-Length: {len(body)}\r\n"
     return f"{head}\r\n".encode("utf-8", "surrogateescape") + body
--- a/mangobay/leanserver.py
+++ b/mangobay/leanserver.py
@@ -15,19 +15,20 @@
     rounds,
 )
 
-Handle = collections.abc.Callable[
-    [leanhttp.Request, "Client"], collections.abc.Awaitable[leanhttp.Response]
+Handler = collections.abc.Callable[
+    [leanhttp.Request, "Connection"],
+    collections.abc.Awaitable[leanhttp.Response],
 ]
 
 BACKLOG = 1024
 """Connections that wait to be accepted; a burst of callers opens hundreds."""
-MOST_PIPELINED = 64
+MAX_PIPELINED_REQUESTS = 64
 """Requests of one connection that are answered at once; more wait unread."""
-TOO_LARGE = leanhttp.Response(status=413)
-DISCARD_SECONDS = 1.0
+TOO_LARGE_RESPONSE = leanhttp.Response(status=413)
+HALF_CLOSE_SECONDS = 1.0
 """How long a caller has to close a connection that was ended, above a round trip
 between far regions."""
-LAST_DISCARD_SECONDS = 0.2
+SHUTDOWN_HALF_CLOSE_SECONDS = 0.2
 """The same when the process ends."""
 CLOSE_POLL = 0.01
 """Seconds between two looks whether the last answers have left."""
@@ -40,18 +41,18 @@
     """Bounds on what a caller may send.
 
     Attributes:
-      line_bytes: of the request line, and of one header field.
-      body_bytes: of a whole body.
-      head_seconds: from the first byte of a request to its last.
-      idle_seconds: a connection without a request is closed after this time.
-      connections: taken at once.
+      max_line_bytes: of the request line, and of one header field.
+      max_body_bytes: of a whole body.
+      read_timeout: from the first byte of a request to its last.
+      idle_timeout: a connection without a request is closed after this time.
+      max_connections: taken at once.
     """
 
-    line_bytes: int = leanhttp.LONGEST_LINE
-    body_bytes: int = 64 * 1024 * 1024
-    head_seconds: float = 10.0
-    idle_seconds: float = 75.0
-    connections: int = 2048
+    max_line_bytes: int = leanhttp.MAX_LINE_BYTES
+    max_body_bytes: int = 64 * 1024 * 1024
+    read_timeout: float = 10.0
+    idle_timeout: float = 75.0
+    max_connections: int = 2048
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -61,33 +62,33 @@
     Attributes:
       message: the request as it comes; None where it is none.
       task: answers the request; None until the body is whole.
-      answer: the bytes to write; empty until there are some.
-      close: the connection ends behind the answer.
+      response_bytes: the bytes to write; empty until there are some.
+      should_close: the connection ends behind the answer.
     """
 
     message: httpparse.Message | None
     task: asyncio.Task | None = None
-    answer: bytes = b""
-    close: bool = False
+    response_bytes: bytes = b""
+    should_close: bool = False
 
 
-class Client(leanhttp.Protocol):
+class Connection(leanhttp.BaseConnection):
     """One connection of a caller.
 
     Attributes:
       remote: IP number of the caller.
       exchanges: requests whose answers were not written, oldest first.
-      active: loop time of the last byte either way.
-      begun: loop time at which a request began that is not whole, or 0.
-      ending: no further request is taken.
-      discarding: set once nothing more is written; closes the connection.
+      last_activity: loop time of the last byte either way.
+      request_started_at: loop time at which a request began that is not whole, or 0.
+      closing: no further request is taken.
+      half_close_timer: set once nothing more is written; closes the connection.
     """
 
     __slots__ = (
-        "active",
-        "begun",
-        "discarding",
-        "ending",
+        "last_activity",
+        "request_started_at",
+        "half_close_timer",
+        "closing",
         "exchanges",
         "listener",
         "parser",
@@ -97,14 +98,14 @@
     def __init__(self, listener: "Listener"):
         loop = asyncio.get_running_loop()
         super().__init__(loop)
-        self.parser = httpparse.RequestParser(listener.limits.line_bytes)
+        self.parser = httpparse.RequestParser(listener.limits.max_line_bytes)
         self.listener = listener
         self.remote = ""
         self.exchanges: collections.deque[Exchange] = collections.deque()
-        self.active = loop.time()
-        self.begun = 0.0
-        self.ending = False
-        self.discarding: asyncio.TimerHandle | None = None
+        self.last_activity = loop.time()
+        self.request_started_at = 0.0
+        self.closing = False
+        self.half_close_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport) -> None:
         """Counts the connection; one too many is closed."""
@@ -112,15 +113,18 @@
         peer = transport.get_extra_info("peername")
         self.remote = peer[0] if peer else ""
         self.listener.rounds.add(self)
-        if len(self.listener.clients) > self.listener.limits.connections:
+        if (
+            len(self.listener.connections)
+            > self.listener.limits.max_connections
+        ):
             transport.close()
 
     def connection_lost(self, exc) -> None:
         """Gives up what the caller no longer waits for."""
         super().connection_lost(exc)
-        self.parser.end()
-        if self.discarding is not None:
-            self.discarding.cancel()
+        self.parser.close()
+        if self.half_close_timer is not None:
+            self.half_close_timer.cancel()
         self.listener.rounds.discard(self)
         for exchange in self.exchanges:
             if exchange.task is not None:
@@ -139,83 +143,86 @@
     def resume_writing(self) -> None:
         """Reads again."""
         super().resume_writing()
-        if self.transport is not None and not self.ending:
+        if self.transport is not None and not self.closing:
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
         """Takes bytes; starts what is whole."""
-        self.active = self.loop.time()
-        if self.ending and not self.awaits_body():
+        self.last_activity = self.loop.time()
+        if self.closing and not self.is_receiving_body():
             return
-        if not self.begun:
-            self.begun = self.active
-        waiting = self.exchanges[-1] if self.awaits_body() else None
+        if not self.request_started_at:
+            self.request_started_at = self.last_activity
+        waiting = self.exchanges[-1] if self.is_receiving_body() else None
         begun = self.parser.feed(data)
-        if waiting is not None and waiting.message.whole:
-            self.start(waiting)
+        if waiting is not None and waiting.message.complete:
+            self.dispatch(waiting)
         for message in begun:
-            if not self.ending:
-                self.begin(message)
+            if not self.closing:
+                self.handle_head(message)
         error = self.parser.error
-        if error is not None and (not self.ending or self.awaits_body()):
-            self.refuse(error)
+        if error is not None and (not self.closing or self.is_receiving_body()):
+            self.send_error(error)
             return
-        self.look_at_size()
+        self.check_body_size()
 
-    def awaits_body(self) -> bool:
+    def is_receiving_body(self) -> bool:
         """Returns whether the newest request is not whole yet."""
         if not self.exchanges:
             return False
         last = self.exchanges[-1]
-        return not last.answer and not last.message.whole
+        return not last.response_bytes and not last.message.complete
 
-    def begin(self, message: httpparse.Message) -> None:
+    def handle_head(self, message: httpparse.Message) -> None:
         """Takes a request head; answers once the body has come."""
-        exchange = Exchange(message, close=message.close)
+        exchange = Exchange(message, should_close=message.should_close)
         self.exchanges.append(exchange)
-        self.ending = self.ending or exchange.close
-        if message.whole:
-            self.start(exchange)
+        self.closing = self.closing or exchange.should_close
+        if message.complete:
+            self.dispatch(exchange)
             return
-        expected = message.fields.get("Expect", "").lower()
+        expected = message.headers.get("Expect", "").lower()
         if expected == "100-continue" and self.transport is not None:
-            self.transport.write(leanhttp.CONTINUE)
+            self.transport.write(leanhttp.CONTINUE_RESPONSE)
 
-    def start(self, exchange: Exchange) -> None:
+    def dispatch(self, exchange: Exchange) -> None:
         """Has a whole request answered."""
-        self.begun = 0.0
+        self.request_started_at = 0.0
         message = exchange.message
         request = leanhttp.Request(
             method=message.method,
             target=message.target,
-            fields=message.fields,
-            raw=message.raw,
+            headers=message.headers,
+            raw_headers=message.raw_headers,
             body=message.body,
         )
-        if len(self.exchanges) > MOST_PIPELINED and self.transport is not None:
+        if (
+            len(self.exchanges) > MAX_PIPELINED_REQUESTS
+            and self.transport is not None
+        ):
             self.transport.pause_reading()
-        exchange.task = eager.start(self.loop, self.answer(exchange, request))
+        exchange.task = eager.start(self.loop, self.respond(exchange, request))
 
-    def look_at_size(self) -> None:
+    def check_body_size(self) -> None:
         """Refuses a body that is too long before all of it has come."""
-        if not self.awaits_body():
+        if not self.is_receiving_body():
             return
         last = self.exchanges[-1]
-        come = max(last.message.declared, last.message.size)
-        if come > self.listener.limits.body_bytes:
-            last.answer = leanhttp.encode_response(
-                self.listener.oversized, True, False
+        come = max(last.message.content_length, last.message.body_size)
+        if come > self.listener.limits.max_body_bytes:
+            last.response_bytes = leanhttp.encode_response(
+                self.listener.too_large_response, True, False
             )
-            last.close = True
-            self.ending = True
+            last.should_close = True
+            self.closing = True
             self.flush()
 
-    async def answer(
+    async def respond(
         self, exchange: Exchange, request: leanhttp.Request
     ) -> None:
         """Answers one request."""
         try:
-            response = await self.listener.handle(request, self)
+            response = await self.listener.handler(request, self)
         except asyncio.CancelledError:
             raise
         except Exception as error:  # noqa: BLE001
@@ -225,23 +232,23 @@
         # be sent again by their caller.
         newest = self.exchanges[-1] if self.exchanges else None
         if self.listener.leaving and newest is exchange:
-            exchange.close = True
-            self.ending = True
-        exchange.answer = leanhttp.encode_response(
-            response, exchange.close, request.method == "HEAD"
+            exchange.should_close = True
+            self.closing = True
+        exchange.response_bytes = leanhttp.encode_response(
+            response, exchange.should_close, request.method == "HEAD"
         )
         self.flush()
 
-    def refuse(self, error: httpparse.ParseError) -> None:
+    def send_error(self, error: httpparse.ParseError) -> None:
         """Answers bytes that are no request, behind the answers due."""
-        self.ending = True
+        self.closing = True
         answer = leanhttp.encode_response(
             leanhttp.Response(status=error.status), True, False
         )
         # A request whose body broke off is answered in its own place.
-        if self.awaits_body():
+        if self.is_receiving_body():
             self.exchanges.pop()
-        refused = Exchange(None, answer=answer, close=True)
+        refused = Exchange(None, response_bytes=answer, should_close=True)
         self.exchanges.append(refused)
         self.flush()
 
@@ -250,18 +257,21 @@
         transport = self.transport
         if transport is None:
             return
-        self.active = self.loop.time()
+        self.last_activity = self.loop.time()
         ready = []
         close = False
-        while self.exchanges and self.exchanges[0].answer and not close:
+        while self.exchanges and self.exchanges[0].response_bytes and not close:
             done = self.exchanges.popleft()
-            ready.append(done.answer)
-            close = done.close
+            ready.append(done.response_bytes)
+            close = done.should_close
         if ready:
             transport.write(ready[0] if len(ready) == 1 else b"".join(ready))
         if close:
-            self.end()
-        elif len(self.exchanges) <= MOST_PIPELINED and not self.writing_paused:
+            self.close()
+        elif (
+            len(self.exchanges) <= MAX_PIPELINED_REQUESTS
+            and not self.writing_paused
+        ):
             transport.resume_reading()
 
     def time_out(self) -> None:
@@ -269,31 +279,33 @@
 
         Those before it are answered.
         """
-        self.ending = True
-        if self.awaits_body():
+        self.closing = True
+        if self.is_receiving_body():
             self.exchanges.pop()
         if not self.exchanges:
-            self.end()
+            self.close()
             return
-        self.exchanges[-1].close = True
+        self.exchanges[-1].should_close = True
         self.flush()
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Ends the connection; requests behind the answer were not run.
 
         Closed with bytes that nobody has read, it would be reset, and the
         reset destroys answers that the caller has not taken yet.  So it is
         only closed for writing, and what still comes is thrown away.
         """
-        self.ending = True
+        self.closing = True
         for exchange in self.exchanges:
             if exchange.task is not None:
                 exchange.task.cancel()
         self.exchanges.clear()
         transport = self.transport
-        if transport is None or self.discarding is not None:
+        if transport is None or self.half_close_timer is not None:
             return
-        self.discarding = self.loop.call_later(DISCARD_SECONDS, transport.close)
+        self.half_close_timer = self.loop.call_later(
+            HALF_CLOSE_SECONDS, transport.close
+        )
         transport.write_eof()
         transport.resume_reading()
 
@@ -301,9 +313,9 @@
         """Takes a caller that sends no more for one that is gone."""
         return False
 
-    def is_owed(self) -> bool:
+    def has_pending_responses(self) -> bool:
         """Returns whether an answer is due, or not yet with the kernel."""
-        if any(each.task or each.answer for each in self.exchanges):
+        if any(each.task or each.response_bytes for each in self.exchanges):
             return True
         transport = self.transport
         return transport is not None and transport.get_write_buffer_size() > 0
@@ -314,11 +326,14 @@
         A caller that sends a byte now and then would hold a connection, and
         what has come of its request, for ever.
         """
-        return 0 < self.begun < oldest and self.discarding is None
+        return (
+            0 < self.request_started_at < oldest
+            and self.half_close_timer is None
+        )
 
     def is_idle(self, oldest: float) -> bool:
         """Returns whether no request is open since a loop time."""
-        return not self.exchanges and self.active < oldest
+        return not self.exchanges and self.last_activity < oldest
 
 
 class Listener:
@@ -328,20 +343,20 @@
       address: where it listens; with port 0, the port taken once started.
       rounds: looks at its connections.
       leaving: every answer closes its connection.
-      oversized: the answer to a body above the limit.
+      too_large_response: the answer to a body above the limit.
     """
 
     def __init__(
-        self, address: options.Address, handle: Handle, limits: Limits
+        self, address: options.Address, handler: Handler, limits: Limits
     ):
         self.address = address
-        self.handle = handle
+        self.handler = handler
         self.limits = limits
-        self.rounds: rounds.Rounds[Client] = rounds.Rounds(
-            SWEEP_SECONDS, self.look
+        self.rounds: rounds.Rounds[Connection] = rounds.Rounds(
+            SWEEP_SECONDS, self.check_connection
         )
         self.leaving = False
-        self.oversized = TOO_LARGE
+        self.too_large_response = TOO_LARGE_RESPONSE
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -352,7 +367,7 @@
         """
         loop = asyncio.get_running_loop()
         opening = loop.create_server(
-            lambda: Client(self),
+            lambda: Connection(self),
             self.address.ip,
             self.address.port,
             backlog=BACKLOG,
@@ -362,22 +377,24 @@
         self.address = listening.bound_to(self.address, self.server)
 
     @property
-    def clients(self) -> set[Client]:
+    def connections(self) -> set[Connection]:
         """Its connections."""
         return self.rounds.items
 
-    def look(self, client: Client) -> None:
+    def check_connection(self, client: Connection) -> None:
         """Closes a connection that was idle, or sends, for too long."""
         now = asyncio.get_running_loop().time()
-        if client.is_slow(now - self.limits.head_seconds):
+        if client.is_slow(now - self.limits.read_timeout):
             client.time_out()
-        elif client.is_idle(now - self.limits.idle_seconds):
-            client.end()
+        elif client.is_idle(now - self.limits.idle_timeout):
+            client.close()
 
     @property
     def busy(self) -> bool:
         """Whether a caller waits for an answer, or has not taken one."""
-        return any(client.is_owed() for client in self.clients)
+        return any(
+            client.has_pending_responses() for client in self.connections
+        )
 
     async def close(self, seconds: float = 0.0) -> int:
         """Stops accepting, answers what is due and ends every connection.
@@ -396,13 +413,15 @@
         patience = loop.time() + seconds
         while self.busy and loop.time() < patience:
             await asyncio.sleep(CLOSE_POLL)
-        not_taken = sum(client.is_owed() for client in self.clients)
-        for client in list(self.clients):
-            client.end()
-        patience = min(patience, loop.time() + LAST_DISCARD_SECONDS)
-        while self.clients and loop.time() < patience:
+        not_taken = sum(
+            client.has_pending_responses() for client in self.connections
+        )
+        for client in list(self.connections):
+            client.close()
+        patience = min(patience, loop.time() + SHUTDOWN_HALF_CLOSE_SECONDS)
+        while self.connections and loop.time() < patience:
             await asyncio.sleep(CLOSE_POLL)
-        for client in list(self.clients):
+        for client in list(self.connections):
             client.transport.close()
         await asyncio.sleep(0)
         return not_taken
--- a/mangobay/metricspage.py
+++ b/mangobay/metricspage.py
@@ -11,11 +11,11 @@
 
 def make_handler(
     render: collections.abc.Callable[[], bytes],
-) -> leanserver.Handle:
+) -> leanserver.Handler:
     """Returns a handler that answers every request with the metrics."""
 
     async def handle(
-        request: leanhttp.Request, client: leanserver.Client
+        request: leanhttp.Request, client: leanserver.Connection
     ) -> leanhttp.Response:
         del request, client
         header = messages.Header(name="Content-Type", value=MEDIA_TYPE)
--- a/mangobay/routedcontrol.py
+++ b/mangobay/routedcontrol.py
@@ -16,7 +16,7 @@
 )
 from mangobay.generated import messages, settings
 
-MakeApi = typing.Callable[[publishing.Publisher], leanserver.Handle]
+MakeApi = typing.Callable[[publishing.Publisher], leanserver.Handler]
 
 ANSWER_SECONDS = 0.3
 """For the last answers to be taken by their callers."""
@@ -59,11 +59,11 @@
             await listener.close(ANSWER_SECONDS)
 
 
-def taking(taken: intake.Intake, api: leanserver.Handle) -> leanserver.Handle:
+def taking(taken: intake.Intake, api: leanserver.Handler) -> leanserver.Handler:
     """Returns a handler that takes calls unless the host stops."""
 
     async def handle(
-        request: leanhttp.Request, client: leanserver.Client
+        request: leanhttp.Request, client: leanserver.Connection
     ) -> leanhttp.Response:
         try:
             return await taken.carry(lambda: api(request, client))
@@ -84,9 +84,9 @@
         """Returns what answers operators, and serves metrics."""
         config = self.config
         limits = leanserver.Limits(
-            body_bytes=config.limits.sheet_bytes,
-            head_seconds=config.limits.header_timeout,
-            connections=config.limits.operator_connections,
+            max_body_bytes=config.limits.sheet_bytes,
+            read_timeout=config.limits.header_timeout,
+            max_connections=config.limits.operator_connections,
         )
         taken = intake.Intake()
         api = taking(taken, self.make_api(self.publisher))
--- a/mangobay/routednode.py
+++ b/mangobay/routednode.py
@@ -22,41 +22,41 @@
 )
 from mangobay.generated import messages, settings
 
-TOLD_BEFORE = 0.7
+LEAVE_NOTICE_SECONDS = 0.7
 """Seconds before it takes no more calls that a leaving node has the others told:
 a renewal, an entry of the log and the renewals of the others, with room for a
 lost packet."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Dialect:
+class PlatformAdapter:
     """How callers, backend servers and operators are spoken with.
 
     Attributes:
-      vocabulary: the fields of requests and answers.
+      header_names: the fields of requests and answers.
       decode: reads a routes document.
       heartbeat_api: makes the handler of heartbeats.
       ready_api: makes the handler that tells whether the node is ready.
     """
 
-    vocabulary: gateway.Vocabulary
-    decode: gateway.Decoder
+    header_names: gateway.HeaderNames
+    decode: gateway.RoutesDecoder
     heartbeat_api: typing.Callable[
-        [heartbeats.HeartbeatReceiver], leanserver.Handle
+        [heartbeats.HeartbeatReceiver], leanserver.Handler
     ]
-    ready_api: typing.Callable[[typing.Callable[[], bool]], leanserver.Handle]
+    ready_api: typing.Callable[[typing.Callable[[], bool]], leanserver.Handler]
 
 
 class RoutedNode(basenode.BaseNode):
     """One node; attributes as in `basenode.BaseNode`.
 
     Attributes:
-      dialect: how others are spoken with.
+      adapter: how others are spoken with.
       listeners: for callers, heartbeats and readiness.
     """
 
-    def __init__(self, config: settings.Node, dialect: Dialect):
-        self.dialect = dialect
+    def __init__(self, config: settings.Node, adapter: PlatformAdapter):
+        self.adapter = adapter
         super().__init__(config)
 
     def make_peers(self) -> None:
@@ -69,52 +69,54 @@
         """Makes the connections to the backend server here."""
         config = self.config
         self.backend = leanclient.Backend(
-            self.dialect.vocabulary.backend,
+            self.adapter.header_names.backend,
             config.backend.connections,
             config.backend.idle,
             config.limits.answer_bytes,
         )
         self.executor = gateway.RoutedCallExecutor(
-            self.dialect.vocabulary,
+            self.adapter.header_names,
             self.process,
             self.local_services,
             self.backend,
             self.once,
         )
-        self.heartbeats = heartbeats.HeartbeatReceiver(
+        self.heartbeat_receiver = heartbeats.HeartbeatReceiver(
             self.local_services,
             ids.ServiceName(config.backend.service),
-            first(config.backend.address),
+            only_address(config.backend.address),
         )
 
     def make_edges(self) -> None:
         """Makes the listeners."""
         config = self.config
         self.gateway = gateway.Gateway(
-            self.dialect.vocabulary,
+            self.adapter.header_names,
             ids.ServiceName(config.backend.service),
-            self.executor.run_of,
+            self.executor.find_parent,
             self.dispatcher,
             self.metrics,
             requestlog.RequestLog(),
             self.executor.shutdown,
         )
         limits = leanserver.Limits(
-            body_bytes=config.limits.body_bytes,
-            head_seconds=config.limits.header_timeout,
-            connections=config.limits.connections,
+            max_body_bytes=config.limits.body_bytes,
+            read_timeout=config.limits.header_timeout,
+            max_connections=config.limits.connections,
         )
         self.outside_listener = leanserver.Listener(
             config.listen.outside, self.gateway.handle, limits
         )
         # The limit is not known before the routes are.
-        self.outside_listener.oversized = refusals.retry_later_response()
+        self.outside_listener.too_large_response = (
+            refusals.retry_later_response()
+        )
         small = (
             (
                 config.listen.heartbeats,
-                self.dialect.heartbeat_api(self.heartbeats),
+                self.adapter.heartbeat_api(self.heartbeat_receiver),
             ),
-            (config.listen.ready, self.dialect.ready_api(self.is_ready)),
+            (config.listen.ready, self.adapter.ready_api(self.is_ready)),
             (
                 config.listen.metrics,
                 metricspage.make_handler(self.metrics.render),
@@ -143,32 +145,32 @@
         for listener in self.listeners:
             await listener.start()
         self.control.views.subscribe(self.router.update_views)
-        self.control.views.subscribe(self.share_slack)
-        self.control.routes.subscribe(self.take_routes)
+        self.control.views.subscribe(self.set_node_count)
+        self.control.routes.subscribe(self.apply_routes)
         self.control.draining.subscribe(self.drained)
         for work in (self.control.run(), self.local_services.run_expiry()):
             self.tasks.append(asyncio.create_task(work))
         logs.say(logs.Part.NODE, "started", host=self.process.host)
 
-    def share_slack(
+    def set_node_count(
         self, views: dict[ids.ServiceName, messages.ServiceView]
     ) -> None:
         """Takes the number of nodes from the views."""
         nodes = sum(len(view.members) for view in views.values())
         self.dispatcher.dependencies.retry_budget.set_node_count(nodes)
 
-    def take_routes(self, change: messages.RoutesChange) -> None:
+    def apply_routes(self, change: messages.RoutesChange) -> None:
         """Puts a routes document in force."""
         if not change.version:
             return
-        document = self.dialect.decode(publishing.document_of(change))
+        document = self.adapter.decode(publishing.document_of(change))
         self.gateway.table = routes.Table(document)
-        self.outside_listener.oversized = leanserver.TOO_LARGE
+        self.outside_listener.too_large_response = leanserver.TOO_LARGE_RESPONSE
         limits = self.outside_listener.limits
-        limits.line_bytes = document.limits.header_bytes
-        limits.body_bytes = document.limits.body_bytes
-        limits.idle_seconds = document.limits.idle_timeout
-        limits.head_seconds = document.limits.header_timeout
+        limits.max_line_bytes = document.limits.header_bytes
+        limits.max_body_bytes = document.limits.body_bytes
+        limits.idle_timeout = document.limits.idle_timeout
+        limits.read_timeout = document.limits.header_timeout
         logs.say(
             logs.Part.NODE,
             "routes in force",
@@ -195,9 +197,9 @@
         linger = times.accept_until - self.told_at
         try:
             async with asyncio.timeout_at(times.abort_at):
-                await asyncio.sleep(max(linger - TOLD_BEFORE, 0))
+                await asyncio.sleep(max(linger - LEAVE_NOTICE_SECONDS, 0))
                 self.control.leaving = True
-                await asyncio.sleep(min(linger, TOLD_BEFORE))
+                await asyncio.sleep(min(linger, LEAVE_NOTICE_SECONDS))
                 self.executor.leaving = True
                 while self.busy():
                     await asyncio.sleep(basenode.IDLE_POLL)
@@ -228,7 +230,7 @@
         await self.close_connections()
 
 
-def first(addresses: tuple[options.Address, ...]) -> options.Address:
+def only_address(addresses: tuple[options.Address, ...]) -> options.Address:
     """Returns the one address that a setting must hold.
 
     Raises:
--- a/tests/platformfakes.py
+++ b/tests/platformfakes.py
@@ -16,10 +16,10 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PEER, OUTSIDE, READY, BEATS, OPERATOR, BACKEND = range(7620, 7626)
-ANSWER_SECONDS = 20.0
+WAIT_SECONDS = 20.0
 """Longest wait for something that a busy machine is slow to do."""
 
-CONTROL = """[host]
+CONTROL_SETTINGS = """[host]
 name = c{number}
 data_centre = z{number}
 [listen]
@@ -34,7 +34,7 @@
 [log]
 file = {folder}/c{number}.log
 """
-NODE = """[host]
+NODE_SETTINGS = """[host]
 name = n{number}
 data_centre = z{number}
 [listen]
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass
-class Answer:
+class Response:
     """One HTTP answer."""
 
     status: int
@@ -70,25 +70,25 @@
     body: bytes
 
 
-async def ask(ip, port, data):
+async def send_request(ip, port, data):
     """Returns the answer to a request; status 0 says why none came."""
     try:
         async with asyncio.timeout(3):
             reader, writer = await asyncio.open_connection(ip, port)
             writer.write(data)
-            answer = await read_answer(reader)
+            answer = await read_response(reader)
             writer.close()
             return answer
     except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
-        return Answer(0, repr(error), b"")
+        return Response(0, repr(error), b"")
 
 
-async def read_answer(reader):
+async def read_response(reader):
     """Returns the next answer of a connection."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
     length = int(head.partition("content-length: ")[2].split()[0])
     status = int(head.split()[1])
-    return Answer(status, head, await reader.readexactly(length))
+    return Response(status, head, await reader.readexactly(length))
 
 
 def request_bytes(service, name, milliseconds):
@@ -101,7 +101,7 @@
     return head.encode()
 
 
-async def rpc(ip, port, call, body, subject="", base=None):
+async def call_rpc(ip, port, call, body, subject="", base=None):
     """Returns the answer to a call by name."""
     data = json.dumps(body).encode()
     extra = f"X-Mangobay-Base-Version: {base}\r\n" if base else ""
@@ -109,7 +109,7 @@
         f"POST /-/rpc?call={call}&of={subject} HTTP/1.1\r\nHost: x\r\n"
         f"{extra}Content-Length: {len(data)}\r\n\r\n"
     )
-    return await ask(ip, port, head.encode() + data)
+    return await send_request(ip, port, head.encode() + data)
 
 
 def configuration(version, services):
@@ -149,26 +149,26 @@
 class BackendServer:
     """Answers every request after a while; counts the runs of each id."""
 
-    def __init__(self, ip, service, seconds=0.02):
+    def __init__(self, ip, service, delay_seconds=0.02):
         self.ip = ip
         self.service = service
-        self.seconds = seconds
-        self.runs = {}
+        self.delay_seconds = delay_seconds
+        self.run_counts = {}
         self.deadlines_ms = {}
         self.sequence = 0
         self.state = "ready"
-        self.beating = None
+        self.heartbeat_task = None
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, self.ip, BACKEND)
-        self.beating = asyncio.create_task(self.beat())
+        self.heartbeat_task = asyncio.create_task(self.send_heartbeats())
 
-    async def beat(self):
+    async def send_heartbeats(self):
         while True:
-            await self.beat_once()
+            await self.send_heartbeat()
             await asyncio.sleep(0.5)
 
-    async def beat_once(self):
+    async def send_heartbeat(self):
         self.sequence += 1
         body = {
             "born": 1,
@@ -176,17 +176,17 @@
             "status": {"state": self.state, "sequence": self.sequence},
         }
         call = "instances.heartbeat"
-        return await rpc(self.ip, BEATS, call, body, f"i-{self.ip}")
+        return await call_rpc(self.ip, BEATS, call, body, f"i-{self.ip}")
 
     async def serve(self, reader, writer):
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
                 name = head.partition("attempt-id: ")[2].split()[0]
-                self.runs[name] = self.runs.get(name, 0) + 1
+                self.run_counts[name] = self.run_counts.get(name, 0) + 1
                 left = head.partition("deadline-ms: ")[2].split()[0]
                 self.deadlines_ms[name] = int(left)
-                await asyncio.sleep(self.seconds)
+                await asyncio.sleep(self.delay_seconds)
                 writer.write(
                     b"HTTP/1.1 200 OK\r\nX-Mangobay-Attempt-Id: "
                     + name.encode()
@@ -200,7 +200,7 @@
             return
 
     async def close(self):
-        self.beating.cancel()
+        self.heartbeat_task.cancel()
         self.server.close()
 
 
@@ -215,13 +215,13 @@
         """Sends a request without waiting for what comes before it."""
         self.writer.write(request_bytes(service, name, milliseconds))
 
-    async def answer(self):
+    async def read_response(self):
         """Returns the next answer; status 0 says why none came."""
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
-                return await read_answer(self.reader)
+            async with asyncio.timeout(WAIT_SECONDS):
+                return await read_response(self.reader)
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
-            return Answer(0, repr(error), b"")
+            return Response(0, repr(error), b"")
 
 
 class Fleet:
@@ -265,10 +265,10 @@
             env={**os.environ, "MANGOBAY_NODE_FILE": str(path)},
         )
 
-    def control(self, number, join=False):
+    def start_control(self, number, join=False):
         self.start(
             f"c{number}",
-            CONTROL,
+            CONTROL_SETTINGS,
             "control",
             number=number,
             ip=self.ip(number),
@@ -276,10 +276,10 @@
             join="yes" if join else "no",
         )
 
-    async def node(self, number, service, grace="6s", linger="1s"):
+    async def start_node(self, number, service, grace="6s", linger="1s"):
         self.start(
             f"n{number}",
-            NODE,
+            NODE_SETTINGS,
             "node",
             number=number,
             ip=self.ip(number),
@@ -292,15 +292,15 @@
         await backend.start()
         return backend
 
-    def again(self, name, program):
+    def restart(self, name, program):
         """Starts a process again with the settings it had."""
         self.start(name, "", program)
 
-    async def stop(self, name, number=signal.SIGTERM):
+    async def stop(self, name, signal_number=signal.SIGTERM):
         """Ends a process; returns its exit code."""
         process = self.processes[name]
-        process.send_signal(number)
-        return await asyncio.to_thread(process.wait, ANSWER_SECONDS)
+        process.send_signal(signal_number)
+        return await asyncio.to_thread(process.wait, WAIT_SECONDS)
 
     async def __aenter__(self):
         return self
@@ -313,9 +313,9 @@
                 process.kill()
             process.wait()
 
-    async def replace(self, number, version, services, base):
+    async def replace_config(self, number, version, services, base):
         """Sends a configuration to a control host."""
-        return await rpc(
+        return await call_rpc(
             self.ip(number),
             OPERATOR,
             "config.replace",
@@ -323,14 +323,14 @@
             base=base,
         )
 
-    async def describe(self, number):
+    async def describe_config(self, number):
         """Reads the configuration back at a control host."""
-        return await rpc(self.ip(number), OPERATOR, "config.describe", {})
+        return await call_rpc(self.ip(number), OPERATOR, "config.describe", {})
 
     async def request(self, number, service, name, milliseconds=2000):
         """Sends a request to a node."""
         data = request_bytes(service, name, milliseconds)
-        return await ask(self.ip(number), OUTSIDE, data)
+        return await send_request(self.ip(number), OUTSIDE, data)
 
     async def connect(self, number):
         """Returns a caller's connection to a node, to be kept open."""
@@ -338,13 +338,13 @@
 
     async def ready(self, number):
         """Returns whether a node says that it is ready."""
-        answer = await ask(
+        answer = await send_request(
             self.ip(number), READY, b"GET /-/readyz HTTP/1.1\r\nHost: x\r\n\r\n"
         )
         return answer.status == 200
 
 
-async def until(check, seconds=ANSWER_SECONDS):
+async def wait_until(check, seconds=WAIT_SECONDS):
     """Returns the first true result of an asynchronous check."""
     async with asyncio.timeout(seconds):
         while True:
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -144,21 +144,21 @@
         [
             (
                 b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-                errors.IncompleteAnswerError,
+                errors.IncompleteResponseError,
             ),
             (
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
-                errors.IncompleteAnswerError,
+                errors.IncompleteResponseError,
             ),
-            (b"HTTP/1.1 200 OK\r\n\r\nall?", errors.IncompleteAnswerError),
+            (b"HTTP/1.1 200 OK\r\n\r\nall?", errors.IncompleteResponseError),
             (
                 b"HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + bytes(101),
-                errors.AnswerTooLargeError,
+                errors.ResponseTooLargeError,
             ),
             (
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 b"70\r\n" + bytes(112) + b"\r\n0\r\n\r\n",
-                errors.AnswerTooLargeError,
+                errors.ResponseTooLargeError,
             ),
             (b"rubbish\r\n\r\n", errors.BackendBrokenError),
         ],
--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -152,7 +152,7 @@
                 Reason.CONNECTION_BROKEN,
             ),
             (
-                errors.IncompleteAnswerError(""),
+                errors.IncompleteResponseError(""),
                 True,
                 Outcome.UNKNOWN,
                 Reason.INCOMPLETE_ANSWER,
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -72,7 +72,7 @@
         self.departure = shutdown.ShutdownSchedule()
         self.runs = {}
         self.gateway = gateway.Gateway(
-            words.VOCABULARY,
+            words.HEADER_NAMES,
             ids.ServiceName("front"),
             self.runs.get,
             self.dispatcher,
@@ -100,11 +100,11 @@
         """Returns the status of a call of the backend server."""
         fields = {
             "Host": "below.example",
-            words.VOCABULARY.backend.attempt: attempt,
-            words.VOCABULARY.backend.deadline: "700",
+            words.HEADER_NAMES.backend.attempt_id: attempt,
+            words.HEADER_NAMES.backend.deadline: "700",
         }
         request = leanhttp.Request(
-            method="GET", target="/x", fields=fields, raw=[], body=b""
+            method="GET", target="/x", headers=fields, raw_headers=[], body=b""
         )
         answer = await self.gateway.handle(request, CLIENT)
         return answer.status
--- a/tests/test_httpparse.py
+++ b/tests/test_httpparse.py
@@ -82,7 +82,7 @@
     def test_is_refused_and_never_whole(self, data):
         messages, parser = parse(data)
         assert parser.error.status == 400
-        assert not any(message.whole for message in messages)
+        assert not any(message.complete for message in messages)
         assert parser.feed(request()) == []
 
     def test_trailers_are_not_fields(self):
@@ -91,15 +91,15 @@
             request(CHUNKED, b"3\r\nabc\r\n0\r\nX-Caller: y\r\n\r\n")
         )
         assert parser.error is None
-        assert message.whole
-        assert "X-Caller" not in message.fields
-        assert len(message.raw) == 2
+        assert message.complete
+        assert "X-Caller" not in message.headers
+        assert len(message.raw_headers) == 2
 
     def test_what_follows_an_upgrade_is_not_read(self):
         upgrade = HOST + b"Upgrade: h2c\r\nConnection: Upgrade\r\n"
         (message,), parser = parse(request(upgrade), request())
-        assert message.whole
-        assert message.close
+        assert message.complete
+        assert message.should_close
         assert parser.error is not None
 
 
@@ -115,12 +115,12 @@
         assert parser.error.status == 431
 
     def test_many_fields(self):
-        fields = b"X: y\r\n" * httpparse.MOST_HEADERS
+        fields = b"X: y\r\n" * httpparse.MAX_HEADERS
         _, parser = parse(request(HOST + fields))
         assert parser.error.status == 431
 
     def test_many_trailers(self):
-        trailers = b"X: y\r\n" * httpparse.MOST_HEADERS
+        trailers = b"X: y\r\n" * httpparse.MAX_HEADERS
         _, parser = parse(request(CHUNKED, b"0\r\n" + trailers))
         assert parser.error.status == 431
 
@@ -161,10 +161,10 @@
         ]
         messages, parser = parse(*parts)
         assert parser.error is None
-        assert all(message.whole for message in messages)
+        assert all(message.complete for message in messages)
         assert [m.body for m in messages] == [b"hello", b"abcde", b""]
-        assert [m.close for m in messages] == [False, False, True]
-        assert messages[2].raw[1] == (b"X", b"a b")
+        assert [m.should_close for m in messages] == [False, False, True]
+        assert messages[2].raw_headers[1] == (b"X", b"a b")
 
 
 class TestAnswers:
@@ -189,12 +189,12 @@
     def test_where_an_answer_ends(self, head, until_eof):
         message, _ = self.answer(b"HTTP/1.1 " + head + b"\r\n")
         assert message.until_eof == until_eof
-        assert message.close == until_eof
+        assert message.should_close == until_eof
 
     def test_bytes_behind_an_answer_leave_it_whole(self):
         message, parser = self.answer(
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokmore"
         )
-        assert message.whole
+        assert message.complete
         assert message.body == b"ok"
         assert parser.error is not None
--- a/tests/test_leanclient.py
+++ b/tests/test_leanclient.py
@@ -9,8 +9,8 @@
 from mangobay import backend, errors, leanclient, options
 from mangobay.generated import messages
 
-NAMES = leanclient.Names(
-    attempt="Attempt",
+NAMES = leanclient.BackendHeaderNames(
+    attempt_id="Attempt",
     deadline="Left-Ms",
     signature="Signature",
     not_run="Not-Run",
@@ -131,7 +131,7 @@
         head = b"HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSignature: s\r\n\r\n"
         script = [head, b"half", BackendServer.RESET]
         async with BackendServer(script) as server:
-            with pytest.raises(errors.IncompleteAnswerError):
+            with pytest.raises(errors.IncompleteResponseError):
                 await server.send()
 
     @pytest.mark.parametrize(
@@ -210,7 +210,7 @@
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
-            assert not server.client.idle[server.address]
+            assert not server.client.idle_connections[server.address]
 
     async def test_time_that_runs_out(self):
         async with BackendServer([]) as server:
--- a/tests/test_leanserver.py
+++ b/tests/test_leanserver.py
@@ -40,7 +40,7 @@
 @pytest.fixture
 async def listener(answers):
     made = leanserver.Listener(
-        LOOPBACK, answers.handle, leanserver.Limits(body_bytes=100)
+        LOOPBACK, answers.handle, leanserver.Limits(max_body_bytes=100)
     )
     await made.start()
     yield made
@@ -135,7 +135,7 @@
         self, listener, answers
     ):
         """A caller loses the answer to a request that runs, for a later one."""
-        listener.limits.head_seconds = 0.1
+        listener.limits.read_timeout = 0.1
         answers.holds["/1"] = asyncio.Event()
         reader, writer = await connect(listener)
         writer.write(get("/1"))
@@ -150,7 +150,7 @@
 
     async def test_a_slow_last_request_is_given_up(self, listener):
         """A sender of one byte now and then holds a connection for ever."""
-        listener.limits.head_seconds = 0.1
+        listener.limits.read_timeout = 0.1
         reader, writer = await connect(listener)
         head = b"POST /1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
         writer.write(head + b"Content-Length: 9\r\n\r\n1")
@@ -205,12 +205,12 @@
         self, listener, monkeypatch
     ):
         """Connections that were ended use up those that a listener takes."""
-        monkeypatch.setattr(leanserver, "DISCARD_SECONDS", 0.05)
+        monkeypatch.setattr(leanserver, "HALF_CLOSE_SECONDS", 0.05)
         reader, writer = await connect(listener)
         writer.write(get("/1", "Connection: close\r\n"))
         await answer_of(reader)
         await asyncio.sleep(0.2)
-        assert not listener.clients
+        assert not listener.connections
         writer.close()
 
 
@@ -318,7 +318,7 @@
         assert answers.cancelled == ["/1"]
 
     async def test_an_idle_connection_is_closed(self, listener):
-        listener.limits.idle_seconds = 0.01
+        listener.limits.idle_timeout = 0.01
         reader, _ = await connect(listener)
         async with asyncio.timeout(5):
             assert await reader.read() == b""
@@ -326,7 +326,7 @@
     async def test_a_request_that_never_ends_is_given_up(
         self, listener, answers
     ):
-        listener.limits.head_seconds = 0.01
+        listener.limits.read_timeout = 0.01
         reader, writer = await connect(listener)
         writer.write(b"GET /slow HTT")
         async with asyncio.timeout(5):
@@ -334,7 +334,7 @@
         assert answers.asked == []
 
     async def test_a_long_answer_is_no_slow_request(self, listener, answers):
-        listener.limits.head_seconds = 0.01
+        listener.limits.read_timeout = 0.01
         answers.holds["/1"] = asyncio.Event()
         reader, writer = await connect(listener)
         writer.write(get("/1"))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -155,8 +155,8 @@
     return leanhttp.Request(
         method="POST",
         target=f"{words.RPC_PATH}?call={call}&of={subject}",
-        fields={},
-        raw=[],
+        headers={},
+        raw_headers=[],
         body=data,
     )
 
--- a/tests/test_platform_processes.py
+++ b/tests/test_platform_processes.py
@@ -14,7 +14,7 @@
     """
 
     async def check():
-        answer = await fleet.replace(number, version, services, base)
+        answer = await fleet.replace_config(number, version, services, base)
         assert answer.status in (status, 503, 0), answer
         return answer.status == status
 
@@ -63,29 +63,33 @@
         names = iter(range(10_000))
         async with platformfakes.Fleet(tmp_path) as fleet:
             for number in range(1, 6):
-                fleet.control(number, join=number > 3)
-            first = await fleet.node(11, "a")
-            second = await fleet.node(12, "b")
-            await platformfakes.until(accepted(fleet, 4, 3, ["a", "b"], "0"))
-            await platformfakes.until(accepted(fleet, 5, 3, ["a", "b"], "0"))
+                fleet.start_control(number, join=number > 3)
+            first = await fleet.start_node(11, "a")
+            second = await fleet.start_node(12, "b")
+            await platformfakes.wait_until(
+                accepted(fleet, 4, 3, ["a", "b"], "0")
+            )
+            await platformfakes.wait_until(
+                accepted(fleet, 5, 3, ["a", "b"], "0")
+            )
             for number, services, base in ((1, ["a"], "0"), (2, [], "r9")):
                 check = answered(fleet, number, 4, services, base, 412)
-                await platformfakes.until(check)
+                await platformfakes.wait_until(check)
 
             async def ready():
                 return await fleet.ready(11) and await fleet.ready(12)
 
-            await platformfakes.until(ready)
-            await platformfakes.until(served(fleet, 11, "b", names))
-            await platformfakes.until(served(fleet, 12, "a", names))
+            await platformfakes.wait_until(ready)
+            await platformfakes.wait_until(served(fleet, 11, "b", names))
+            await platformfakes.wait_until(served(fleet, 12, "a", names))
             gone = await fleet.request(11, "c", "none")
             assert gone.status == 404, gone
 
             async def five():
                 return max(voters_of(fleet, n) for n in (1, 2, 3)) == 5
 
-            await platformfakes.until(five)
-            second.seconds = 0.5
+            await platformfakes.wait_until(five)
+            second.delay_seconds = 0.5
             flying = [
                 asyncio.create_task(fleet.request(11, "b", f"fly-{number}"))
                 for number in range(10)
@@ -94,7 +98,9 @@
             assert await fleet.stop("n11") == 0
             answers = await asyncio.gather(*flying)
             assert [each.status for each in answers] == [200] * 10
-            runs = list(first.runs.values()) + list(second.runs.values())
+            runs = list(first.run_counts.values()) + list(
+                second.run_counts.values()
+            )
             assert set(runs) == {1}
 
     async def test_a_leaving_node_serves_the_others_for_a_while(self, tmp_path):
@@ -106,11 +112,13 @@
         """
         names = iter(range(10_000))
         async with platformfakes.Fleet(tmp_path, seeds=1, voters=1) as fleet:
-            fleet.control(1)
-            await fleet.node(11, "a")
-            await fleet.node(12, "b", linger="3s")
-            await platformfakes.until(accepted(fleet, 1, 1, ["a", "b"], "0"))
-            await platformfakes.until(served(fleet, 11, "b", names))
+            fleet.start_control(1)
+            await fleet.start_node(11, "a")
+            await fleet.start_node(12, "b", linger="3s")
+            await platformfakes.wait_until(
+                accepted(fleet, 1, 1, ["a", "b"], "0")
+            )
+            await platformfakes.wait_until(served(fleet, 11, "b", names))
             stopping = asyncio.create_task(fleet.stop("n12"))
             await asyncio.sleep(0.2)
             loop = asyncio.get_running_loop()
@@ -132,12 +140,14 @@
         """
         names = iter(range(10_000))
         async with platformfakes.Fleet(tmp_path, seeds=1, voters=1) as fleet:
-            fleet.control(1)
-            await fleet.node(11, "a")
-            second = await fleet.node(12, "b", grace="2s", linger="100ms")
-            await platformfakes.until(accepted(fleet, 1, 1, ["a", "b"], "0"))
-            await platformfakes.until(served(fleet, 11, "b", names))
-            second.seconds = 10
+            fleet.start_control(1)
+            await fleet.start_node(11, "a")
+            second = await fleet.start_node(12, "b", grace="2s", linger="100ms")
+            await platformfakes.wait_until(
+                accepted(fleet, 1, 1, ["a", "b"], "0")
+            )
+            await platformfakes.wait_until(served(fleet, 11, "b", names))
+            second.delay_seconds = 10
             flying = asyncio.create_task(fleet.request(11, "b", "long", 8000))
             await asyncio.sleep(0.2)
             loop = asyncio.get_running_loop()
@@ -153,10 +163,12 @@
         which is longer than its grace: those that it took last are cut.
         """
         async with platformfakes.Fleet(tmp_path, seeds=1, voters=1) as fleet:
-            fleet.control(1)
-            await fleet.node(11, "a", grace="3s", linger="4s")
-            await platformfakes.until(accepted(fleet, 1, 1, ["a"], "0"))
-            await platformfakes.until(served(fleet, 11, "a", iter(range(999))))
+            fleet.start_control(1)
+            await fleet.start_node(11, "a", grace="3s", linger="4s")
+            await platformfakes.wait_until(accepted(fleet, 1, 1, ["a"], "0"))
+            await platformfakes.wait_until(
+                served(fleet, 11, "a", iter(range(999)))
+            )
             assert await fleet.stop("n11") == 0
             log = (tmp_path / "n11.log").read_text()
             assert "node: left" in log
@@ -171,26 +183,28 @@
         """
         async with platformfakes.Fleet(tmp_path) as fleet:
             for number in range(1, 6):
-                fleet.control(number, join=number > 3)
+                fleet.start_control(number, join=number > 3)
 
             async def five():
                 return max(voters_of(fleet, n) for n in (1, 2, 3)) == 5
 
-            await platformfakes.until(accepted(fleet, 1, 1, ["a"], "0"))
-            await platformfakes.until(five)
+            await platformfakes.wait_until(accepted(fleet, 1, 1, ["a"], "0"))
+            await platformfakes.wait_until(five)
             await fleet.stop("c5", platformfakes.signal.SIGKILL)
-            fleet.control(6, join=True)
+            fleet.start_control(6, join=True)
 
             async def joined():
-                answer = await fleet.describe(6)
+                answer = await fleet.describe_config(6)
                 return answer.status == 200
 
-            await platformfakes.until(joined)
+            await platformfakes.wait_until(joined)
             await asyncio.sleep(2)
             for name in ("c4", "c3"):
                 await fleet.stop(name, platformfakes.signal.SIGKILL)
-            await platformfakes.until(accepted(fleet, 6, 2, ["a", "b"], "r1"))
-            answer = await fleet.describe(6)
+            await platformfakes.wait_until(
+                accepted(fleet, 6, 2, ["a", "b"], "r1")
+            )
+            answer = await fleet.describe_config(6)
             assert json.loads(answer.body)["version"] == "r2"
 
 
@@ -201,11 +215,11 @@
     The node beside `a`, n11, is the one that tests stop.
     """
     async with platformfakes.Fleet(folder, seeds=1, voters=1) as fleet:
-        fleet.control(1)
-        first = await fleet.node(11, "a", grace=grace, linger=linger)
-        second = await fleet.node(12, "b")
-        await platformfakes.until(accepted(fleet, 1, 1, ["a", "b"], "0"))
-        await platformfakes.until(served(fleet, 11, "b", iter(range(999))))
+        fleet.start_control(1)
+        first = await fleet.start_node(11, "a", grace=grace, linger=linger)
+        second = await fleet.start_node(12, "b")
+        await platformfakes.wait_until(accepted(fleet, 1, 1, ["a", "b"], "0"))
+        await platformfakes.wait_until(served(fleet, 11, "b", iter(range(999))))
         yield fleet, first, second
 
 
@@ -223,8 +237,8 @@
         ):
             kept = await fleet.connect(11)
             kept.send("b", "early")
-            assert (await kept.answer()).status == 200
-            second.seconds = 10
+            assert (await kept.read_response()).status == 200
+            second.delay_seconds = 10
             busy = await fleet.connect(11)
             busy.send("b", "flying")
             await asyncio.sleep(0.2)
@@ -234,12 +248,12 @@
             for caller, name in ((kept, "kept"), (fresh, "fresh")):
                 caller.send("b", name)
             for caller in (kept, fresh):
-                answer = await caller.answer()
+                answer = await caller.read_response()
                 assert answer.status == 503, answer
                 assert "retry-after" in answer.head
                 assert "connection: close" in answer.head
             await stopping
-            assert set(second.runs) & {"kept", "fresh"} == set()
+            assert set(second.run_counts) & {"kept", "fresh"} == set()
 
     async def test_a_request_cut_at_the_end_is_answered_as_unknown(
         self, tmp_path
@@ -250,12 +264,12 @@
             _,
             second,
         ):
-            second.seconds = 10
+            second.delay_seconds = 10
             caller = await fleet.connect(11)
             caller.send("b", "long")
             await asyncio.sleep(0.2)
             stopping = asyncio.create_task(fleet.stop("n11"))
-            answer = await caller.answer()
+            answer = await caller.read_response()
             assert answer.status == 502, answer
             await stopping
             log = (tmp_path / "n11.log").read_text()
@@ -270,7 +284,7 @@
             _,
             second,
         ):
-            second.seconds = 0.1
+            second.delay_seconds = 0.1
             answers = {}
             loop = asyncio.get_running_loop()
             ends = loop.time() + 5
@@ -291,7 +305,7 @@
             unanswered = {
                 x for x, answer in answers.items() if not answer.status
             }
-            assert unanswered & set(second.runs) == set()
+            assert unanswered & set(second.run_counts) == set()
 
     async def test_a_late_call_of_a_run_here_ends_before_the_node(
         self, tmp_path
@@ -302,17 +316,19 @@
             first,
             second,
         ):
-            await platformfakes.until(served(fleet, 11, "a", iter(range(999))))
-            first.seconds = second.seconds = 10
+            await platformfakes.wait_until(
+                served(fleet, 11, "a", iter(range(999)))
+            )
+            first.delay_seconds = second.delay_seconds = 10
             caller = await fleet.connect(11)
             caller.send("a", "run")
             await asyncio.sleep(0.2)
-            assert first.runs.get("run") == 1
+            assert first.run_counts.get("run") == 1
             stopping = asyncio.create_task(fleet.stop("n11"))
             await asyncio.sleep(2.5)
             backend = await fleet.connect(11)
             backend.send("b", "run.call", 5000)
-            answer = await backend.answer()
+            answer = await backend.read_response()
             await stopping
             assert answer.status == 504, answer
             assert second.deadlines_ms["run.call"] < 900
@@ -322,7 +338,7 @@
     ):
         """Callers never send again what was refused as too large."""
         async with platformfakes.Fleet(tmp_path, seeds=1, voters=1) as fleet:
-            await fleet.node(11, "a")
+            await fleet.start_node(11, "a")
             head = (
                 b"POST /x HTTP/1.1\r\nHost: a.example\r\n"
                 b"X-Mangobay-Attempt-Id: large\r\n"
@@ -331,20 +347,22 @@
 
             async def told():
                 ip = fleet.ip(11)
-                return await platformfakes.ask(ip, platformfakes.OUTSIDE, head)
+                return await platformfakes.send_request(
+                    ip, platformfakes.OUTSIDE, head
+                )
 
             async def answered_at_all():
                 answer = await told()
                 return answer if answer.status else None
 
-            answer = await platformfakes.until(answered_at_all)
+            answer = await platformfakes.wait_until(answered_at_all)
             assert answer.status == 503, answer
             assert "retry-after" in answer.head
 
     async def test_sighup_at_the_start_does_not_end_a_node(self, tmp_path):
         """A signal that says nothing but "settings changed" kills the node."""
         async with platformfakes.Fleet(tmp_path, seeds=1, voters=1) as fleet:
-            await fleet.node(11, "a")
+            await fleet.start_node(11, "a")
             process = fleet.processes["n11"]
             await asyncio.sleep(0.15)
             process.send_signal(platformfakes.signal.SIGHUP)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -48,7 +48,7 @@
 
     async def ask(self, data):
         """Returns the answer to a call on a new connection."""
-        return await platformfakes.ask(*self.address(), data)
+        return await platformfakes.send_request(*self.address(), data)
 
     async def refuses(self, data):
         """Returns once new calls are refused."""
@@ -56,7 +56,7 @@
         async def check():
             return (await self.ask(data)).status == 503
 
-        await platformfakes.until(check)
+        await platformfakes.wait_until(check)
 
     async def ended(self):
         """Returns once it has stopped, within the grace."""
@@ -138,7 +138,7 @@
             stopping.stop.set()
             await stopping.refuses(ROUTES_CALL)
             api.done.set()
-            answer = await caller.answer()
+            answer = await caller.read_response()
             assert answer.status == 200, answer
             assert "connection: close" in answer.head
             assert api.led
@@ -149,17 +149,17 @@
     ):
         async with self.stopping(tmp_path) as (stopping, caller, api):
             kept = await stopping.connect(ROUTES_CALL)
-            assert (await kept.answer()).status == 200
+            assert (await kept.read_response()).status == 200
             stopping.stop.set()
             await stopping.refuses(ROUTES_CALL)
             kept.writer.write(ROUTES_CALL)
-            refused = await kept.answer()
+            refused = await kept.read_response()
             assert refused.status == 503
             assert "connection: close" in refused.head
             caller.writer.write(ROUTES_CALL)
             api.done.set()
-            assert (await caller.answer()).status == 200
-            assert (await caller.answer()).status in (503, 0)
+            assert (await caller.read_response()).status == 200
+            assert (await caller.read_response()).status in (503, 0)
 
     async def test_a_call_on_an_idle_connection_is_refused_not_cut(
         self, tmp_path, monkeypatch
@@ -167,11 +167,11 @@
         monkeypatch.setattr(control, "REFUSE_SECONDS", 3.0, raising=False)
         async with self.stopping(tmp_path) as (stopping, caller, api):
             api.done.set()
-            assert (await caller.answer()).status == 200
+            assert (await caller.read_response()).status == 200
             stopping.stop.set()
             await asyncio.sleep(0.1)
             caller.writer.write(ROUTES_CALL)
-            answer = await caller.answer()
+            answer = await caller.read_response()
             assert answer.status == 503, answer
             await stopping.ended()
 
@@ -180,7 +180,7 @@
     ):
         async with self.stopping(tmp_path) as (stopping, caller, _):
             stopping.stop.set()
-            answer = await caller.answer()
+            answer = await caller.read_response()
             assert answer.status == 503, answer
             await stopping.ended()
 
@@ -190,7 +190,7 @@
         async with self.stopping(tmp_path) as (stopping, caller, _):
             stopping.host.log.failure = "the disk is gone"
             stopping.host.group.fail()
-            answer = await caller.answer()
+            answer = await caller.read_response()
             assert answer.status == 503, answer
             with pytest.raises(errors.StorageError):
                 await stopping.ended()
@@ -213,7 +213,7 @@
 
         async with running(host, address) as stopping:
             kept = await stopping.connect(STATUS_CALL)
-            assert (await kept.answer()).status == 200
+            assert (await kept.read_response()).status == 200
             caller = await stopping.connect(SHEET_CALL)
             await test_control.until(are_read)
             yield stopping, caller, kept
@@ -223,11 +223,11 @@
             stopping.stop.set()
             await stopping.refuses(STATUS_CALL)
             kept.writer.write(STATUS_CALL)
-            refused = await kept.answer()
+            refused = await kept.read_response()
             assert refused.status == 503
             assert "connection: close" in refused.head
             caller.writer.write(SHEET)
-            answer = await caller.answer()
+            answer = await caller.read_response()
             assert answer.status == 200, answer
             await stopping.ended()
             assert stopping.host.machine.history[0].version == "1"
@@ -235,7 +235,7 @@
     async def test_a_sheet_that_comes_too_slowly_is_told_so(self, tmp_path):
         async with self.stopping(tmp_path) as (stopping, caller, _):
             stopping.stop.set()
-            answer = await caller.answer()
+            answer = await caller.read_response()
             assert answer.status == 503, answer
             await stopping.ended()
 
