--- a/mangobay/dispatch.py
+++ b/mangobay/dispatch.py
@@ -146,23 +146,23 @@
 
     async def try_routed_hosts(self, request: calls.Request) -> messages.Reply:
         """Tries hosts that the router picks."""
-        made = RetryState(started_at=asyncio.get_running_loop().time())
+        state = RetryState(started_at=asyncio.get_running_loop().time())
         reply = None
         while True:
-            member = self.pick_or_refuse(request, made.excluded)
+            member = self.pick_or_refuse(request, state.excluded)
             if isinstance(member, messages.Reply):
-                if made.retry_reserved:
+                if state.retry_reserved:
                     self.refund_retry(request)
-                return made.final_reply(reply or member)
-            made.retry_reserved = False
-            made.excluded.add(member.host)
+                return state.final_reply(reply or member)
+            state.retry_reserved = False
+            state.excluded.add(member.host)
             reply = await self.attempt(request, member)
-            made.record(reply)
-            wait = self.delay_before_next(request, reply, made)
-            if wait is None:
-                return made.final_reply(reply)
-            if wait and not await self.in_flight.pause(wait):
-                return made.final_reply(reply)
+            state.record(reply)
+            delay = self.delay_before_next(request, reply, state)
+            if delay is None:
+                return state.final_reply(reply)
+            if delay and not await self.in_flight.pause(delay):
+                return state.final_reply(reply)
 
     def pick_or_refuse(
         self, request: calls.Request, excluded: set[ids.HostId]
@@ -197,51 +197,57 @@
         that enter here: up to a third of a service's callers are beside its
         backend servers, and the router never got to choose for them.
         """
-        here = self.dependencies.executor
-        place = here.local_services.find(operation.service)
+        executor = self.dependencies.executor
+        local_service = executor.local_services.find(operation.service)
         host = self.dependencies.process.host
-        if place is None or here.leaving or host in excluded:
+        if local_service is None or executor.leaving or host in excluded:
             return False
-        if not place.announcement.healthy or place.admission.threshold:
+        if (
+            not local_service.announcement.healthy
+            or local_service.admission.threshold
+        ):
             return False
-        if place.admission.running >= place.admission.limit:
+        if local_service.admission.running >= local_service.admission.limit:
             return False
-        known = self.dependencies.router.services.get(operation.service)
-        found = known.hosts.get(host) if known else None
-        if found is None:
+        service_hosts = self.dependencies.router.services.get(operation.service)
+        known_host = service_hosts.hosts.get(host) if service_hosts else None
+        if known_host is None:
             return True
         now = asyncio.get_running_loop().time()
         if (
-            found.failure_rate_at(operation.name, now)
+            known_host.failure_rate_at(operation.name, now)
             >= routing.FAILURE_RATE_MARGIN
         ):
             return False
-        return known.is_usable(found, excluded, now)
+        return service_hosts.is_usable(known_host, excluded, now)
 
     def delay_before_next(
-        self, request: calls.Request, reply: messages.Reply, made: RetryState
+        self, request: calls.Request, reply: messages.Reply, state: RetryState
     ) -> float | None:
         """Returns the seconds before another attempt, None for none."""
         now = asyncio.get_running_loop().time()
-        failed = reply.outcome is Outcome.ANSWERED
-        if failed and not retrypolicy.is_fast_failure(
-            request, reply, now - made.started_at
+        has_response = reply.outcome is Outcome.ANSWERED
+        if has_response and not retrypolicy.is_fast_failure(
+            request, reply, now - state.started_at
         ):
             return None
-        left = request.deadline - now
-        if left <= 0 or self.in_flight.given_up:
+        seconds_left = request.deadline - now
+        if seconds_left <= 0 or self.in_flight.given_up:
             return None
-        if retrypolicy.is_redirect(reply) and made.redirects < MAX_REDIRECTS:
-            made.redirects += 1
+        if retrypolicy.is_redirect(reply) and state.redirects < MAX_REDIRECTS:
+            state.redirects += 1
             return 0.0
-        if not failed and not retrypolicy.may_retry(request, reply):
+        if not has_response and not retrypolicy.may_retry(request, reply):
             return None
-        if made.retries >= self.retries.hop_tries:
+        if state.retries >= self.retries.hop_tries:
             return None
-        wait = retrybudget.backoff(
-            self.retries.backoff, made.retries + 1, left, self.dependencies.rng
+        delay = retrybudget.backoff(
+            self.retries.backoff,
+            state.retries + 1,
+            seconds_left,
+            self.dependencies.rng,
         )
-        if wait is None:
+        if delay is None:
             return None
         service = request.operation.service
         if request.allowance.remaining < 1:
@@ -251,12 +257,12 @@
         ):
             return None
         request.allowance.try_withdraw()
-        made.retries += 1
-        made.retry_reserved = True
+        state.retries += 1
+        state.retry_reserved = True
         request.repeat = request.repeat or retrypolicy.may_have_reached_backend(
             reply
         )
-        return wait
+        return delay
 
     def refund_retry(self, request: calls.Request) -> None:
         """Takes back the try of an attempt for which there was no host."""
@@ -280,13 +286,13 @@
                 reply = await self.attempt(request, owner)
             if not retrypolicy.is_redirect(reply) or redirect == MAX_REDIRECTS:
                 return reply
-            left = request.deadline - asyncio.get_running_loop().time()
-            wait = (
+            seconds_left = request.deadline - asyncio.get_running_loop().time()
+            delay = (
                 OWNER_LOOKUP_DELAY
                 * 3**redirect
                 * self.dependencies.rng.uniform(0.5, 1)
             )
-            if wait >= left or not await self.in_flight.pause(wait):
+            if delay >= seconds_left or not await self.in_flight.pause(delay):
                 return reply
         return reply
 
@@ -295,23 +301,23 @@
     ) -> messages.Reply:
         """Returns the reply of one host, or what its silence means."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        left = request.deadline - began
-        if left <= 0:
+        started_at = loop.time()
+        seconds_left = request.deadline - started_at
+        if seconds_left <= 0:
             return calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
         service = request.operation.service
         lent = request.allowance.lend()
-        call = self.make_call(request, left, lent)
+        call = self.make_call(request, seconds_left, lent)
         router = self.dependencies.router
         router.record_call_start(service, member.host)
         reply = execution.PENDING_REPLY
         try:
-            reply = await self.deliver(call, member, left)
+            reply = await self.deliver(call, member, seconds_left)
         finally:
             router.record_call_end(
                 service,
                 member.host,
-                make_observation(request, reply, loop.time() - began),
+                make_observation(request, reply, loop.time() - started_at),
             )
             self.record_remote_bytes(request, member, reply)
             if request.trace.sampled:
@@ -320,7 +326,7 @@
                     call=call,
                     member=member,
                     reply=reply,
-                    began=began,
+                    began=started_at,
                 )
                 self.dependencies.tracer.record(attempt)
         request.allowance.reclaim(min(reply.tries_left, lent))
@@ -335,23 +341,23 @@
         """Counts what a call of a run here carried to a far host."""
         if not request.parent_operation:
             return
-        size = reply.crossing
+        remote_bytes = reply.crossing
         if member.data_centre not in (
             "",
             self.dependencies.process.data_centre,
         ):
-            size += (
+            remote_bytes += (
                 remotetraffic.CALL_OVERHEAD_BYTES
                 + len(request.body)
                 + len(reply.body)
             )
-        if size:
+        if remote_bytes:
             self.dependencies.executor.remote_traffic.record_bytes(
-                request.parent_operation, size
+                request.parent_operation, remote_bytes
             )
 
     def make_call(
-        self, request: calls.Request, left: float, lent: int
+        self, request: calls.Request, seconds_left: float, lent: int
     ) -> messages.Call:
         """Returns the message of one attempt."""
         operation = request.operation
@@ -367,7 +373,7 @@
             caller=request.caller,
             importance=request.importance,
             depth=request.depth,
-            deadline_ms=max(int(left * 1000), 1),
+            deadline_ms=max(int(seconds_left * 1000), 1),
             tries=lent,
             idempotent=operation.idempotent,
             key=request.key
@@ -384,7 +390,7 @@
         )
 
     async def deliver(
-        self, call: messages.Call, member: messages.Member, left: float
+        self, call: messages.Call, member: messages.Member, seconds_left: float
     ) -> messages.Reply:
         """Hands the call to this host's serving side or to a peer."""
         if member.host == self.dependencies.process.host:
@@ -393,7 +399,7 @@
             reply = await self.dependencies.transport.ask(
                 parse_peer_address(member.peer_address),
                 call,
-                left + REPLY_GRACE,
+                seconds_left + REPLY_GRACE,
             )
         except errors.PeerUnreachableError:
             reply = calls.not_run_reply(Reason.CONNECTION_FAILED)
--- a/mangobay/ejection.py
+++ b/mangobay/ejection.py
@@ -81,8 +81,14 @@
         if record.state == HostState.PROBING:
             self.eject(record, now)
             return True
-        enough = 0 < self.settings.eject_after <= record.consecutive_failures
-        if record.state == HostState.IN_USE and enough and self.may_eject():
+        limit_reached = (
+            0 < self.settings.eject_after <= record.consecutive_failures
+        )
+        if (
+            record.state == HostState.IN_USE
+            and limit_reached
+            and self.may_eject()
+        ):
             self.eject(record, now)
             return True
         return False
@@ -105,10 +111,10 @@
 
     def may_eject(self) -> bool:
         """Returns whether one more host may go out of use."""
-        out = sum(
+        out_of_use = sum(
             record.state != HostState.IN_USE for record in self.records.values()
         )
-        return out + 1 <= self.settings.eject_share * self.host_count
+        return out_of_use + 1 <= self.settings.eject_share * self.host_count
 
     def eject(self, record: HostRecord, now: float) -> None:
         """Takes a host out of use, longer each time in a row."""
--- a/mangobay/hosts.py
+++ b/mangobay/hosts.py
@@ -104,10 +104,10 @@
         faster than it is renewed: at two calls a second a host where half of
         them fail would look like one where an eighth does.
         """
-        share = self.rate_at(now)
-        faded = 1.0 - 0.5 ** ((now - self.updated_at) / FAILURE_HALF_LIFE)
-        part = min(max(MIN_FAILURE_WEIGHT, faded), MAX_FAILURE_WEIGHT)
-        self.rate = share + (loss - share) * part
+        rate = self.rate_at(now)
+        decay = 1.0 - 0.5 ** ((now - self.updated_at) / FAILURE_HALF_LIFE)
+        weight = min(max(MIN_FAILURE_WEIGHT, decay), MAX_FAILURE_WEIGHT)
+        self.rate = rate + (loss - rate) * weight
         self.updated_at = now
 
     def rate_at(self, now: float) -> float:
@@ -154,28 +154,28 @@
         self, operation: ids.OperationName, now: float
     ) -> float:
         """Returns the bytes that the calls of a run here let cross."""
-        found = self.remote_bytes_per_run.get(operation)
-        return found.value_at(now) if found else 0.0
+        per_run = self.remote_bytes_per_run.get(operation)
+        return per_run.value_at(now) if per_run else 0.0
 
     def failure_rate_at(
         self, operation: ids.OperationName, now: float
     ) -> float:
         """Returns the share of an operation's calls that fail here."""
-        found = self.failure_rates.get(operation)
-        return found.rate_at(now) if found else 0.0
+        failure_rate = self.failure_rates.get(operation)
+        return failure_rate.rate_at(now) if failure_rate else 0.0
 
     def update_failure_rate(self, observation: Observation, now: float) -> None:
         """Learns whether calls of an operation fail here."""
         if observation.outcome is messages.Outcome.NOT_RUN:
             return
-        found = self.failure_rates.get(observation.operation)
-        if found is None:
+        failure_rate = self.failure_rates.get(observation.operation)
+        if failure_rate is None:
             if not observation.loss:
                 return
-            found = self.failure_rates[observation.operation] = FailureRate(
-                updated_at=now
+            failure_rate = self.failure_rates[observation.operation] = (
+                FailureRate(updated_at=now)
             )
-        found.update(observation.loss, now)
+        failure_rate.update(observation.loss, now)
 
     def threshold_at(self, now: float, reopen_time: float) -> int:
         """Returns the threshold, fallen since it was told.
@@ -210,8 +210,8 @@
         A host that was full when last heard of, and one that never was, would
         else keep their name for ever: nobody goes there to find out.
         """
-        part = min(1.0, (now - self.last_reply_at) / LOAD_MEMORY)
-        return self.load + (DEFAULT_LOAD - self.load) * part
+        age_share = min(1.0, (now - self.last_reply_at) / LOAD_MEMORY)
+        return self.load + (DEFAULT_LOAD - self.load) * age_share
 
     def score(self, ramp: float) -> float:
         """Returns how busy the host is; the lower one is picked.
@@ -343,11 +343,11 @@
         if observation.outcome == messages.Outcome.UNKNOWN:
             return
         if observation.response_bytes:
-            known = self.response_sizes.get(
+            mean = self.response_sizes.get(
                 observation.operation, observation.response_bytes
             )
-            self.response_sizes[observation.operation] = known + SIZE_WEIGHT * (
-                observation.response_bytes - known
+            self.response_sizes[observation.operation] = mean + SIZE_WEIGHT * (
+                observation.response_bytes - mean
             )
         if observation.downstream_threshold:
             self.downstream_thresholds[observation.operation] = (
@@ -360,12 +360,12 @@
         self, operation: ids.OperationName, now: float, reopen_time: float
     ) -> int:
         """Returns the lowest level of an operation admitted below now."""
-        found = self.downstream_thresholds.get(operation)
-        if found is None:
+        reported = self.downstream_thresholds.get(operation)
+        if reported is None:
             return levels.ADMIT_ALL
         return levels.decayed_threshold(
-            found.threshold,
-            now - found.reported_at,
+            reported.threshold,
+            now - reported.reported_at,
             reopen_time,
             levels.REMOTE_DECAY_POWER,
         )
@@ -374,38 +374,38 @@
         """Takes the members of a view; keeps what was observed of them."""
         if view.version == self.view_version:
             return
-        since = now if self.hosts else float("-inf")
-        former = self.hosts
+        first_seen_at = now if self.hosts else float("-inf")
+        previous = self.hosts
         self.hosts = {
             member.host: self.refresh_host(
-                former.get(member.host), member, since
+                previous.get(member.host), member, first_seen_at
             )
             for member in view.members
         }
-        for host in former.keys() - self.hosts.keys():
+        for host in previous.keys() - self.hosts.keys():
             self.outliers.forget(host)
         self.view_version = view.version
         self.outliers.host_count = len(self.hosts)
         self.partition_hosts()
 
     def refresh_host(
-        self, host: Host | None, member: messages.Member, since: float
+        self, host: Host | None, member: messages.Member, first_seen_at: float
     ) -> Host:
         """Returns the host with its new announcement."""
         if host and host.member.incarnation == member.incarnation:
             host.member = member
             return host
         self.outliers.forget(member.host)
-        return Host(member, since)
+        return Host(member, first_seen_at)
 
     def partition_hosts(self) -> None:
         """Sorts the hosts that take calls into near and far ones."""
-        staying = [
+        available = [
             host for host in self.hosts.values() if not host.member.leaving
         ]
-        self.local_hosts = [host for host in staying if self.is_local(host)]
+        self.local_hosts = [host for host in available if self.is_local(host)]
         self.remote_hosts = [
-            host for host in staying if not self.is_local(host)
+            host for host in available if not self.is_local(host)
         ]
         if not self.local_hosts:
             self.local_hosts, self.remote_hosts = self.remote_hosts, []
@@ -428,21 +428,24 @@
         now: float,
     ) -> bool:
         """Returns whether an ordinary call may go to the host."""
-        name = host.member.host
-        if name in excluded:
+        host_id = host.member.host
+        if host_id in excluded:
             return False
-        if name not in self.outliers.records:
+        if host_id not in self.outliers.records:
             return True
-        return self.outliers.state(name, now) == ejection.HostState.IN_USE
+        return self.outliers.state(host_id, now) == ejection.HostState.IN_USE
 
     def find_probe_due(
         self, excluded: typing.AbstractSet[ids.HostId], now: float
     ) -> Host | None:
         """Returns a host that a probing call may go to."""
-        for name in self.outliers.records:
-            if self.outliers.state(name, now) != ejection.HostState.PROBE_DUE:
+        for host_id in self.outliers.records:
+            if (
+                self.outliers.state(host_id, now)
+                != ejection.HostState.PROBE_DUE
+            ):
                 continue
-            host = self.hosts[name]
-            if name not in excluded and not host.member.leaving:
+            host = self.hosts[host_id]
+            if host_id not in excluded and not host.member.leaving:
                 return host
         return None
--- a/mangobay/remotetraffic.py
+++ b/mangobay/remotetraffic.py
@@ -76,18 +76,21 @@
         Runs overlap, so that what was carried since the last one ended is not
         this run's own; over several runs the mean is right.
         """
-        known = self.operations.get(operation)
-        if known is None:
+        traffic = self.operations.get(operation)
+        if traffic is None:
             return
-        former = known.bytes_per_run.value_at(now)
-        size = former + (known.bytes_since_run_end - former) * NEWEST_RUN_WEIGHT
-        known.bytes_per_run = DecayingBytes(size, now)
-        known.bytes_since_run_end = 0
+        previous = traffic.bytes_per_run.value_at(now)
+        mean = (
+            previous
+            + (traffic.bytes_since_run_end - previous) * NEWEST_RUN_WEIGHT
+        )
+        traffic.bytes_per_run = DecayingBytes(mean, now)
+        traffic.bytes_since_run_end = 0
 
     def bytes_per_run(self, operation: ids.OperationName, now: float) -> int:
         """Returns the bytes that the calls of a run carry."""
-        known = self.operations.get(operation)
-        return int(known.bytes_per_run.value_at(now)) if known else 0
+        traffic = self.operations.get(operation)
+        return int(traffic.bytes_per_run.value_at(now)) if traffic else 0
 
 
 def should_move_run(
--- a/mangobay/retryallowance.py
+++ b/mangobay/retryallowance.py
@@ -63,11 +63,11 @@
 
     def lend(self) -> int:
         """Returns the tries for a child call: half, rounded up."""
-        tries = (self.remaining + 1) // 2
-        self.remaining -= tries
-        self.lent += tries
+        retries = (self.remaining + 1) // 2
+        self.remaining -= retries
+        self.lent += retries
         self.assert_conserved()
-        return tries
+        return retries
 
     def reclaim(self, retries: int) -> None:
         """Takes back what a child's reply returns.
@@ -85,12 +85,12 @@
 
     def close(self) -> int:
         """Returns the tries left for the reply; none are left afterwards."""
-        tries = self.remaining
+        retries = self.remaining
         self.remaining = 0
-        self.returned += tries
+        self.returned += retries
         self.closed = True
         self.record_check()
-        return tries
+        return retries
 
     def assert_conserved(self) -> None:
         """Asserts that no try was made or forgotten.
@@ -116,8 +116,8 @@
 
     def is_conserved(self) -> bool:
         """Returns whether the tries add up to what was granted."""
-        gone = self.returned + self.lost
-        total = self.remaining + self.used + self.lent + gone
+        returned_or_lost = self.returned + self.lost
+        total = self.remaining + self.used + self.lent + returned_or_lost
         return total == self.granted and self.remaining >= 0
 
 
@@ -157,14 +157,14 @@
         its own retry loop would multiply with those of the nodes.
         """
         fingerprint = request_fingerprint(method, target, body)
-        made = self.child_attempts.get(fingerprint, 0)
-        if made == 0 and len(self.child_attempts) < MAX_CHILDREN:
+        attempts = self.child_attempts.get(fingerprint, 0)
+        if attempts == 0 and len(self.child_attempts) < MAX_CHILDREN:
             self.child_attempts[fingerprint] = 1
             return True
         if not self.allowance.try_withdraw():
             return False
-        if made:
-            self.child_attempts[fingerprint] = made + 1
+        if attempts:
+            self.child_attempts[fingerprint] = attempts + 1
         return True
 
     def child_started(self, now: float) -> None:
@@ -200,9 +200,9 @@
         self, call_id: ids.CallId, allowance: RetryAllowance
     ) -> RunningCall:
         """Notes that the call starts to run."""
-        running = RunningCall(allowance)
-        self.calls_by_id[call_id] = running
-        return running
+        running_call = RunningCall(allowance)
+        self.calls_by_id[call_id] = running_call
+        return running_call
 
     def find(self, call_id: ids.CallId) -> RunningCall | None:
         """Returns the running call; None when it is not known here."""
@@ -210,8 +210,8 @@
 
     def finish(self, call_id: ids.CallId) -> int:
         """Forgets the call; returns the tries left, for its reply."""
-        running = self.calls_by_id.pop(call_id, None)
-        return running.allowance.close() if running else 0
+        running_call = self.calls_by_id.pop(call_id, None)
+        return running_call.allowance.close() if running_call else 0
 
 
 def request_fingerprint(method: str, target: str, body: bytes) -> bytes:
--- a/mangobay/retrybudget.py
+++ b/mangobay/retrybudget.py
@@ -45,14 +45,14 @@
         self.tokens: dict[ids.ServiceName, float] = {}
         self.critical_request_times: dict[ids.ServiceName, float] = {}
 
-    def set_node_count(self, nodes: int) -> None:
+    def set_node_count(self, node_count: int) -> None:
         """Takes the number of nodes that save up tries.
 
         Each with a few of them, many nodes would spend hundreds at the moment
         when a service begins to fail.
         """
         if self.slack:
-            share = SLACK_SHARE * self.slack / max(nodes, 1)
+            share = SLACK_SHARE * self.slack / max(node_count, 1)
             self.burst = min(self.max_burst, max(MIN_BURST, share))
 
     def record_request(
@@ -64,9 +64,9 @@
           service: who is asked.
           repeat: the request is itself made once more, and costs a try.
         """
-        saved = self.tokens.get(service, self.burst)
+        tokens = self.tokens.get(service, self.burst)
         change = -1.0 if repeat else self.ratio
-        self.tokens[service] = min(self.burst, saved + change)
+        self.tokens[service] = min(self.burst, tokens + change)
 
     def try_withdraw(
         self,
@@ -75,25 +75,25 @@
         now: float = 0.0,
     ) -> bool:
         """Returns whether one more try may go to the service."""
-        saved = self.tokens.get(service, self.burst)
-        kept = 0.0
+        tokens = self.tokens.get(service, self.burst)
+        reserve = 0.0
         if importance is messages.Importance.CRITICAL:
             self.critical_request_times[service] = now
         elif (
             now - self.critical_request_times.get(service, -math.inf)
             < CRITICAL_RESERVE_SECONDS
         ):
-            room = max(self.burst - MIN_BURST, 0.0)
-            kept = min(CRITICAL_RESERVE_SHARE * self.burst, room)
-        if saved < 1 + kept:
+            max_reserve = max(self.burst - MIN_BURST, 0.0)
+            reserve = min(CRITICAL_RESERVE_SHARE * self.burst, max_reserve)
+        if tokens < 1 + reserve:
             return False
-        self.tokens[service] = saved - 1
+        self.tokens[service] = tokens - 1
         return True
 
     def refund(self, service: ids.ServiceName) -> None:
         """Takes back a try that was taken and made no attempt."""
-        saved = self.tokens.get(service, self.burst)
-        self.tokens[service] = min(self.burst, saved + 1)
+        tokens = self.tokens.get(service, self.burst)
+        self.tokens[service] = min(self.burst, tokens + 1)
 
 
 def backoff(
@@ -113,5 +113,5 @@
     if remaining <= 0:
         return None
     doublings = min(max(attempt, 1) - 1, 30)
-    longest = min(base * 2**doublings, MAX_BACKOFF, remaining)
-    return rng.random() * longest
+    max_wait = min(base * 2**doublings, MAX_BACKOFF, remaining)
+    return rng.random() * max_wait
--- a/mangobay/retrypolicy.py
+++ b/mangobay/retrypolicy.py
@@ -40,8 +40,8 @@
 
 def may_have_reached_backend(reply: messages.Reply) -> bool:
     """Returns whether a backend server may have seen the call."""
-    refused = reply.outcome is Outcome.NOT_RUN
-    return not refused or reply.reason is Reason.BACKEND_SHED
+    not_run = reply.outcome is Outcome.NOT_RUN
+    return not not_run or reply.reason is Reason.BACKEND_SHED
 
 
 def is_fast_failure(
@@ -69,6 +69,6 @@
     that has not learned it yet would run the call in vain.
     """
     if reply.outcome == Outcome.NOT_RUN:
-        refused_below = reply.below > reply.threshold
-        return reply.reason in RETRYABLE_REFUSALS and not refused_below
+        refused_downstream = reply.below > reply.threshold
+        return reply.reason in RETRYABLE_REFUSALS and not refused_downstream
     return request.operation.idempotent and reply.reason in RETRYABLE_UNKNOWNS
--- a/mangobay/routing.py
+++ b/mangobay/routing.py
@@ -141,24 +141,26 @@
           NoHostError: there is none, or all are excluded or ejected.
           EarlyRefusalError: the call would be refused wherever it went.
         """
-        known = self.services.get(service)
-        if known is None or not known.local_hosts:
+        service_hosts = self.services.get(service)
+        if service_hosts is None or not service_hosts.local_hosts:
             raise NoHostError(f"no host serves {service}")
         now = asyncio.get_running_loop().time()
         level = self.level(importance, tree)
-        choice = PickCriteria(excluded, level, idempotent, now, operation)
-        below = known.downstream_threshold_at(operation, now, self.reopen_time)
-        if below > level:
-            self.maybe_refuse_early(below, choice)
-        return self.choose_host(known, choice).member
+        criteria = PickCriteria(excluded, level, idempotent, now, operation)
+        downstream_threshold = service_hosts.downstream_threshold_at(
+            operation, now, self.reopen_time
+        )
+        if downstream_threshold > level:
+            self.maybe_refuse_early(downstream_threshold, criteria)
+        return self.choose_host(service_hosts, criteria).member
 
     def record_call_start(
         self, service: ids.ServiceName, host: ids.HostId
     ) -> None:
         """Counts a call sent to the host."""
-        found = self.find_host(service, host)
-        if found:
-            found.outstanding += 1
+        known_host = self.find_host(service, host)
+        if known_host:
+            known_host.outstanding += 1
 
     def record_call_end(
         self,
@@ -172,24 +174,24 @@
         its new incarnation, and would eject it before its first call.  It has
         no calls in flight then, so they are told by that.
         """
-        known = self.services.get(service)
-        found = known.hosts.get(host) if known else None
-        if found is None or not found.outstanding:
+        service_hosts = self.services.get(service)
+        known_host = service_hosts.hosts.get(host) if service_hosts else None
+        if known_host is None or not known_host.outstanding:
             return
         now = asyncio.get_running_loop().time()
-        found.outstanding -= 1
-        found.observe(observation, now)
-        known.observe_operation(observation, now)
+        known_host.outstanding -= 1
+        known_host.observe(observation, now)
+        service_hosts.observe_operation(observation, now)
         if (
             observation.reason in hosts.LEAVING_REASONS
-            and not found.member.leaving
+            and not known_host.member.leaving
         ):
-            known.mark_leaving(found)
-        self.update_ejection(known, service, host, observation, now)
+            service_hosts.mark_leaving(known_host)
+        self.update_ejection(service_hosts, service, host, observation, now)
 
     def update_ejection(
         self,
-        known: hosts.ServiceHosts,
+        service_hosts: hosts.ServiceHosts,
         service: ids.ServiceName,
         host: ids.HostId,
         observation: Observation,
@@ -197,30 +199,30 @@
     ) -> None:
         """Ejects a host that keeps failing, or takes it back."""
         answered = observation.outcome == messages.Outcome.ANSWERED
-        if answered and not known.outliers.records:
+        if answered and not service_hosts.outliers.records:
             return
         if hosts.is_failure(observation):
-            if known.outliers.record_failure(host, now):
+            if service_hosts.outliers.record_failure(host, now):
                 self.log_host_change("host ejected", service, host)
         elif observation.outcome == messages.Outcome.UNKNOWN:
             return
-        elif known.outliers.record_success(host):
-            known.hosts[host].first_seen_at = now
-            known.hosts[host].failure_rates.clear()
+        elif service_hosts.outliers.record_success(host):
+            service_hosts.hosts[host].first_seen_at = now
+            service_hosts.hosts[host].failure_rates.clear()
             self.log_host_change("host back", service, host)
 
     def log_host_change(
-        self, sentence: str, service: ids.ServiceName, host: ids.HostId
+        self, event: str, service: ids.ServiceName, host: ids.HostId
     ) -> None:
         """Logs a change of a host's state; rare, by the time out of use."""
-        logs.say(logs.Part.ROUTING, sentence, service=service, host=host)
+        logs.say(logs.Part.ROUTING, event, service=service, host=host)
 
     def find_host(
         self, service: ids.ServiceName, host: ids.HostId
     ) -> hosts.Host | None:
         """Returns what is known of a host of a service."""
-        known = self.services.get(service)
-        return known.hosts.get(host) if known else None
+        service_hosts = self.services.get(service)
+        return service_hosts.hosts.get(host) if service_hosts else None
 
     def level(self, importance: messages.Importance, tree: str) -> int:
         """Returns the level of a call, as the called host will see it."""
@@ -230,8 +232,8 @@
 
     def choose_host(
         self,
-        known: hosts.ServiceHosts,
-        choice: PickCriteria,
+        service_hosts: hosts.ServiceHosts,
+        criteria: PickCriteria,
     ) -> hosts.Host:
         """Returns a host to probe, else a near one, else a far one.
 
@@ -239,100 +241,125 @@
           NoHostError: all are excluded or ejected.
           EarlyRefusalError: all refuse calls of this level.
         """
-        if choice.idempotent and known.outliers.records:
-            due = known.find_probe_due(choice.excluded, choice.now)
-            if due:
-                known.outliers.start_probe(due.member.host, choice.now)
-                return due
-        near = self.pick_of_two(known, known.local_hosts, choice)
-        if near and self.is_good_enough(near, choice):
-            if not near.remote_bytes_per_run:
-                return near
-            return self.reduce_remote_traffic(known, near, choice)
-        far = self.pick_of_two(known, known.remote_hosts, choice)
-        if far and self.has_capacity(far, choice):
-            if near is None or not self.has_capacity(near, choice):
-                return far
-            if self.is_remote_better(known, far, near, choice):
-                return far
-        fallback = near or far
+        if criteria.idempotent and service_hosts.outliers.records:
+            probe_host = service_hosts.find_probe_due(
+                criteria.excluded, criteria.now
+            )
+            if probe_host:
+                service_hosts.outliers.start_probe(
+                    probe_host.member.host, criteria.now
+                )
+                return probe_host
+        local = self.pick_of_two(
+            service_hosts, service_hosts.local_hosts, criteria
+        )
+        if local and self.is_good_enough(local, criteria):
+            if not local.remote_bytes_per_run:
+                return local
+            return self.reduce_remote_traffic(service_hosts, local, criteria)
+        remote = self.pick_of_two(
+            service_hosts, service_hosts.remote_hosts, criteria
+        )
+        if remote and self.has_capacity(remote, criteria):
+            if local is None or not self.has_capacity(local, criteria):
+                return remote
+            if self.is_remote_better(service_hosts, remote, local, criteria):
+                return remote
+        fallback = local or remote
         if fallback is None:
             raise NoHostError("every host was tried or is out of use")
-        if self.threshold(fallback, choice.now) > choice.level:
+        if self.threshold(fallback, criteria.now) > criteria.level:
             self.maybe_refuse_early(
-                self.threshold(fallback, choice.now), choice
+                self.threshold(fallback, criteria.now), criteria
             )
         return fallback
 
     def reduce_remote_traffic(
-        self, known: hosts.ServiceHosts, near: hosts.Host, choice: PickCriteria
+        self,
+        service_hosts: hosts.ServiceHosts,
+        local: hosts.Host,
+        criteria: PickCriteria,
     ) -> hosts.Host:
         """Returns a far host where the calls of the run stay near, or `near`.
 
         Where the only host of a data centre for a service went, every call of
         a run crosses; the run itself crosses once.
         """
-        now, operation = choice.now, choice.operation
-        carried = near.remote_bytes_at(operation, now)
-        answer = known.response_sizes.get(operation, 0.0)
-        if not remotetraffic.should_move_run(carried, 0.0, answer):
-            return near
-        far = self.pick_of_two(known, known.remote_hosts, choice)
-        if far is None or not self.is_good_enough(far, choice):
-            return near
-        elsewhere = far.remote_bytes_at(operation, now)
+        now, operation = criteria.now, criteria.operation
+        local_bytes = local.remote_bytes_at(operation, now)
+        response_bytes = service_hosts.response_sizes.get(operation, 0.0)
+        if not remotetraffic.should_move_run(local_bytes, 0.0, response_bytes):
+            return local
+        remote = self.pick_of_two(
+            service_hosts, service_hosts.remote_hosts, criteria
+        )
+        if remote is None or not self.is_good_enough(remote, criteria):
+            return local
+        remote_bytes = remote.remote_bytes_at(operation, now)
         return (
-            far
-            if remotetraffic.should_move_run(carried, elsewhere, answer)
-            else near
+            remote
+            if remotetraffic.should_move_run(
+                local_bytes, remote_bytes, response_bytes
+            )
+            else local
         )
 
-    def is_good_enough(self, host: hosts.Host, choice: PickCriteria) -> bool:
+    def is_good_enough(self, host: hosts.Host, criteria: PickCriteria) -> bool:
         """Returns whether no other host need be looked at."""
         return (
-            self.has_capacity(host, choice)
-            and host.load_at(choice.now) < SPILL_LOAD
-            and host.failure_rate_at(choice.operation, choice.now)
+            self.has_capacity(host, criteria)
+            and host.load_at(criteria.now) < SPILL_LOAD
+            and host.failure_rate_at(criteria.operation, criteria.now)
             < FAILURE_RATE_MARGIN
         )
 
     def is_remote_better(
         self,
-        known: hosts.ServiceHosts,
-        far: hosts.Host,
-        near: hosts.Host,
-        choice: PickCriteria,
+        service_hosts: hosts.ServiceHosts,
+        remote: hosts.Host,
+        local: hosts.Host,
+        criteria: PickCriteria,
     ) -> bool:
         """Returns whether a far host serves the caller enough better.
 
         Less loaded hosts are no help where more of the calls fail there, and
         the other way round.
         """
-        now = choice.now
-        kilobytes = known.response_sizes.get(choice.operation, 0.0) / 1000
-        share = near.failure_rate_at(choice.operation, now)
-        fails_less = share - far.failure_rate_at(choice.operation, now)
-        waits_less = near.load_at(now) - far.load_at(now)
+        now = criteria.now
+        kilobytes = (
+            service_hosts.response_sizes.get(criteria.operation, 0.0) / 1000
+        )
+        local_failure_rate = local.failure_rate_at(criteria.operation, now)
+        failure_rate_gain = local_failure_rate - remote.failure_rate_at(
+            criteria.operation, now
+        )
+        load_gain = local.load_at(now) - remote.load_at(now)
         margin = FAILURE_RATE_MARGIN + FAILURE_RATE_MARGIN_PER_KB * kilobytes
-        margin += FAILURE_RATE_NOISE * math.sqrt(share * (1 - share))
-        if fails_less >= margin:
-            return far.load_at(now) < 1.0 or waits_less > 0
-        full = near.load_at(now) >= SPILL_LOAD
+        margin += FAILURE_RATE_NOISE * math.sqrt(
+            local_failure_rate * (1 - local_failure_rate)
+        )
+        if failure_rate_gain >= margin:
+            return remote.load_at(now) < 1.0 or load_gain > 0
+        local_is_full = local.load_at(now) >= SPILL_LOAD
         margin = REMOTE_LOAD_MARGIN + REMOTE_LOAD_MARGIN_PER_KB * kilobytes
         return (
-            full and waits_less > margin and fails_less >= -FAILURE_RATE_MARGIN
+            local_is_full
+            and load_gain > margin
+            and failure_rate_gain >= -FAILURE_RATE_MARGIN
         )
 
-    def has_capacity(self, host: hosts.Host, choice: PickCriteria) -> bool:
+    def has_capacity(self, host: hosts.Host, criteria: PickCriteria) -> bool:
         """Returns whether the call need not spill over from this host."""
         if not host.threshold and not host.shed_rate:
             return True
-        if self.threshold(host, choice.now) > choice.level:
+        if self.threshold(host, criteria.now) > criteria.level:
             return False
-        sheds = host.shed_rate_at(choice.now, self.reopen_time)
-        return sheds < SPILL_SHED_RATE
+        shed_rate = host.shed_rate_at(criteria.now, self.reopen_time)
+        return shed_rate < SPILL_SHED_RATE
 
-    def maybe_refuse_early(self, threshold: int, choice: PickCriteria) -> None:
+    def maybe_refuse_early(
+        self, threshold: int, criteria: PickCriteria
+    ) -> None:
         """Refuses a call below a threshold of every host, but for a few.
 
         Those few find out that a threshold fell, so that refusals end soon
@@ -343,7 +370,7 @@
         """
         if not self.early_refusal or self.rng.random() < PROBE_SHARE:
             return
-        share = (threshold - choice.level) / threshold
+        share = (threshold - criteria.level) / threshold
         wait = max(MIN_RETRY_AFTER, share * self.reopen_time)
         raise EarlyRefusalError(wait * (0.5 + self.rng.random()), threshold)
 
@@ -353,89 +380,94 @@
 
     def pick_of_two(
         self,
-        known: hosts.ServiceHosts,
-        group: list[hosts.Host],
-        choice: PickCriteria,
+        service_hosts: hosts.ServiceHosts,
+        candidates: list[hosts.Host],
+        criteria: PickCriteria,
     ) -> hosts.Host | None:
         """Returns the less busy of two random hosts that admit the call.
 
         Returns:
           A host that refuses the call if all do; None if none is usable.
         """
-        count = len(group)
+        count = len(candidates)
         if not count:
             return None
-        place = int(self.rng.random() * count)
-        first = group[place]
-        if count == 1 or not self.is_eligible(known, first, choice):
-            return self.scan_hosts(known, group, choice)
+        index = int(self.rng.random() * count)
+        first = candidates[index]
+        if count == 1 or not self.is_eligible(service_hosts, first, criteria):
+            return self.scan_hosts(service_hosts, candidates, criteria)
         if self.settings.policy == "random":
             return first
-        place += 1 + int(self.rng.random() * (count - 1))
-        second = group[place % count]
-        if not self.is_eligible(known, second, choice):
-            return self.scan_hosts(known, group, choice)
-        return self.less_busy(first, second, choice)
+        index += 1 + int(self.rng.random() * (count - 1))
+        second = candidates[index % count]
+        if not self.is_eligible(service_hosts, second, criteria):
+            return self.scan_hosts(service_hosts, candidates, criteria)
+        return self.less_busy(first, second, criteria)
 
     def less_busy(
-        self, first: hosts.Host, second: hosts.Host, choice: PickCriteria
+        self, first: hosts.Host, second: hosts.Host, criteria: PickCriteria
     ) -> hosts.Host:
         """Returns the host with the lower score."""
         slow_start = self.settings.slow_start
-        now = choice.now
-        score = first.score(first.ramp(now, slow_start))
-        other = second.score(second.ramp(now, slow_start))
-        fails_more = first.failure_rate_at(
-            choice.operation, now
-        ) - second.failure_rate_at(choice.operation, now)
+        now = criteria.now
+        first_score = first.score(first.ramp(now, slow_start))
+        second_score = second.score(second.ramp(now, slow_start))
+        failure_rate_difference = first.failure_rate_at(
+            criteria.operation, now
+        ) - second.failure_rate_at(criteria.operation, now)
         # Hosts that fail about equally often share the calls: by every small
         # difference the better of two would get all of them.
-        if fails_more >= FAILURE_RATE_MARGIN:
-            score *= 1 + FAILURE_PENALTY * fails_more
-        elif fails_more <= -FAILURE_RATE_MARGIN:
-            other *= 1 - FAILURE_PENALTY * fails_more
-        return first if score <= other else second
+        if failure_rate_difference >= FAILURE_RATE_MARGIN:
+            first_score *= 1 + FAILURE_PENALTY * failure_rate_difference
+        elif failure_rate_difference <= -FAILURE_RATE_MARGIN:
+            second_score *= 1 - FAILURE_PENALTY * failure_rate_difference
+        return first if first_score <= second_score else second
 
     def is_eligible(
-        self, known: hosts.ServiceHosts, host: hosts.Host, choice: PickCriteria
+        self,
+        service_hosts: hosts.ServiceHosts,
+        host: hosts.Host,
+        criteria: PickCriteria,
     ) -> bool:
         """Returns whether the host is usable, warm and admits the call."""
-        if not known.is_usable(host, choice.excluded, choice.now):
+        if not service_hosts.is_usable(host, criteria.excluded, criteria.now):
             return False
-        ramp = host.ramp(choice.now, self.settings.slow_start)
+        ramp = host.ramp(criteria.now, self.settings.slow_start)
         if ramp < 1.0 and self.rng.random() >= ramp:
             return False
         if not host.threshold:
             return True
-        return self.threshold(host, choice.now) <= choice.level
+        return self.threshold(host, criteria.now) <= criteria.level
 
     def scan_hosts(
         self,
-        known: hosts.ServiceHosts,
-        group: list[hosts.Host],
-        choice: PickCriteria,
+        service_hosts: hosts.ServiceHosts,
+        candidates: list[hosts.Host],
+        criteria: PickCriteria,
     ) -> hosts.Host | None:
         """Does what draw does where a host drawn first does not fit.
 
         It looks at no more than MOST_LOOKED_AT hosts, from a random one on.
         """
-        start = int(self.rng.random() * len(group))
-        looked = (group[start:] + group[:start])[:MAX_SCANNED_HOSTS]
+        start = int(self.rng.random() * len(candidates))
+        scanned = (candidates[start:] + candidates[:start])[:MAX_SCANNED_HOSTS]
         usable = [
             host
-            for host in looked
-            if known.is_usable(host, choice.excluded, choice.now)
+            for host in scanned
+            if service_hosts.is_usable(host, criteria.excluded, criteria.now)
         ]
-        fitting = [
-            host for host in usable if self.is_eligible(known, host, choice)
+        eligible = [
+            host
+            for host in usable
+            if self.is_eligible(service_hosts, host, criteria)
         ]
-        if len(fitting) > 1:
-            first, second = self.rng.sample(fitting, 2)
-            return self.less_busy(first, second, choice)
-        if fitting:
-            return fitting[0]
+        if len(eligible) > 1:
+            first, second = self.rng.sample(eligible, 2)
+            return self.less_busy(first, second, criteria)
+        if eligible:
+            return eligible[0]
         return min(
             usable,
-            key=lambda host: self.threshold(host, choice.now),
+            key=lambda host: self.threshold(host, criteria.now),
             default=None,
         )
--- a/tests/fakechain.py
+++ b/tests/fakechain.py
@@ -14,7 +14,7 @@
 CRITICAL = messages.Importance.CRITICAL
 
 
-class RefusedBelowError(Exception):
+class RefusedDownstreamError(Exception):
     """A deeper service refused the child call."""
 
     def __init__(self, threshold: int):
@@ -51,50 +51,52 @@
         self.slowdown = 1.0
         self.busy_seconds: collections.Counter = collections.Counter()
 
-    async def call(self, ticket: admissionrequest.AdmissionRequest) -> None:
+    async def call(self, request: admissionrequest.AdmissionRequest) -> None:
         """Runs a call; raises what refuses it."""
-        entered = await self.admission.acquire(ticket)
+        permit = await self.admission.acquire(request)
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        awaited = 0.0
+        started_at = loop.time()
+        child_seconds = 0.0
         try:
-            spent = (
+            own_seconds = (
                 self.service_seconds
                 * self.slowdown
                 * self.rng.uniform(0.5, 1.5)
             )
-            await asyncio.sleep(spent)
-            self.busy_seconds[ticket.tree] += spent
-            middle = loop.time()
-            await self.call_child(ticket)
-            awaited = loop.time() - middle
-        except RefusedBelowError as error:
-            seconds = loop.time() - began
-            entered.release(
-                seconds, ok=False, downstream_threshold=error.threshold
+            await asyncio.sleep(own_seconds)
+            self.busy_seconds[request.tree] += own_seconds
+            child_started_at = loop.time()
+            await self.call_child(request)
+            child_seconds = loop.time() - child_started_at
+        except RefusedDownstreamError as error:
+            total_seconds = loop.time() - started_at
+            permit.release(
+                total_seconds, ok=False, downstream_threshold=error.threshold
             )
             raise
         except asyncio.CancelledError:
-            entered.release(loop.time() - began, ok=False)
+            permit.release(loop.time() - started_at, ok=False)
             raise
-        entered.release(
-            loop.time() - began, ok=True, child_wait_seconds=awaited
+        permit.release(
+            loop.time() - started_at, ok=True, child_wait_seconds=child_seconds
         )
 
     async def call_child(
-        self, ticket: admissionrequest.AdmissionRequest
+        self, request: admissionrequest.AdmissionRequest
     ) -> None:
         """Makes the child call, if there is one."""
         if not self.child:
             return
-        child = dataclasses.replace(ticket, depth=ticket.depth + 1)
+        child_request = dataclasses.replace(request, depth=request.depth + 1)
         try:
-            await self.child.call(child)
-        except (admissionrequest.ShedError, RefusedBelowError):
-            refusing = self.child.admission
-            below = refusing.downstream_threshold(ticket.operation)
-            threshold = max(refusing.threshold, below)
-            raise RefusedBelowError(threshold) from None
+            await self.child.call(child_request)
+        except (admissionrequest.ShedError, RefusedDownstreamError):
+            child_admission = self.child.admission
+            downstream_threshold = child_admission.downstream_threshold(
+                request.operation
+            )
+            threshold = max(child_admission.threshold, downstream_threshold)
+            raise RefusedDownstreamError(threshold) from None
 
 
 @dataclasses.dataclass(slots=True)
@@ -138,51 +140,51 @@
         self.refused: collections.Counter = collections.Counter()
         self.wasted_seconds = 0.0
 
-    async def run(self, kinds: list[CallerGroup], until: float) -> None:
+    async def run(self, groups: list[CallerGroup], until: float) -> None:
         """Sends all kinds until this loop time, then waits for the rest."""
-        async with asyncio.TaskGroup() as group:
-            for kind in kinds:
-                group.create_task(self.send(kind, until))
+        async with asyncio.TaskGroup() as tasks:
+            for caller_group in groups:
+                tasks.create_task(self.send(caller_group, until))
 
-    async def send(self, kind: CallerGroup, until: float) -> None:
+    async def send(self, caller_group: CallerGroup, until: float) -> None:
         """Sends one kind."""
         loop = asyncio.get_running_loop()
-        async with asyncio.TaskGroup() as group:
+        async with asyncio.TaskGroup() as tasks:
             while loop.time() < until:
-                await asyncio.sleep(self.rng.expovariate(kind.rate))
-                group.create_task(self.request(kind))
+                await asyncio.sleep(self.rng.expovariate(caller_group.rate))
+                tasks.create_task(self.request(caller_group))
 
-    async def request(self, kind: CallerGroup) -> None:
+    async def request(self, caller_group: CallerGroup) -> None:
         """One request with its repeats, up to its deadline."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         second = int(now)
-        self.sent[kind.name, second] += 1
-        number = self.rng.randrange(kind.clients)
-        client = ids.ClientId(f"{kind.name}-{number}")
+        self.sent[caller_group.name, second] += 1
+        number = self.rng.randrange(caller_group.clients)
+        client = ids.ClientId(f"{caller_group.name}-{number}")
         tree = str(self.rng.random())
-        ticket = admissionrequest.AdmissionRequest(
-            importance=kind.importance,
+        request = admissionrequest.AdmissionRequest(
+            importance=caller_group.importance,
             depth=0,
-            deadline=now + kind.timeout_seconds,
+            deadline=now + caller_group.timeout_seconds,
             client=client,
             tree=tree,
         )
-        for _ in range(1 + kind.max_retries):
-            if await self.attempt(ticket):
-                self.answered[kind.name, second] += 1
+        for _ in range(1 + caller_group.max_retries):
+            if await self.attempt(request):
+                self.answered[caller_group.name, second] += 1
                 return
             await asyncio.sleep(0.05)
-            if loop.time() >= ticket.deadline:
+            if loop.time() >= request.deadline:
                 return
 
-    async def attempt(self, ticket: admissionrequest.AdmissionRequest) -> bool:
+    async def attempt(self, request: admissionrequest.AdmissionRequest) -> bool:
         """One attempt; returns whether it was answered in time."""
         self.attempts += 1
-        spent = self.spent_seconds(ticket.tree)
-        if await self.is_answered(ticket):
+        spent_before = self.spent_seconds(request.tree)
+        if await self.is_answered(request):
             return True
-        self.wasted_seconds += self.spent_seconds(ticket.tree) - spent
+        self.wasted_seconds += self.spent_seconds(request.tree) - spent_before
         return False
 
     def spent_seconds(self, tree: str) -> float:
@@ -190,16 +192,16 @@
         return sum(service.busy_seconds[tree] for service in self.chain)
 
     async def is_answered(
-        self, ticket: admissionrequest.AdmissionRequest
+        self, request: admissionrequest.AdmissionRequest
     ) -> bool:
         """Makes one call; counts why it was not answered."""
         try:
-            async with asyncio.timeout_at(ticket.deadline):
-                await self.service.call(ticket)
+            async with asyncio.timeout_at(request.deadline):
+                await self.service.call(request)
         except admissionrequest.ShedError as error:
             self.refused[error.reason] += 1
             return False
-        except RefusedBelowError:
+        except RefusedDownstreamError:
             self.refused["below"] += 1
             return False
         except TimeoutError:
@@ -220,7 +222,9 @@
 ) -> list[FakeService]:
     """Returns the services, the first one called first."""
     chain: list[FakeService] = []
-    for count, own in zip(reversed(slots), reversed(seconds)):
+    for slot_count, service_seconds in zip(reversed(slots), reversed(seconds)):
         child = chain[0] if chain else None
-        chain.insert(0, FakeService(count, own, child, **changes))
+        chain.insert(
+            0, FakeService(slot_count, service_seconds, child, **changes)
+        )
     return chain
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -31,10 +31,10 @@
 OTHER_HOST = {"a": "b", "b": "a"}
 
 
-def defaults(cls, chosen, **given):
+def default_section(cls, setting_options, **overrides):
     """Returns a section of the settings with its defaults."""
-    values = {each.name: each.parse(each.default) for each in chosen}
-    return cls(**(values | given))
+    values = {each.name: each.parse(each.default) for each in setting_options}
+    return cls(**(values | overrides))
 
 
 def address(host: str) -> options.Address:
@@ -63,7 +63,7 @@
         return reply
 
 
-class Lease:
+class FakeLease:
     """Held unless a test says otherwise."""
 
     held = True
@@ -72,7 +72,7 @@
         return self.held
 
 
-class Views:
+class FakeViews:
     """The view of the one service, as a subject has it."""
 
     def __init__(self, names):
@@ -84,33 +84,35 @@
         self.value = {"stock": view}
 
 
-def make_entry(script, names=HOSTS, **retries):
-    hosts = ScriptedTransport(script)
-    dice = random.Random(7)
-    views = Views(names)
+def make_dispatcher(script, names=HOSTS, **retries):
+    transport = ScriptedTransport(script)
+    rng = random.Random(7)
+    views = FakeViews(names)
     router = routing.Router(
-        defaults(settings.NodeRouting, settings.NODE_ROUTING_OPTIONS),
-        defaults(settings.NodeAdmission, settings.NODE_ADMISSION_OPTIONS),
+        default_section(settings.NodeRouting, settings.NODE_ROUTING_OPTIONS),
+        default_section(
+            settings.NodeAdmission, settings.NODE_ADMISSION_OPTIONS
+        ),
         "centre",
-        dice,
+        rng,
     )
     router.update_views(views.value)
-    section = defaults(
+    section = default_section(
         settings.NodeRetries, settings.NODE_RETRIES_OPTIONS, **retries
     )
-    served = localservices.LocalServices(1, None, None)
-    tools = dispatch.Dependencies(
+    local_services = localservices.LocalServices(1, None, None)
+    dependencies = dispatch.Dependencies(
         process=PROCESS,
         router=router,
         retry_budget=retrybudget.RetryBudget(section),
-        transport=hosts,
-        executor=execution.CallExecutor(PROCESS, served, None, None),
-        lease=Lease(),
+        transport=transport,
+        executor=execution.CallExecutor(PROCESS, local_services, None, None),
+        lease=FakeLease(),
         views=views,
         tracer=traces.Tracer(),
-        rng=dice,
+        rng=rng,
     )
-    return dispatch.Dispatcher(section, tools), hosts
+    return dispatch.Dispatcher(section, dependencies), transport
 
 
 def make_request(idempotent=True, key="", granted=9, seconds=10.0):
@@ -134,7 +136,7 @@
     )
 
 
-def refused(reason=Reason.OVERLOADED):
+def refuse_all(reason=Reason.OVERLOADED):
     """Returns a script in which every host refuses and hands tries back."""
 
     def script(host, call):
@@ -145,7 +147,7 @@
     return script
 
 
-def answer(host, call):
+def respond(host, call):
     return messages.Reply(outcome=Outcome.ANSWERED, tries_left=call.tries)
 
 
@@ -185,7 +187,7 @@
     @pytest.mark.parametrize(
         ("failing", "fewest", "most"), [(0, 200, 200), (4, 5, 80)]
     )
-    async def test_its_callers_leave_it_where_calls_fail(
+    async def test_failing_backend_server_on_the_own_host_is_avoided(
         self, failing, fewest, most
     ):
         """Callers on one host get errors, all others nearly none.
@@ -193,54 +195,56 @@
         The backend server beside them fails one call in four; others of the
         service are well.  It has room, and so it was never passed over.
         """
-        made, _ = make_entry(
-            answer, names=[*HOSTS[:5], PROCESS.host], hop_tries=0
+        dispatcher, _ = make_dispatcher(
+            respond, names=[*HOSTS[:5], PROCESS.host], hop_tries=0
         )
-        own = made.dependencies.executor = FakeCallExecutor(failing)
+        executor = dispatcher.dependencies.executor = FakeCallExecutor(failing)
         for _ in range(200):
-            await made.handle(make_request(granted=0))
-        assert fewest <= own.served_calls <= most
+            await dispatcher.handle(make_request(granted=0))
+        assert fewest <= executor.served_calls <= most
 
 
 @pytest.mark.looptime
 class TestRetries:
     """Extra tries, bounded and only where nothing can run twice."""
 
-    async def test_a_refusal_is_tried_again_on_other_hosts_only(self):
-        made, hosts = make_entry(refused(), hop_tries=4)
+    async def test_refused_call_is_retried_on_other_hosts_only(self):
+        dispatcher, transport = make_dispatcher(refuse_all(), hop_tries=4)
         request = make_request()
-        reply = await made.handle(request)
+        reply = await dispatcher.handle(request)
         assert reply.reason == Reason.OVERLOADED
-        assert len(hosts.asked_hosts) == 5
-        assert len(set(hosts.asked_hosts)) == 5
+        assert len(transport.asked_hosts) == 5
+        assert len(set(transport.asked_hosts)) == 5
         assert request.allowance.remaining == 9 - 4
 
     @pytest.mark.parametrize("granted", [0, 1, 2])
-    async def test_attempts_never_exceed_the_grant(self, granted):
-        made, hosts = make_entry(refused(), hop_tries=100)
-        await made.handle(make_request(granted=granted))
-        assert len(hosts.asked_hosts) == 1 + granted
+    async def test_retries_never_exceed_the_allowance(self, granted):
+        dispatcher, transport = make_dispatcher(refuse_all(), hop_tries=100)
+        await dispatcher.handle(make_request(granted=granted))
+        assert len(transport.asked_hosts) == 1 + granted
 
-    async def test_the_retry_ratio_ends_retries_of_a_dead_service(self):
-        made, hosts = make_entry(refused(), burst=3, ratio=0)
+    async def test_retry_budget_bounds_retries_of_a_dead_service(self):
+        dispatcher, transport = make_dispatcher(refuse_all(), burst=3, ratio=0)
         for _ in range(10):
-            await made.handle(make_request())
-        assert len(hosts.asked_hosts) == 10 + 3
+            await dispatcher.handle(make_request())
+        assert len(transport.asked_hosts) == 10 + 3
 
-    async def test_a_failing_service_gets_a_share_more(self):
+    async def test_failing_service_gets_burst_and_ratio(self):
         """Every call is refused, and each caller could go on eight times.
 
         The load on a service that fails must stay bounded: one attempt more
         for each four requests, however many tries the callers were granted.
         """
-        made, hosts = make_entry(refused(), burst=2, ratio=0.25, hop_tries=8)
+        dispatcher, transport = make_dispatcher(
+            refuse_all(), burst=2, ratio=0.25, hop_tries=8
+        )
         for _ in range(20):
-            await made.handle(make_request())
+            await dispatcher.handle(make_request())
         # What the first request pays does not fit beside the burst.
-        assert len(hosts.asked_hosts) == 20 + 2 + 20 // 4 - 1
+        assert len(transport.asked_hosts) == 20 + 2 + 20 // 4 - 1
 
     @pytest.mark.parametrize(("called", "attempts"), [(False, 2), (True, 1)])
-    async def test_a_failure_of_the_services_below_is_not_repeated(
+    async def test_failure_after_child_calls_is_not_retried(
         self, called, attempts
     ):
         """A run fails at once, for itself or for one of its own calls.
@@ -254,37 +258,37 @@
                 outcome=Outcome.ANSWERED, status=500, called_below=called
             )
 
-        made, hosts = make_entry(script, hop_tries=1)
+        dispatcher, transport = make_dispatcher(script, hop_tries=1)
         request = make_request()
         request.operation.target_ms = 1000
-        await made.handle(request)
-        assert len(hosts.asked_hosts) == attempts
+        await dispatcher.handle(request)
+        assert len(transport.asked_hosts) == attempts
 
-    async def test_only_what_may_have_run_makes_its_calls_again(self):
+    async def test_repeat_is_set_only_after_a_call_may_have_run(self):
         """A call is refused by a node, then breaks, then is answered.
 
         After the refusal no backend server has seen it; after the break, the
         calls that it makes may have been made before.
         """
-        ends = [
-            answer,
+        results = [
+            respond,
             lambda host, call: errors.PeerBrokenError("cut"),
-            refused(),
+            refuse_all(),
         ]
         repeats = []
 
         def script(host, call):
             repeats.append(call.repeat)
-            return ends.pop()(host, call)
+            return results.pop()(host, call)
 
-        made, _ = make_entry(script)
-        await made.handle(make_request())
+        dispatcher, _ = make_dispatcher(script)
+        await dispatcher.handle(make_request())
         assert repeats == [False, False, True]
 
     @pytest.mark.parametrize(
         ("idempotent", "attempts"), [(True, 3), (False, 1)]
     )
-    async def test_after_unknown_only_idempotent_calls_go_on(
+    async def test_only_idempotent_calls_are_retried_after_unknown(
         self, idempotent, attempts
     ):
         """The connection breaks after a call was sent.
@@ -292,14 +296,14 @@
         It may have run.  A price is asked for again; a booking is not, and
         its caller is told that nobody knows.
         """
-        made, hosts = make_entry(
+        dispatcher, transport = make_dispatcher(
             lambda host, call: errors.PeerBrokenError("cut")
         )
-        reply = await made.handle(make_request(idempotent))
+        reply = await dispatcher.handle(make_request(idempotent))
         assert reply.outcome == Outcome.UNKNOWN
-        assert len(hosts.asked_hosts) == attempts
+        assert len(transport.asked_hosts) == attempts
 
-    async def test_a_refusal_after_a_broken_attempt_is_not_told_as_not_run(
+    async def test_refusal_after_an_unknown_attempt_is_not_reported_as_not_run(
         self,
     ):
         """The first host breaks off, every other one refuses unrun.
@@ -310,170 +314,180 @@
         broken = [errors.PeerBrokenError("cut")]
 
         def script(host, call):
-            return broken.pop() if broken else refused()(host, call)
+            return broken.pop() if broken else refuse_all()(host, call)
 
-        made, hosts = make_entry(script)
-        reply = await made.handle(make_request())
-        assert len(hosts.asked_hosts) == 3
+        dispatcher, transport = make_dispatcher(script)
+        reply = await dispatcher.handle(make_request())
+        assert len(transport.asked_hosts) == 3
         assert reply.outcome == Outcome.UNKNOWN
         assert reply.reason == Reason.CONNECTION_BROKEN
 
-    async def test_a_refusal_that_time_will_not_mend_is_final(self):
+    async def test_permanent_refusal_is_not_retried(self):
         for reason in (Reason.DEADLINE_EXCEEDED, Reason.TRIES_EXHAUSTED):
-            made, hosts = make_entry(refused(reason))
-            await made.handle(make_request())
-            assert len(hosts.asked_hosts) == 1
+            dispatcher, transport = make_dispatcher(refuse_all(reason))
+            await dispatcher.handle(make_request())
+            assert len(transport.asked_hosts) == 1
 
-    async def test_a_host_that_did_nothing_costs_no_try(self):
+    async def test_redirects_are_free_but_bounded(self):
         """Two of six hosts leave and one is dead while views lag.
 
         None of them touched the call, so it goes on without a try, even for
         an operation that has none; but not for ever.
         """
-        tired = [
+        refusals = [
             calls.not_run_reply(Reason.LEAVING),
             calls.not_run_reply(Reason.LEAVING),
         ]
-        tired.append(errors.PeerUnreachableError("dead"))
+        refusals.append(errors.PeerUnreachableError("dead"))
 
         def script(host, call):
-            return tired.pop() if tired else answer(host, call)
+            return refusals.pop() if refusals else respond(host, call)
 
-        made, hosts = make_entry(script)
+        dispatcher, transport = make_dispatcher(script)
         request = make_request(idempotent=False, granted=0)
-        reply = await made.handle(request)
+        reply = await dispatcher.handle(request)
         assert reply.outcome == Outcome.ANSWERED
-        made, hosts = make_entry(refused(Reason.LEAVING))
-        await made.handle(make_request(idempotent=False, granted=0))
-        assert len(hosts.asked_hosts) == 1 + dispatch.MAX_REDIRECTS
+        dispatcher, transport = make_dispatcher(refuse_all(Reason.LEAVING))
+        await dispatcher.handle(make_request(idempotent=False, granted=0))
+        assert len(transport.asked_hosts) == 1 + dispatch.MAX_REDIRECTS
 
-    async def test_a_try_without_a_host_left_is_given_back(self):
+    async def test_retry_without_a_host_is_refunded(self):
         """Both hosts of a service refuse a call that has nine extra tries.
 
         The second attempt costs one. The third finds no host that was not
         tried, so it makes no attempt: its try goes back to the tree and to
         the retry ratio.
         """
-        made, hosts = make_entry(refused(), names=HOSTS[:2], burst=3, ratio=0)
+        dispatcher, transport = make_dispatcher(
+            refuse_all(), names=HOSTS[:2], burst=3, ratio=0
+        )
         request = make_request()
-        await made.handle(request)
-        assert len(hosts.asked_hosts) == 2
+        await dispatcher.handle(request)
+        assert len(transport.asked_hosts) == 2
         assert request.allowance.remaining == 9 - 1
-        assert made.dependencies.retry_budget.tokens["stock"] == 3 - 1
+        assert dispatcher.dependencies.retry_budget.tokens["stock"] == 3 - 1
 
-    async def test_tries_given_down_come_back_once(self):
+    async def test_lent_retries_are_reclaimed_at_most_once(self):
         def script(host, call):
             return messages.Reply(outcome=Outcome.ANSWERED, tries_left=99)
 
-        made, _ = make_entry(script)
+        dispatcher, _ = make_dispatcher(script)
         request = make_request(granted=8)
-        await made.handle(request)
+        await dispatcher.handle(request)
         assert request.allowance.remaining == 8
-        made, _ = make_entry(lambda host, call: None)
+        dispatcher, _ = make_dispatcher(lambda host, call: None)
         request = make_request(granted=8, seconds=1)
-        reply = await made.handle(request)
+        reply = await dispatcher.handle(request)
         assert reply.reason == Reason.DEADLINE_EXCEEDED
         assert request.allowance.remaining == 4
 
 
 @pytest.mark.looptime
-class TestOwned:
+class TestKeyedCalls:
     """Keyed calls that must not run twice."""
 
-    async def test_they_go_to_the_owner_of_the_key(self):
-        made, hosts = make_entry(answer)
+    async def test_keyed_call_goes_to_the_key_owner(self):
+        dispatcher, transport = make_dispatcher(respond)
         request = make_request(idempotent=False, key="k1")
-        await made.handle(request)
-        view = made.dependencies.views.value["stock"]
+        await dispatcher.handle(request)
+        view = dispatcher.dependencies.views.value["stock"]
         owner = keyslots.owner(view, keyslots.slot_of("k1"))
-        assert hosts.asked_hosts == [owner.host]
-        assert hosts.calls[0].key == "k1"
+        assert transport.asked_hosts == [owner.host]
+        assert transport.calls[0].key == "k1"
 
     @pytest.mark.parametrize("reason", [Reason.OVERLOADED, Reason.KEY_REUSED])
-    async def test_the_owners_refusal_is_final(self, reason):
-        made, hosts = make_entry(refused(reason))
-        await made.handle(make_request(idempotent=False, key="k"))
-        assert len(hosts.asked_hosts) == 1
+    async def test_refusal_by_the_key_owner_is_final(self, reason):
+        dispatcher, transport = make_dispatcher(refuse_all(reason))
+        await dispatcher.handle(make_request(idempotent=False, key="k"))
+        assert len(transport.asked_hosts) == 1
 
-    async def test_a_new_owner_is_looked_up_a_few_times(self):
+    async def test_key_owner_is_looked_up_a_bounded_number_of_times(self):
         """The owner of a key changes while a booking is on its way.
 
         The former owner refuses it unrun.  The view is looked up again, and
         the new owner runs it; a view that stays wrong ends in a refusal.
         """
-        made, hosts = make_entry(None, names=("a", "b"))
+        dispatcher, transport = make_dispatcher(None, names=("a", "b"))
         request = make_request(idempotent=False, key="k")
-        view = made.dependencies.views.value["stock"]
+        view = dispatcher.dependencies.views.value["stock"]
         owner = keyslots.owner(view, keyslots.slot_of("k")).host
 
         def script(host, call):
             if host != owner:
-                return answer(host, call)
-            made.dependencies.views.value = Views([OTHER_HOST[owner]]).value
+                return respond(host, call)
+            dispatcher.dependencies.views.value = FakeViews(
+                [OTHER_HOST[owner]]
+            ).value
             return calls.not_run_reply(Reason.NOT_OWNER)
 
-        hosts.script = script
-        reply = await made.handle(request)
+        transport.script = script
+        reply = await dispatcher.handle(request)
         assert reply.outcome == Outcome.ANSWERED
-        assert hosts.asked_hosts == [owner, OTHER_HOST[owner]]
-        made, hosts = make_entry(refused(Reason.NOT_OWNER))
-        reply = await made.handle(make_request(idempotent=False, key="k"))
+        assert transport.asked_hosts == [owner, OTHER_HOST[owner]]
+        dispatcher, transport = make_dispatcher(refuse_all(Reason.NOT_OWNER))
+        reply = await dispatcher.handle(make_request(idempotent=False, key="k"))
         assert reply.reason == Reason.NOT_OWNER
-        assert len(hosts.asked_hosts) == 1 + dispatch.MAX_REDIRECTS
+        assert len(transport.asked_hosts) == 1 + dispatch.MAX_REDIRECTS
 
-    async def test_without_a_lease_nothing_is_sent(self):
-        made, hosts = make_entry(answer)
-        made.dependencies.lease.held = False
-        reply = await made.handle(make_request(idempotent=False, key="k"))
+    async def test_non_idempotent_call_is_not_sent_without_a_lease(self):
+        dispatcher, transport = make_dispatcher(respond)
+        dispatcher.dependencies.lease.held = False
+        reply = await dispatcher.handle(make_request(idempotent=False, key="k"))
         assert (reply.outcome, reply.reason) == (
             Outcome.NOT_RUN,
             Reason.NO_LEASE,
         )
-        assert not hosts.asked_hosts
-        assert (await made.handle(make_request())).outcome == Outcome.ANSWERED
+        assert not transport.asked_hosts
+        assert (
+            await dispatcher.handle(make_request())
+        ).outcome == Outcome.ANSWERED
 
 
 @pytest.mark.looptime
-class TestGivingUp:
+class TestShutdown:
     """Calls in flight when a node ends."""
 
-    async def test_a_call_that_was_refused_everywhere_is_told_so(self):
+    async def test_refused_call_is_reported_as_not_run(self):
         """A caller must not send again what has never run."""
-        made, _ = make_entry(refused(), hop_tries=9, backoff=4.0)
+        dispatcher, _ = make_dispatcher(refuse_all(), hop_tries=9, backoff=4.0)
         request = make_request(idempotent=False, seconds=60)
-        asking = asyncio.create_task(made.handle(request))
+        handling = asyncio.create_task(dispatcher.handle(request))
         await asyncio.sleep(0.001)
-        assert not asking.done()
-        await made.in_flight.give_up()
-        reply = await asking
+        assert not handling.done()
+        await dispatcher.in_flight.give_up()
+        reply = await handling
         assert reply.outcome is messages.Outcome.NOT_RUN
 
     @pytest.mark.parametrize("order", ["answer-first", "cut-first"])
-    async def test_an_answer_that_came_with_the_cut_is_handed_on(self, order):
+    async def test_reply_that_arrives_during_shutdown_is_returned(self, order):
         """A whole answer is thrown away, and the caller told `unknown`."""
-        made, hosts = make_entry(answer)
+        dispatcher, transport = make_dispatcher(respond)
         loop = asyncio.get_running_loop()
-        come = loop.create_future()
+        response_ready = loop.create_future()
 
         async def ask(where, body, timeout):
             del where, timeout
-            await come
-            return answer("a", body)
+            await response_ready
+            return respond("a", body)
 
-        hosts.ask = ask
+        transport.ask = ask
         request = make_request(idempotent=False, seconds=60)
-        asking = asyncio.create_task(made.handle(request))
+        handling = asyncio.create_task(dispatcher.handle(request))
         await asyncio.sleep(0.001)
         if order == "answer-first":
             loop.call_later(
-                inflight.REFUSAL_DELIVERY_SECONDS, come.set_result, None
+                inflight.REFUSAL_DELIVERY_SECONDS,
+                response_ready.set_result,
+                None,
             )
-        giving_up = asyncio.create_task(made.in_flight.give_up())
+        giving_up = asyncio.create_task(dispatcher.in_flight.give_up())
         await asyncio.sleep(0)
         if order == "cut-first":
             loop.call_later(
-                inflight.REFUSAL_DELIVERY_SECONDS, come.set_result, None
+                inflight.REFUSAL_DELIVERY_SECONDS,
+                response_ready.set_result,
+                None,
             )
         await giving_up
-        reply = await asking
+        reply = await handling
         assert reply.outcome is messages.Outcome.ANSWERED
--- a/tests/test_remotetraffic.py
+++ b/tests/test_remotetraffic.py
@@ -32,9 +32,9 @@
             routingfakes.LOCAL_DATA_CENTRE,
             random.Random(5),
         )
-        near = routingfakes.member("near")
-        far = routingfakes.member("far", routingfakes.REMOTE_DATA_CENTRE)
-        self.router.update_views(routingfakes.view(1, near, far))
+        local = routingfakes.member("near")
+        remote = routingfakes.member("far", routingfakes.REMOTE_DATA_CENTRE)
+        self.router.update_views(routingfakes.view(1, local, remote))
         self.traffic = {"near": remotetraffic.RemoteTraffic()}
         self.traffic["far"] = remotetraffic.RemoteTraffic()
         self.remote_bytes = 0
@@ -52,30 +52,32 @@
             operation=READ,
         )
         self.router.record_call_start(routingfakes.QUOTES, member.host)
-        learned = self.traffic[member.host]
+        traffic = self.traffic[member.host]
         if member.host == "far":
             self.remote_bytes += (
                 remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES
             )
         elif not self.downstream_is_local:
             for _ in range(CALLS_PER_RUN):
-                learned.record_bytes(
+                traffic.record_bytes(
                     READ, remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES
                 )
                 self.remote_bytes += (
                     remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES
                 )
-        learned.record_run_end(READ, now)
-        seen = routing.Observation(
+        traffic.record_run_end(READ, now)
+        observation = routing.Observation(
             outcome=messages.Outcome.ANSWERED,
             operation=READ,
             status=200,
             response_bytes=RESPONSE_BYTES,
             inflight=self.load,
             limit=20,
-            remote_bytes=learned.bytes_per_run(READ, now),
+            remote_bytes=traffic.bytes_per_run(READ, now),
+        )
+        self.router.record_call_end(
+            routingfakes.QUOTES, member.host, observation
         )
-        self.router.record_call_end(routingfakes.QUOTES, member.host, seen)
         return member.host
 
     async def run_seconds(self, count):
@@ -88,54 +90,54 @@
 
 
 @pytest.mark.looptime
-class TestPlacing:
+class TestRunPlacement:
     """Where runs go when a data centre lacks the service below."""
 
-    async def test_runs_cross_in_place_of_their_calls(self):
+    async def test_runs_move_if_child_calls_are_remote(self):
         """Each answer waits for four far answers, one after the other.
 
         The only host near by for the service below went.  All four calls of
         a run cross, while a host elsewhere has that service beside it.
         """
-        world = Scenario()
-        assert await world.run_seconds(2) == 0
-        assert world.remote_bytes == 0
-        world.downstream_is_local = False
-        await world.run_seconds(20)
+        scenario = Scenario()
+        assert await scenario.run_seconds(2) == 0
+        assert scenario.remote_bytes == 0
+        scenario.downstream_is_local = False
+        await scenario.run_seconds(20)
         every_call = (
             20
             * RUNS_PER_SECOND
             * CALLS_PER_RUN
             * (remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES)
         )
-        assert world.remote_bytes < 0.4 * every_call
+        assert scenario.remote_bytes < 0.4 * every_call
 
-    async def test_they_come_back_when_the_service_does(self):
-        world = Scenario()
-        world.downstream_is_local = False
-        await world.run_seconds(10)
-        world.downstream_is_local = True
-        await world.run_seconds(25)
-        assert await world.run_seconds(5) == 0
+    async def test_runs_return_when_the_downstream_service_returns(self):
+        scenario = Scenario()
+        scenario.downstream_is_local = False
+        await scenario.run_seconds(10)
+        scenario.downstream_is_local = True
+        await scenario.run_seconds(25)
+        assert await scenario.run_seconds(5) == 0
 
-    async def test_a_full_host_elsewhere_is_left_alone(self):
+    async def test_runs_do_not_move_to_a_full_host(self):
         """Bytes are saved only where callers wait no longer for it."""
-        world = Scenario()
-        world.downstream_is_local = False
-        world.load = 18
-        assert await world.run_seconds(10) < 0.15
+        scenario = Scenario()
+        scenario.downstream_is_local = False
+        scenario.load = 18
+        assert await scenario.run_seconds(10) < 0.15
 
     @pytest.mark.parametrize("calls", [0, 1])
-    async def test_one_call_is_no_reason(self, calls):
+    async def test_run_with_at_most_one_child_call_stays(self, calls):
         """A run that makes one call would carry as much itself."""
-        world = Scenario()
-        learned = world.traffic["near"]
+        scenario = Scenario()
+        traffic = scenario.traffic["near"]
         for number in range(100):
             for _ in range(calls):
-                learned.record_bytes(
+                traffic.record_bytes(
                     READ, remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES
                 )
-            learned.record_run_end(READ, number / RUNS_PER_SECOND)
+            traffic.record_run_end(READ, number / RUNS_PER_SECOND)
         assert not remotetraffic.should_move_run(
-            learned.bytes_per_run(READ, 2.5), 0, RESPONSE_BYTES
+            traffic.bytes_per_run(READ, 2.5), 0, RESPONSE_BYTES
         )
--- a/tests/test_retryallowance.py
+++ b/tests/test_retryallowance.py
@@ -6,77 +6,85 @@
 
 from mangobay import errors, ids, retryallowance
 
-CALL = ids.CallId("call-1")
+CALL_ID = ids.CallId("call-1")
 
 
-class TestGrant:
+class TestRetryAllowance:
     """The tries of one subtree."""
 
-    def test_lends_half_rounded_up(self):
-        grant = retryallowance.RetryAllowance(3)
-        assert [grant.lend(), grant.lend(), grant.lend()] == [2, 1, 0]
+    def test_lend_returns_half_rounded_up(self):
+        allowance = retryallowance.RetryAllowance(3)
+        assert [allowance.lend(), allowance.lend(), allowance.lend()] == [
+            2,
+            1,
+            0,
+        ]
 
-    def test_a_reply_that_returns_too_much_makes_no_tries(self):
+    def test_reclaim_drops_retries_that_were_not_lent(self):
         """A broken peer returns more tries than it was lent.
 
         The node would then repeat calls that nobody granted, and the sum
         over the tree would pass the grant.  The surplus is cut.
         """
-        grant = retryallowance.RetryAllowance(4)
-        lent = grant.lend()
-        grant.reclaim(lent + 100)
-        assert grant.remaining == 4
-
-    def test_a_broken_sum_stops_the_action(self):
-        grant = retryallowance.RetryAllowance(4)
-        grant.remaining += 1
+        allowance = retryallowance.RetryAllowance(4)
+        lent = allowance.lend()
+        allowance.reclaim(lent + 100)
+        assert allowance.remaining == 4
+
+    def test_withdraw_raises_if_retries_are_not_conserved(self):
+        allowance = retryallowance.RetryAllowance(4)
+        allowance.remaining += 1
         with pytest.raises(errors.InvariantError):
-            grant.try_withdraw()
+            allowance.try_withdraw()
 
-    def test_a_late_reply_gives_nothing_back(self):
+    def test_reclaim_after_close_adds_no_retries(self):
         """The node's own reply has gone up when a child's reply comes.
 
         Its tries were counted as lost by then; taking them back would let
         both the node and its caller use them.
         """
-        grant = retryallowance.RetryAllowance(4)
-        lent = grant.lend()
-        assert grant.close() == 2
-        grant.reclaim(lent)
-        assert grant.remaining == 0
-        assert not grant.try_withdraw()
+        allowance = retryallowance.RetryAllowance(4)
+        lent = allowance.lend()
+        assert allowance.close() == 2
+        allowance.reclaim(lent)
+        assert allowance.remaining == 0
+        assert not allowance.try_withdraw()
 
 
-class TestRunning:
+class TestRunningCall:
     """A backend server that repeats its own child calls."""
 
-    def test_a_repeat_costs_a_try(self):
+    def test_repeated_child_call_is_charged(self):
         """A backend server's own client library retries a failed child call.
 
         With two tries for the subtree it gets two repeats through, then a
         refusal; a different child call is free of charge.
         """
-        running = retryallowance.RunningCalls().start(
-            CALL, retryallowance.RetryAllowance(2)
+        running_call = retryallowance.RunningCalls().start(
+            CALL_ID, retryallowance.RetryAllowance(2)
         )
-        made = [running.allow_child("GET", "/price/1", b"") for _ in range(4)]
-        assert made == [True, True, True, False]
-        assert running.allow_child("GET", "/price/2", b"")
-
-    def test_time_with_children_in_flight_counts_once(self):
-        running = retryallowance.RunningCall(retryallowance.RetryAllowance(0))
-        running.child_started(1.0)
-        running.child_started(2.0)
-        running.child_ended(3.0)
-        running.child_ended(5.0)
-        assert running.child_wait_seconds_at(9.0) == 4.0
-
-    def test_a_closed_call_is_unknown(self):
-        grants = retryallowance.RunningCalls()
-        grants.start(CALL, retryallowance.RetryAllowance(5))
-        assert grants.finish(CALL) == 5
-        assert grants.find(CALL) is None
-        assert grants.finish(CALL) == 0
+        allowed = [
+            running_call.allow_child("GET", "/price/1", b"") for _ in range(4)
+        ]
+        assert allowed == [True, True, True, False]
+        assert running_call.allow_child("GET", "/price/2", b"")
+
+    def test_overlapping_child_calls_count_once(self):
+        running_call = retryallowance.RunningCall(
+            retryallowance.RetryAllowance(0)
+        )
+        running_call.child_started(1.0)
+        running_call.child_started(2.0)
+        running_call.child_ended(3.0)
+        running_call.child_ended(5.0)
+        assert running_call.child_wait_seconds_at(9.0) == 4.0
+
+    def test_finished_call_is_not_found(self):
+        running_calls = retryallowance.RunningCalls()
+        running_calls.start(CALL_ID, retryallowance.RetryAllowance(5))
+        assert running_calls.finish(CALL_ID) == 5
+        assert running_calls.find(CALL_ID) is None
+        assert running_calls.finish(CALL_ID) == 0
 
 
 class RandomCallTree:
@@ -92,45 +100,49 @@
 
     def call(self, granted: int, depth: int) -> int | None:
         """Runs one call; returns the tries its reply brings, None if lost."""
-        grants = retryallowance.RunningCalls()
-        running = grants.start(CALL, retryallowance.RetryAllowance(granted))
+        running_calls = retryallowance.RunningCalls()
+        running_call = running_calls.start(
+            CALL_ID, retryallowance.RetryAllowance(granted)
+        )
         if depth:
             for child in range(self.data.draw(strategies.integers(0, 2))):
-                self.make_child_call(running, child, depth)
-        left = grants.finish(CALL)
-        return left if self.data.draw(strategies.booleans()) else None
+                self.make_child_call(running_call, child, depth)
+        remaining = running_calls.finish(CALL_ID)
+        return remaining if self.data.draw(strategies.booleans()) else None
 
     def make_child_call(
-        self, running: retryallowance.RunningCall, child: int, depth: int
+        self, running_call: retryallowance.RunningCall, child: int, depth: int
     ) -> None:
         """Makes a child call as often as the tries allow."""
         for repeat in range(1 + self.data.draw(strategies.integers(0, 3))):
-            if not running.allow_child("GET", f"/{child}", b""):
+            if not running_call.allow_child("GET", f"/{child}", b""):
                 return
             self.extra_attempts += repeat > 0
-            self.make_attempts(running.allowance, depth)
+            self.make_attempts(running_call.allowance, depth)
 
     def make_attempts(
-        self, grant: retryallowance.RetryAllowance, depth: int
+        self, allowance: retryallowance.RetryAllowance, depth: int
     ) -> None:
         """The node's own retry loop around one child call."""
         for attempt in range(1 + self.data.draw(strategies.integers(0, 2))):
-            if attempt and not grant.try_withdraw():
+            if attempt and not allowance.try_withdraw():
                 return
             self.extra_attempts += attempt > 0
-            back = self.call(grant.lend(), depth - 1)
-            if back is not None:
-                grant.reclaim(back)
+            returned = self.call(allowance.lend(), depth - 1)
+            if returned is not None:
+                allowance.reclaim(returned)
 
 
-class TestTree:
+class TestCallTree:
     """The sum over a whole call tree."""
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
     @hypothesis.given(
         strategies.data(), strategies.integers(0, 6), strategies.integers(1, 3)
     )
-    def test_extra_attempts_never_exceed_the_grant(self, data, granted, depth):
+    def test_retries_of_a_tree_never_exceed_the_grant(
+        self, data, granted, depth
+    ):
         """Backend servers and nodes repeat at every hop; replies get lost.
 
         Without conservation three tries a hop over four hops make 81
@@ -138,5 +150,5 @@
         stay within what the first node granted.
         """
         tree = RandomCallTree(data)
-        left = tree.call(granted, depth)
-        assert tree.extra_attempts + (left or 0) <= granted
+        remaining = tree.call(granted, depth)
+        assert tree.extra_attempts + (remaining or 0) <= granted
--- a/tests/test_retrybudget.py
+++ b/tests/test_retrybudget.py
@@ -9,47 +9,53 @@
 from mangobay.generated import messages
 
 
-class TestRetryRatio:
+class TestRetryBudget:
     """Retries of a service against its requests."""
 
-    def test_a_failing_service_gets_the_burst_and_a_share(self):
+    def test_failing_service_gets_burst_and_ratio(self):
         """Every call of a service fails and wants a retry.
 
         Without the ratio the load on it doubles just then.  The burst goes
         through, then one try for each ten requests.
         """
-        kept = retrybudget.RetryBudget(
+        budget = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.1, burst=5)
         )
-        taken = sum(kept.try_withdraw(routingfakes.QUOTES) for _ in range(100))
+        taken = sum(
+            budget.try_withdraw(routingfakes.QUOTES) for _ in range(100)
+        )
         assert taken == 5
         for _ in range(11):
-            kept.record_request(routingfakes.QUOTES)
-        taken = sum(kept.try_withdraw(routingfakes.QUOTES) for _ in range(100))
+            budget.record_request(routingfakes.QUOTES)
+        taken = sum(
+            budget.try_withdraw(routingfakes.QUOTES) for _ in range(100)
+        )
         assert taken == 1
 
-    def test_a_share_of_the_ratio_is_left_unspent(self):
+    def test_spent_setting_lowers_the_ratio(self):
         """A bound over all nodes is broken though each one keeps to it.
 
         Whoever counts looks at windows that begin at other moments.
         """
-        kept = retrybudget.RetryBudget(
+        budget = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.2, spent=0.9, burst=50)
         )
-        while kept.try_withdraw(routingfakes.QUOTES):
+        while budget.try_withdraw(routingfakes.QUOTES):
             pass
         for _ in range(101):
-            kept.record_request(routingfakes.QUOTES)
-        taken = sum(kept.try_withdraw(routingfakes.QUOTES) for _ in range(100))
+            budget.record_request(routingfakes.QUOTES)
+        taken = sum(
+            budget.try_withdraw(routingfakes.QUOTES) for _ in range(100)
+        )
         assert taken == 18
 
-    def test_critical_calls_are_tried_again_first(self):
+    def test_critical_calls_are_retried_first(self):
         """Half of all calls fail, and ten times the tries would be needed.
 
         Readers want most of them.  A booking needs four calls in a row; were
         each tried again as seldom as a reader's, it would be lost.
         """
-        kept = retrybudget.RetryBudget(
+        budget = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.2, burst=4)
         )
         taken = {importance: 0 for importance in messages.Importance}
@@ -58,74 +64,76 @@
             importance = messages.Importance.NORMAL
             if number % 8 == 0:
                 importance = messages.Importance.CRITICAL
-            kept.record_request(routingfakes.QUOTES)
-            if kept.try_withdraw(routingfakes.QUOTES, importance, now):
+            budget.record_request(routingfakes.QUOTES)
+            if budget.try_withdraw(routingfakes.QUOTES, importance, now):
                 taken[importance] += 1
         assert taken[messages.Importance.CRITICAL] == 125
         assert taken[messages.Importance.NORMAL] > 50
 
     @pytest.mark.parametrize(("nodes", "taken"), [(5, 4), (58, 1), (9999, 1)])
-    def test_many_nodes_save_less_each(self, nodes, taken):
+    def test_burst_shrinks_with_the_number_of_nodes(self, nodes, taken):
         """A service begins to fail, and every node has tries saved up.
 
         Together they may spend a hundred; with four at each of 58 nodes, 232
         attempts came at the service at once.
         """
-        kept = retrybudget.RetryBudget(
+        budget = retrybudget.RetryBudget(
             routingfakes.section("retries", burst=4, slack=100)
         )
-        kept.set_node_count(nodes)
+        budget.set_node_count(nodes)
         for _ in range(100):
-            kept.record_request(routingfakes.QUOTES)
-        tries = [kept.try_withdraw(routingfakes.QUOTES) for _ in range(10)]
-        assert sum(tries) == taken
+            budget.record_request(routingfakes.QUOTES)
+        results = [budget.try_withdraw(routingfakes.QUOTES) for _ in range(10)]
+        assert sum(results) == taken
 
     @pytest.mark.parametrize("slack", [0, 100])
-    def test_without_a_burst_nothing_is_tried_again(self, slack):
+    def test_zero_burst_allows_no_retries(self, slack):
         """An operator switches extra tries off, and critical calls fail.
 
         What is kept for those must not let one of the others through.
         """
-        kept = retrybudget.RetryBudget(
+        budget = retrybudget.RetryBudget(
             routingfakes.section("retries", burst=0, slack=slack)
         )
-        kept.set_node_count(10)
+        budget.set_node_count(10)
         critical = messages.Importance.CRITICAL
         for importance in (critical, messages.Importance.NORMAL) * 3:
-            kept.record_request(routingfakes.QUOTES)
-            assert not kept.try_withdraw(routingfakes.QUOTES, importance, 5.0)
+            budget.record_request(routingfakes.QUOTES)
+            assert not budget.try_withdraw(routingfakes.QUOTES, importance, 5.0)
 
-    def test_nothing_is_kept_where_no_critical_call_fails(self):
-        kept = retrybudget.RetryBudget(routingfakes.section("retries", burst=4))
+    def test_no_reserve_without_critical_retries(self):
+        budget = retrybudget.RetryBudget(
+            routingfakes.section("retries", burst=4)
+        )
         for _ in range(4):
-            assert kept.try_withdraw(routingfakes.QUOTES)
+            assert budget.try_withdraw(routingfakes.QUOTES)
 
-    def test_calls_of_a_repeated_run_count_as_tries(self):
+    def test_child_calls_of_a_retried_call_take_tokens(self):
         """A run is tried again, and makes four calls of its own once more.
 
         Whoever counts attempts at the service below sees five for one.  The
         calls are paid before anybody there is tried again.
         """
-        kept = retrybudget.RetryBudget(
+        budget = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.5, burst=2)
         )
         for _ in range(4):
-            kept.record_request(routingfakes.QUOTES, repeat=True)
+            budget.record_request(routingfakes.QUOTES, repeat=True)
         for _ in range(5):
-            assert not kept.try_withdraw(routingfakes.QUOTES)
-            kept.record_request(routingfakes.QUOTES)
-        kept.record_request(routingfakes.QUOTES)
-        assert kept.try_withdraw(routingfakes.QUOTES)
+            assert not budget.try_withdraw(routingfakes.QUOTES)
+            budget.record_request(routingfakes.QUOTES)
+        budget.record_request(routingfakes.QUOTES)
+        assert budget.try_withdraw(routingfakes.QUOTES)
 
 
 class TestBackoff:
     """The wait before another try."""
 
-    def test_stays_inside_the_time_left(self):
-        dice = random.Random(routingfakes.SEED)
-        waits = [retrybudget.backoff(0.01, 40, 0.3, dice) for _ in range(200)]
+    def test_backoff_is_below_the_remaining_time(self):
+        rng = random.Random(routingfakes.SEED)
+        waits = [retrybudget.backoff(0.01, 40, 0.3, rng) for _ in range(200)]
         assert all(0 <= wait < 0.3 for wait in waits)
 
-    def test_no_time_left(self):
-        dice = random.Random(routingfakes.SEED)
-        assert retrybudget.backoff(0.01, 1, 0.0, dice) is None
+    def test_no_backoff_without_remaining_time(self):
+        rng = random.Random(routingfakes.SEED)
+        assert retrybudget.backoff(0.01, 1, 0.0, rng) is None
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -31,13 +31,15 @@
     return router.pick(fakes.QUOTES, set(), NORMAL, 1, **options).host
 
 
-def answer(router: routing.Router, host: ids.HostId, seen) -> None:
+def complete_call(
+    router: routing.Router, host: ids.HostId, observation
+) -> None:
     """Sends a call to the host and ends it with this observation."""
     router.record_call_start(fakes.QUOTES, host)
-    router.record_call_end(fakes.QUOTES, host, seen)
+    router.record_call_end(fakes.QUOTES, host, observation)
 
 
-def refusing(threshold: int) -> routing.Observation:
+def refusal(threshold: int) -> routing.Observation:
     """Returns a refusal with this threshold."""
     return routing.Observation(
         outcome=messages.Outcome.NOT_RUN,
@@ -46,7 +48,7 @@
     )
 
 
-def loaded(inflight: int, status: int = 200) -> routing.Observation:
+def response_with_load(inflight: int, status: int = 200) -> routing.Observation:
     """Returns an answer of a host with a limit of 20 and this many calls."""
     return routing.Observation(
         outcome=messages.Outcome.ANSWERED,
@@ -57,7 +59,7 @@
 
 
 @pytest.mark.looptime
-class TestSpill:
+class TestSpillover:
     """When a call leaves its data centre."""
 
     def make(self):
@@ -65,30 +67,30 @@
             fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
         )
 
-    async def test_while_calls_queue_at_the_near_host(self):
+    async def test_spills_over_if_calls_queue_at_the_local_host(self):
         """One data centre's callers wait while another's hosts stand idle.
 
         The near host has more calls than its limit and the far one few.
         """
         router = self.make()
-        answer(router, ids.HostId("a"), loaded(30))
-        answer(router, ids.HostId("b"), loaded(6))
+        complete_call(router, ids.HostId("a"), response_with_load(30))
+        complete_call(router, ids.HostId("b"), response_with_load(6))
         assert {pick(router) for _ in range(50)} == {"b"}
 
-    async def test_not_to_a_host_that_is_as_full(self):
+    async def test_stays_local_if_the_remote_host_is_as_full(self):
         router = self.make()
-        answer(router, ids.HostId("a"), loaded(19))
-        answer(router, ids.HostId("b"), loaded(18))
+        complete_call(router, ids.HostId("a"), response_with_load(19))
+        complete_call(router, ids.HostId("b"), response_with_load(18))
         assert {pick(router) for _ in range(50)} == {"a"}
 
-    async def test_the_near_host_is_tried_again(self):
+    async def test_local_host_is_tried_again(self):
         router = self.make()
-        answer(router, ids.HostId("a"), loaded(30))
-        answer(router, ids.HostId("b"), loaded(6))
+        complete_call(router, ids.HostId("a"), response_with_load(30))
+        complete_call(router, ids.HostId("b"), response_with_load(6))
         await asyncio.sleep(2)
         assert {pick(router) for _ in range(50)} == {"a"}
 
-    async def test_where_the_near_host_fails_part_of_the_calls(self):
+    async def test_spills_over_if_the_local_host_fails_some_calls(self):
         """Callers of one data centre get errors, those of another none.
 
         The near backend server fails one in five calls while its health
@@ -97,15 +99,17 @@
         router = self.make()
         for number in range(90):
             status = 500 if number % 5 == 0 else 200
-            answer(router, ids.HostId("a"), loaded(2, status))
+            complete_call(
+                router, ids.HostId("a"), response_with_load(2, status)
+            )
         assert {pick(router) for _ in range(50)} == {"b"}
         await asyncio.sleep(10)
         assert {pick(router) for _ in range(50)} == {"a"}
 
-    async def test_not_where_every_host_fails(self):
+    async def test_stays_local_if_every_host_fails(self):
         router = self.make()
         for host in ("a", "b") * 40:
-            answer(router, ids.HostId(host), loaded(2, 500))
+            complete_call(router, ids.HostId(host), response_with_load(2, 500))
         assert {pick(router) for _ in range(50)} == {"a"}
 
 
@@ -113,7 +117,7 @@
 class TestSlowHost:
     """A backend server that turned slow, with room for more calls."""
 
-    async def test_callers_are_led_to_one_that_answers_in_time(self):
+    async def test_calls_move_to_a_host_that_responds_in_time(self):
         """Callers of one data centre get every answer too late.
 
         Their own host needs four times as long as before, and has so few
@@ -126,7 +130,7 @@
         assert late[:5] == [True] * 5
         assert sum(late[100:]) < 60
 
-    async def test_few_calls_are_enough_to_tell(self):
+    async def test_slow_host_is_detected_with_few_calls(self):
         """A node with two calls a second stays with a slow host for ever.
 
         What each late answer adds fades before the next one comes.
@@ -141,23 +145,23 @@
             await asyncio.sleep(0.5)
         assert sum(late[20:]) <= 12
 
-    async def test_where_all_are_slow_callers_stay(self):
+    async def test_stays_local_if_every_host_is_slow(self):
         router = make_router(
             fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
         )
         hosts = []
         for _ in range(300):
             hosts.append(pick(router))
-            answer(router, hosts[-1], self.seen(late=True))
+            complete_call(router, hosts[-1], self.make_observation(late=True))
         assert hosts.count("a") > 240
 
     def call(self, router, slow):
         """Sends a call; returns whether its answer came late."""
         host = pick(router)
-        answer(router, host, self.seen(late=host == slow))
+        complete_call(router, host, self.make_observation(late=host == slow))
         return host == slow
 
-    def seen(self, late):
+    def make_observation(self, late):
         """Returns an answer of a host that is half full."""
         return routing.Observation(
             outcome=messages.Outcome.ANSWERED,
@@ -172,17 +176,17 @@
 class TestPick:
     """Which host a call goes to."""
 
-    async def test_own_data_centre_first(self):
+    async def test_prefers_the_local_data_centre(self):
         router = make_router(
             fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
         )
         assert {pick(router) for _ in range(50)} == {"a"}
 
-    async def test_spills_over_when_the_near_host_refuses(self):
+    async def test_spills_over_if_the_local_host_refuses(self):
         router = make_router(
             fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
         )
-        answer(router, ids.HostId("a"), refusing(2 * 256))
+        complete_call(router, ids.HostId("a"), refusal(2 * 256))
         assert {pick(router) for _ in range(50)} == {"b"}
 
     async def test_spills_over_while_the_backend_server_sheds(self):
@@ -199,12 +203,12 @@
             reason=messages.Reason.BACKEND_SHED,
         )
         for _ in range(20):
-            answer(router, ids.HostId("a"), shed)
+            complete_call(router, ids.HostId("a"), shed)
         assert {pick(router) for _ in range(50)} == {"b"}
         await asyncio.sleep(1)
         assert pick(router) == "a"
 
-    async def test_outstanding_calls_spread(self):
+    async def test_outstanding_calls_are_balanced(self):
         router = make_router(
             fakes.member("a"), fakes.member("b"), fakes.member("c")
         )
@@ -215,7 +219,7 @@
             sent[host] += 1
         assert max(sent.values()) - min(sent.values()) <= 6
 
-    async def test_a_leaving_host_gets_nothing(self):
+    async def test_leaving_host_receives_no_calls(self):
         """The host says on a reply that it is leaving; the view lags.
 
         Calls sent there in the meantime would only be refused, so its own
@@ -225,10 +229,10 @@
         leaving = routing.Observation(
             outcome=messages.Outcome.NOT_RUN, reason=messages.Reason.LEAVING
         )
-        answer(router, ids.HostId("a"), leaving)
+        complete_call(router, ids.HostId("a"), leaving)
         assert {pick(router) for _ in range(50)} == {"b"}
 
-    async def test_nobody_left(self):
+    async def test_no_host_left_raises(self):
         router = make_router(fakes.member("a"))
         with pytest.raises(routing.NoHostError):
             router.pick(fakes.QUOTES, {ids.HostId("a")}, NORMAL, 1)
@@ -238,7 +242,7 @@
 class TestEarlyRefusal:
     """Refusing at the first node what a deeper hop refuses."""
 
-    async def test_refuses_then_sees_the_threshold_fall(self):
+    async def test_refuses_until_a_call_finds_the_threshold_lowered(self):
         """Every host says that it admits only important calls.
 
         Callers get refusals at once, but for a few calls that go on.  Once
@@ -246,7 +250,7 @@
         """
         router = make_router(fakes.member("a"))
         host = ids.HostId("a")
-        answer(router, host, refusing(3 * 256))
+        complete_call(router, host, refusal(3 * 256))
         refused = 0
         for _ in range(300):
             try:
@@ -255,10 +259,10 @@
                 assert error.retry_after > 0
                 refused += 1
         assert 270 <= refused < 300
-        answer(router, host, fakes.ANSWERED)
+        complete_call(router, host, fakes.ANSWERED)
         assert pick(router) == host
 
-    async def test_only_the_operation_refused_below_is_refused(self):
+    async def test_refuses_only_the_operation_refused_downstream(self):
         """Prices need a service in trouble, stock does not.
 
         The host admits everything itself.  Calls for prices are refused at
@@ -266,19 +270,19 @@
         """
         router = make_router(fakes.member("a"))
         price, stock = map(ids.OperationName, ("price", "stock"))
-        seen = dataclasses.replace(
+        observation = dataclasses.replace(
             fakes.ANSWERED, operation=price, downstream_threshold=2 * 256
         )
-        answer(router, ids.HostId("a"), seen)
+        complete_call(router, ids.HostId("a"), observation)
         router.rng = random.Random(fakes.SEED)
         with pytest.raises(routing.EarlyRefusalError) as refused:
             pick(router, operation=price)
         assert refused.value.threshold == 2 * 256
         assert pick(router, operation=stock) == "a"
 
-    async def test_critical_is_never_refused_early(self):
+    async def test_critical_calls_are_never_refused_early(self):
         router = make_router(fakes.member("a"))
-        answer(router, ids.HostId("a"), refusing(3 * 256))
+        complete_call(router, ids.HostId("a"), refusal(3 * 256))
         for _ in range(50):
             router.pick(fakes.QUOTES, set(), messages.Importance.CRITICAL, 1)
 
@@ -287,7 +291,7 @@
 class TestEjection:
     """Hosts that keep failing."""
 
-    async def test_a_bounded_share_is_ejected(self):
+    async def test_ejected_share_is_bounded(self):
         """All three hosts break every call, as when the network is cut.
 
         Ejecting all would turn a partial outage into a whole one, so at
@@ -297,11 +301,11 @@
             fakes.member("a"), fakes.member("b"), fakes.member("c")
         )
         for _ in range(100):
-            answer(router, pick(router), fakes.BROKEN)
-        left = {pick(router) for _ in range(100)}
-        assert len(left) == 2
+            complete_call(router, pick(router), fakes.BROKEN)
+        remaining = {pick(router) for _ in range(100)}
+        assert len(remaining) == 2
 
-    async def test_a_restarted_host_is_not_ejected_for_its_former_life(self):
+    async def test_restarted_host_is_not_ejected_for_earlier_failures(self):
         """A host is killed with ten calls in flight and announces itself anew.
 
         The calls break after the view was updated. They say nothing about
@@ -322,38 +326,38 @@
     async def test_sheds_do_not_eject(self):
         router = make_router(fakes.member("a"), fakes.member("b"))
         for host in ("a", "b", "a", "b") * 10:
-            answer(router, ids.HostId(host), refusing(0))
+            complete_call(router, ids.HostId(host), refusal(0))
         assert not router.services[fakes.QUOTES].outliers.records
 
-    async def test_one_idempotent_call_probes_it_back(self):
+    async def test_one_idempotent_call_probes_an_ejected_host(self):
         """A host was ejected and its time is up; is it well again?
 
         A non-idempotent call must not find out, and a crowd of calls must
         not fall on it.  One idempotent call goes; its answer brings the host
         back, with a share of calls that ramps up.
         """
-        router, bad = await self.make_due()
+        router, bad = await self.make_probe_due()
         assert bad not in {pick(router) for _ in range(50)}
         probes = [pick(router, idempotent=True) for _ in range(50)]
         assert probes.count(bad) == 1
-        answer(router, bad, fakes.ANSWERED)
+        complete_call(router, bad, fakes.ANSWERED)
         assert bad in {pick(router) for _ in range(200)}
 
-    async def make_due(self) -> tuple[routing.Router, ids.HostId]:
+    async def make_probe_due(self) -> tuple[routing.Router, ids.HostId]:
         """Returns a router and a host whose time out of use is just up."""
         router = make_router(
             fakes.member("a"), fakes.member("b"), fakes.member("c")
         )
         bad = ids.HostId("a")
         for _ in range(5):
-            answer(router, bad, fakes.BROKEN)
+            complete_call(router, bad, fakes.BROKEN)
         await asyncio.sleep(2.1)
         return router, bad
 
-    async def test_a_failed_probe_doubles_the_time(self):
-        router, bad = await self.make_due()
+    async def test_failed_probe_doubles_the_ejection_time(self):
+        router, bad = await self.make_probe_due()
         assert pick(router, idempotent=True) == bad
-        answer(router, bad, fakes.BROKEN)
+        complete_call(router, bad, fakes.BROKEN)
         await asyncio.sleep(2.1)
         assert pick(router, idempotent=True) != bad
         await asyncio.sleep(2.1)
@@ -364,7 +368,7 @@
 class TestSlowStart:
     """A host that was just started."""
 
-    async def test_its_share_ramps_up(self):
+    async def test_share_of_a_new_host_ramps_up(self):
         """A third host joins cold, at a service under steady load.
 
         With a third of the calls at once it would time out on all of them.
@@ -393,10 +397,10 @@
 
 
 @pytest.mark.looptime
-class TestHints:
+class TestReportedLoad:
     """What a host says of its own load."""
 
-    async def test_a_host_that_lies_does_not_draw_the_calls(self):
+    async def test_wrong_reported_load_does_not_attract_calls(self):
         """A stuck host says that it is idle; the others say they are full.
 
         Its calls do not come back, and this node's own count of them keeps
@@ -411,17 +415,17 @@
         full = routing.Observation(
             outcome=messages.Outcome.ANSWERED, inflight=20, limit=20
         )
-        liar = ids.HostId("a")
-        answer(router, liar, idle)
-        stuck = 0
+        stuck_host = ids.HostId("a")
+        complete_call(router, stuck_host, idle)
+        stuck_calls = 0
         for _ in range(300):
             host = pick(router)
             router.record_call_start(fakes.QUOTES, host)
-            if host == liar:
-                stuck += 1
+            if host == stuck_host:
+                stuck_calls += 1
             else:
                 router.record_call_end(fakes.QUOTES, host, full)
-        assert stuck <= 4
+        assert stuck_calls <= 4
 
 
 class Cluster:
@@ -445,15 +449,15 @@
         if self.rng.random() < 0.3:
             self.members.pop(name, None)
         else:
-            made = fakes.member(
+            member = fakes.member(
                 name,
                 self.rng.choice(
                     [fakes.LOCAL_DATA_CENTRE, fakes.REMOTE_DATA_CENTRE]
                 ),
                 str(self.rng.randrange(3)),
             )
-            made.leaving = self.rng.random() < 0.3
-            self.members[name] = made
+            member.leaving = self.rng.random() < 0.3
+            self.members[name] = member
         self.version += 1
         self.router.update_views(
             fakes.view(self.version, *self.members.values())
@@ -461,12 +465,12 @@
 
     def call(self) -> None:
         """Picks a host; checks that it may be picked."""
-        excluding = {ids.HostId(f"host-{self.rng.randrange(8)}")}
+        excluded = {ids.HostId(f"host-{self.rng.randrange(8)}")}
         idempotent = self.rng.random() < 0.5
         try:
-            found = self.router.pick(
+            member = self.router.pick(
                 fakes.QUOTES,
-                excluding,
+                excluded,
                 messages.Importance(self.rng.randrange(4)),
                 1,
                 idempotent=idempotent,
@@ -475,33 +479,37 @@
         except (routing.NoHostError, routing.EarlyRefusalError):
             return
         self.picked += 1
-        assert found.host not in excluding
-        assert not self.members[found.host].leaving
-        self.router.record_call_start(fakes.QUOTES, found.host)
-        self.in_flight.append(found.host)
+        assert member.host not in excluded
+        assert not self.members[member.host].leaving
+        self.router.record_call_start(fakes.QUOTES, member.host)
+        self.in_flight.append(member.host)
 
     def end(self) -> None:
         """Ends a random call in a random way."""
         if not self.in_flight:
             return
-        place = self.rng.randrange(len(self.in_flight))
-        seen = self.rng.choice(
-            [fakes.ANSWERED, fakes.BROKEN, fakes.BROKEN, refusing(500)]
+        index = self.rng.randrange(len(self.in_flight))
+        observation = self.rng.choice(
+            [fakes.ANSWERED, fakes.BROKEN, fakes.BROKEN, refusal(500)]
         )
         self.router.record_call_end(
-            fakes.QUOTES, self.in_flight.pop(place), seen
+            fakes.QUOTES, self.in_flight.pop(index), observation
         )
 
     def check(self) -> None:
         """Asserts what holds at any time."""
-        known = self.router.services[fakes.QUOTES]
-        assert known.hosts.keys() == self.members.keys()
-        assert known.outliers.records.keys() <= known.hosts.keys()
-        assert all(host.outstanding >= 0 for host in known.hosts.values())
+        service_hosts = self.router.services[fakes.QUOTES]
+        assert service_hosts.hosts.keys() == self.members.keys()
+        assert (
+            service_hosts.outliers.records.keys() <= service_hosts.hosts.keys()
+        )
+        assert all(
+            host.outstanding >= 0 for host in service_hosts.hosts.values()
+        )
 
 
 @pytest.mark.looptime
-class TestRandomRuns:
+class TestRandomEvents:
     """Hosts come, go, fail and return while calls are in flight."""
 
     @pytest.mark.parametrize("seed", range(4))
