--- a/mangobay/calls.py
+++ b/mangobay/calls.py
@@ -1,4 +1,4 @@
-"""What both sides of a call share."""
+"""Types shared by the dispatching and the serving side of a call."""
 
 import dataclasses
 import typing
@@ -13,15 +13,15 @@
 Reason = messages.Reason
 
 DEFAULT_DEADLINE = 5.0
-"""Seconds, where neither the sheet nor the caller gives a deadline."""
+"""Deadline in seconds if neither the sheet nor the caller sets one."""
 
 
 class RequestError(errors.MangobayError):
-    """An HTTP request was refused before it became a call.
+    """An HTTP request is refused before it becomes a call.
 
     Attributes:
-      reason: why.
-      retry_after: seconds after which the caller may come back, 0 for no word.
+      reason: Reason of the refusal.
+      retry_after: Seconds after which the caller may retry, 0 if unknown.
     """
 
     def __init__(self, reason: Reason, detail: str, retry_after: float = 0.0):
@@ -31,17 +31,17 @@
 
 
 THRESHOLD_REFUSALS = frozenset({Reason.OVERLOADED, Reason.QUEUE_TIMEOUT})
-"""Refusals that say what the services below admit."""
+"""Reasons of refusals that report the thresholds of downstream services."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Process:
-    """This run of the node.
+    """Identity of a node process.
 
     Attributes:
-      host: its name in the settings.
-      data_centre: where it stands.
-      incarnation: fresh at each start.
+      host: Name of the host in the settings.
+      data_centre: Data centre of the host.
+      incarnation: Id that is new at each start.
     """
 
     host: ids.HostId
@@ -51,24 +51,27 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Request:
-    """A call as it enters at a node, from outside or from a backend server.
+    """A call that a node receives from outside or from a backend server.
 
     Attributes:
-      operation: what the table says of it, at the revision.
-      revision: the table under which the whole call is judged.
-      target: path below the service, with the query.
-      headers: those that are passed on.
-      caller: the calling service, or OUTSIDE.
-      client: who entered the call tree.
-      importance: of the whole call tree.
-      depth: hops from the first node.
-      deadline: loop time.
-      allowance: extra tries for this call and what is below it.
-      key: idempotency key, empty without.
-      trace: where the call stands in its trace.
-      tree: names the call tree to admission and routing.
-      parent_operation: the operation of whose run here it is a part, empty for none.
-      repeat: it is made by a run that is itself another attempt.
+      operation: Operation in the table of the revision.
+      revision: Revision of the table that applies to the whole call.
+      target: Path within the service, with the query.
+      headers: Headers that are forwarded.
+      body: Body of the request.
+      caller: The calling service, or `ids.OUTSIDE`.
+      client: Client at the root of the call tree.
+      importance: Importance of the whole call tree.
+      depth: Hops from the first node.
+      deadline: Loop time of the deadline.
+      allowance: Retry allowance of this call and its descendants.
+      key: Idempotency key, or empty.
+      trace: Trace context of the call.
+      tree: Id of the call tree for admission and routing.
+      parent_operation: Operation of the running call on this host that makes
+        this call, or empty.
+      repeat: Whether the call or one of its ancestors is a retry of a call that
+        may have reached a backend server.
     """
 
     operation: messages.Operation
@@ -89,7 +92,7 @@
     repeat: bool = False
 
     def inherit_from(self, parent_call: messages.Call) -> None:
-        """Takes the rank of the run that the call is made for."""
+        """Inherits importance, depth and call tree from the parent call."""
         self.importance = parent_call.importance
         self.depth = parent_call.depth + 1
         self.tree = parent_call.tree
@@ -98,18 +101,18 @@
 
     @property
     def requires_owner(self) -> bool:
-        """Whether only the owner of its key may run it."""
+        """Whether only the owner of the idempotency key may run the call."""
         return bool(self.key) and not self.operation.idempotent
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Parent:
-    """A call that runs at the backend server here, and may have children.
+    """A call that runs at the backend server on this host.
 
     Attributes:
-      call: as it came.
-      deadline: loop time.
-      running_call: its tries and its child calls.
+      call: The message that was received.
+      deadline: Loop time of the deadline.
+      running_call: Retry allowance and child calls of the call.
     """
 
     call: messages.Call
@@ -118,12 +121,17 @@
 
     @property
     def trace(self) -> httpheaders.TraceContext:
-        """The trace of the tree, with this call's span as the parent."""
+        """Trace context of child calls, with this call's span as the parent."""
         return httpheaders.child_trace(self.call.traceparent, self.call.call_id)
 
 
 def not_run_reply(reason: Reason, retry_after: float = 0.0) -> messages.Reply:
-    """Returns the reply of a call of which nothing ran; retry_after seconds."""
+    """Returns the reply of a call that did not run.
+
+    Args:
+      reason: Reason of the refusal.
+      retry_after: Seconds after which the caller may retry, 0 if unknown.
+    """
     return messages.Reply(
         outcome=Outcome.NOT_RUN,
         reason=reason,
@@ -132,5 +140,5 @@
 
 
 def unknown_reply(reason: Reason) -> messages.Reply:
-    """Returns the reply of a call that may have run."""
+    """Returns the reply of a call that may or may not have run."""
     return messages.Reply(outcome=Outcome.UNKNOWN, reason=reason)
--- a/mangobay/dispatch.py
+++ b/mangobay/dispatch.py
@@ -1,4 +1,4 @@
-"""The entry side: brings a call to a host that runs it, within its tries."""
+"""Dispatches calls to hosts and retries them within their allowance."""
 
 import asyncio
 import dataclasses
@@ -29,38 +29,43 @@
 Reason = messages.Reason
 
 MAX_REDIRECTS = 3
-"""Free attempts of one call after hosts that cannot have touched it.
+"""Maximum redirects of one call to another host; they are not retries.
 
 A host that is leaving, is not the owner or cannot be reached did no work, so
-going on to another one multiplies nothing; the bound keeps stale views from
-sending a call around for long.
+a redirect does not multiply load.  The bound keeps a call from being passed
+on for long by nodes with stale views.
 """
 OWNER_LOOKUP_DELAY = 0.05
-"""Seconds before the owner of a key is looked up again; tripled each time."""
+"""Seconds before the owner of a key is looked up again.
+
+The delay triples with each lookup.
+"""
 QUEUE_WAIT_SHARE = 0.5
-"""Of an operation's target latency that a call may wait for a slot: a call in
-the middle of a chain that is refused wastes the work of all above it, and one
-that waits longer than this comes too late as well."""
+"""Share of an operation's target latency that a call may wait for a slot.
+
+Refusing a call in the middle of a call chain wastes the work of all callers
+above it.  A call that waits longer than this would be late anyway.
+"""
 REPLY_GRACE = 0.05
-"""Seconds after the deadline in which a reply that says why is awaited."""
+"""Seconds after the deadline to wait for a reply that states its reason."""
 
 
 class Lease(typing.Protocol):
-    """What is needed of `lease.Lease`."""
+    """The part of `lease.Lease` that the dispatcher uses."""
 
     def holds(self) -> bool:
-        """Whether the lease has not ended."""
+        """Returns whether the lease is valid."""
 
 
 class Views(typing.Protocol):
-    """What is needed of the subject of views."""
+    """The part of the subject of views that the dispatcher uses."""
 
     value: dict[ids.ServiceName, messages.ServiceView]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Dependencies:
-    """What the entry side works with."""
+    """Objects that the dispatcher uses."""
 
     process: calls.Process
     router: routing.Router
@@ -75,15 +80,15 @@
 
 @dataclasses.dataclass(slots=True)
 class RetryState:
-    """How one call has fared so far.
+    """State of the attempts of one call.
 
     Attributes:
-      excluded: hosts that are not tried again.
-      retries: extra tries used here.
-      redirects: free attempts used.
-      unknown_reply: the reply of an attempt that may have run.
-      retry_reserved: a try was taken for the attempt that comes next.
-      started_at: loop time of the first attempt.
+      excluded: Hosts that are not tried again.
+      retries: Number of retries made by this node.
+      redirects: Number of redirects.
+      unknown_reply: Reply of an attempt that may have run, if any.
+      retry_reserved: Whether a retry was withdrawn for the next attempt.
+      started_at: Loop time of the first attempt.
     """
 
     excluded: set[ids.HostId] = dataclasses.field(default_factory=set)
@@ -94,25 +99,27 @@
     started_at: float = 0.0
 
     def record(self, reply: messages.Reply) -> None:
-        """Remembers an attempt whose fate is unknown."""
+        """Records the reply if the attempt may have run."""
         if reply.outcome == Outcome.UNKNOWN:
             self.unknown_reply = reply
 
     def final_reply(self, reply: messages.Reply) -> messages.Reply:
-        """Returns what the caller is told.
+        """Returns the reply for the caller.
 
-        A refusal by the last host is true of that host only.  After an
-        attempt that may have run, `not_run` would be a lie to the caller.
+        A refusal by the last host holds for that host only.  After an earlier
+        attempt that may have run, the caller must not be told `not_run`.
         """
         refused = reply.outcome == Outcome.NOT_RUN
         return self.unknown_reply if refused and self.unknown_reply else reply
 
 
 class Dispatcher:
-    """Brings calls to hosts; the only place that repeats an attempt.
+    """Dispatches calls to hosts; the only component that makes retries.
 
     Attributes:
-      in_flight: the calls that have no reply yet.
+      retries: Settings of retries.
+      dependencies: Objects that the dispatcher uses.
+      in_flight: Calls without a reply.
     """
 
     def __init__(
@@ -123,9 +130,9 @@
         self.in_flight = inflight.InFlightCalls()
 
     async def handle(self, request: calls.Request) -> messages.Reply:
-        """Returns the reply to a call, after other attempts where allowed.
+        """Returns the reply to a call, after retries where allowed.
 
-        Cancelling gives up what may be given up; see `serving`.
+        Cancellation also cancels the attempt if that is safe; see `execution`.
         """
         operation = request.operation
         if operation.key_required and not request.key:
@@ -145,7 +152,7 @@
         return await self.in_flight.track(run(request))
 
     async def try_routed_hosts(self, request: calls.Request) -> messages.Reply:
-        """Tries hosts that the router picks."""
+        """Tries the hosts that the router picks until a reply is final."""
         state = RetryState(started_at=asyncio.get_running_loop().time())
         reply = None
         while True:
@@ -167,7 +174,7 @@
     def pick_or_refuse(
         self, request: calls.Request, excluded: set[ids.HostId]
     ) -> messages.Member | messages.Reply:
-        """Returns the host to try, or the refusal where there is none."""
+        """Returns the next host, or the refusal if there is none."""
         service = request.operation.service
         if self.prefers_own_host(request.operation, excluded):
             return messages.Member(host=self.dependencies.process.host)
@@ -191,11 +198,12 @@
     def prefers_own_host(
         self, operation: messages.Operation, excluded: set[ids.HostId]
     ) -> bool:
-        """Whether the backend server here serves well: that saves a hop.
+        """Returns whether to use the backend server on this host.
 
-        One that fails calls, or answers them late, would else keep all those
-        that enter here: up to a third of a service's callers are beside its
-        backend servers, and the router never got to choose for them.
+        That saves a hop.  A backend server that fails calls or responds late
+        is not preferred.  Otherwise it would receive all calls that enter on
+        its host: up to a third of a service's callers run on the hosts of its
+        backend servers, and the router would not choose a host for them.
         """
         executor = self.dependencies.executor
         local_service = executor.local_services.find(operation.service)
@@ -224,7 +232,10 @@
     def delay_before_next(
         self, request: calls.Request, reply: messages.Reply, state: RetryState
     ) -> float | None:
-        """Returns the seconds before another attempt, None for none."""
+        """Returns the seconds before the next attempt, or None for no attempt.
+
+        A retry is charged to the retry budget and to the call's allowance.
+        """
         now = asyncio.get_running_loop().time()
         has_response = reply.outcome is Outcome.ANSWERED
         if has_response and not retrypolicy.is_fast_failure(
@@ -265,15 +276,15 @@
         return delay
 
     def refund_retry(self, request: calls.Request) -> None:
-        """Takes back the try of an attempt for which there was no host."""
+        """Refunds a reserved retry for which there is no host."""
         request.allowance.refund()
         self.dependencies.retry_budget.refund(request.operation.service)
 
     async def try_key_owner(self, request: calls.Request) -> messages.Reply:
-        """Brings a keyed call to the owner of its key.
+        """Sends a call with an idempotency key to the owner of the key.
 
-        The owner's own refusals are final here: the same host is never tried
-        again, and no other one may run the key.
+        A refusal by the owner is final: the same host is not tried again, and
+        no other host may run a call with this key.
         """
         service = request.operation.service
         slot = keyslots.slot_of(request.key)
@@ -299,7 +310,7 @@
     async def attempt(
         self, request: calls.Request, member: messages.Member
     ) -> messages.Reply:
-        """Returns the reply of one host, or what its silence means."""
+        """Returns the reply of one host, or one that describes its failure."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         seconds_left = request.deadline - started_at
@@ -338,7 +349,7 @@
         member: messages.Member,
         reply: messages.Reply,
     ) -> None:
-        """Counts what a call of a run here carried to a far host."""
+        """Records the remote traffic of a child call for its parent's run."""
         if not request.parent_operation:
             return
         remote_bytes = reply.crossing
@@ -359,7 +370,13 @@
     def make_call(
         self, request: calls.Request, seconds_left: float, lent: int
     ) -> messages.Call:
-        """Returns the message of one attempt."""
+        """Builds the message of one attempt.
+
+        Args:
+          request: The call.
+          seconds_left: Seconds until the deadline.
+          lent: Retries lent to the attempt.
+        """
         operation = request.operation
         view = self.dependencies.views.value.get(operation.service)
         call_id = httpheaders.new_call_id()
@@ -392,7 +409,7 @@
     async def deliver(
         self, call: messages.Call, member: messages.Member, seconds_left: float
     ) -> messages.Reply:
-        """Hands the call to this host's serving side or to a peer."""
+        """Sends the call to the executor of this host or to a peer."""
         if member.host == self.dependencies.process.host:
             return await self.dependencies.executor.serve(call)
         try:
@@ -417,7 +434,7 @@
 def make_observation(
     request: calls.Request, reply: messages.Reply, seconds: float
 ) -> hosts.Observation:
-    """Returns what the reply shows of its host."""
+    """Builds the observation of a host from its reply."""
     return hosts.Observation(
         operation=request.operation.name,
         downstream_threshold=reply.below,
@@ -436,5 +453,5 @@
 
 @functools.lru_cache(maxsize=65536)
 def parse_peer_address(text: str) -> options.Address:
-    """Returns a member's peer address."""
+    """Parses the peer address of a member; results are cached."""
     return options.parse_address(text)
--- a/mangobay/ejection.py
+++ b/mangobay/ejection.py
@@ -1,4 +1,4 @@
-"""Hosts taken out of use for what was observed, and probed back."""
+"""Ejects failing hosts and probes them before they are used again."""
 
 import dataclasses
 import enum
@@ -7,29 +7,31 @@
 from mangobay.generated import settings
 
 MAX_DOUBLINGS = 6
-"""The time out of use is doubled at most this often."""
+"""Maximum number of times that the ejection time is doubled."""
 
 
 class HostState(enum.Enum):
-    """Whether a host gets calls."""
+    """Whether a host receives calls."""
 
     IN_USE = "in use"
     EJECTED = "ejected"
     PROBE_DUE = "due"
-    """Its time is up: one idempotent call may probe it."""
+    """The ejection time has passed; one idempotent call may probe the host."""
     PROBING = "probed"
-    """That call is in flight."""
+    """The probe is in flight."""
 
 
 @dataclasses.dataclass(slots=True)
 class HostRecord:
-    """What was observed of one host.
+    """Failures and ejections of one host.
 
     Attributes:
-      state: as of the last event; EJECTED may be due by now.
-      consecutive_failures: consecutive ones.
-      probe_at: loop time at which a probe, or another one, is due.
-      consecutive_ejections: in a row, each longer than the one before.
+      state: State as of the last event; a probe of an ejected host may be due
+        by now.
+      consecutive_failures: Number of failures without a success in between.
+      probe_at: Loop time at which the next probe is due.
+      consecutive_ejections: Number of ejections without a successful probe in
+        between; each lasts longer than the one before.
     """
 
     state: HostState = HostState.IN_USE
@@ -39,15 +41,16 @@
 
 
 class OutlierDetector:
-    """The hosts of one service.
+    """Ejects hosts of one service that fail repeatedly.
 
-    A host that fails fast looks idle and draws calls, so it must go.  But
-    never more than a share of the hosts: when all fail, the cause is not the
-    hosts, and the rest would drown in the calls of those ejected.
+    A host that fails fast looks idle and attracts calls, so it is ejected.
+    Only a limited share of the hosts is ejected at a time: if all hosts fail,
+    the cause lies elsewhere, and the calls of the ejected hosts would overload
+    the remaining ones.
 
     Attributes:
-      host_count: number of hosts of the service.
-      records: only of hosts that failed lately.
+      host_count: Number of hosts of the service.
+      records: Records of the hosts that failed recently.
     """
 
     def __init__(self, routing: settings.NodeRouting):
@@ -56,7 +59,7 @@
         self.records: dict[ids.HostId, HostRecord] = {}
 
     def state(self, host: ids.HostId, now: float) -> HostState:
-        """Returns whether the host gets calls."""
+        """Returns whether the host receives calls."""
         record = self.records.get(host)
         if record is None:
             return HostState.IN_USE
@@ -65,17 +68,17 @@
         return record.state
 
     def start_probe(self, host: ids.HostId, now: float) -> None:
-        """Notes that a probing call goes to a host that is due.
+        """Records that a probe is sent to the host.
 
-        A probe that is cancelled says nothing; after a while the next call
-        may probe, else the host would stay out of use for ever.
+        A cancelled probe has no result.  Another call may probe after
+        `eject_time`; otherwise the host would stay out of use forever.
         """
         record = self.records[host]
         record.state = HostState.PROBING
         record.probe_at = now + self.settings.eject_time
 
     def record_failure(self, host: ids.HostId, now: float) -> bool:
-        """Counts a failure; returns whether it ejected the host."""
+        """Records a failure; returns whether it ejects the host."""
         record = self.records.setdefault(host, HostRecord())
         record.consecutive_failures += 1
         if record.state == HostState.PROBING:
@@ -94,10 +97,10 @@
         return False
 
     def record_success(self, host: ids.HostId) -> bool:
-        """Counts an answer; returns whether it brought the host back.
+        """Records a success; returns whether it puts the host back in use.
 
-        Only a probe brings a host back: an answer to a call that was sent
-        before the ejection says nothing about now.
+        Only a probe puts a host back in use.  The response to a call that was
+        sent before the ejection says nothing about the current state.
         """
         record = self.records.get(host)
         if record is None or record.state == HostState.EJECTED:
@@ -106,18 +109,18 @@
         return record.state == HostState.PROBING
 
     def forget(self, host: ids.HostId) -> None:
-        """Forgets a host that left, or restarted as another incarnation."""
+        """Removes the record of a host that left or restarted."""
         self.records.pop(host, None)
 
     def may_eject(self) -> bool:
-        """Returns whether one more host may go out of use."""
+        """Returns whether one more host may be ejected."""
         out_of_use = sum(
             record.state != HostState.IN_USE for record in self.records.values()
         )
         return out_of_use + 1 <= self.settings.eject_share * self.host_count
 
     def eject(self, record: HostRecord, now: float) -> None:
-        """Takes a host out of use, longer each time in a row."""
+        """Ejects a host; the time doubles with each consecutive ejection."""
         doublings = min(record.consecutive_ejections, MAX_DOUBLINGS)
         record.state = HostState.EJECTED
         record.probe_at = now + self.settings.eject_time * 2**doublings
--- a/mangobay/hosts.py
+++ b/mangobay/hosts.py
@@ -1,4 +1,4 @@
-"""The hosts of one service, as one node sees them."""
+"""State of the hosts of one service, as observed by one node."""
 
 import dataclasses
 import typing
@@ -7,53 +7,67 @@
 from mangobay.generated import messages, settings
 
 MIN_RAMP = 0.1
-"""Share of its calls that a new host gets at first."""
+"""Share of its calls that a new host receives at first."""
 HINT_WEIGHT = 0.25
-"""Most that a host's own word on its load changes its score."""
+"""Maximum relative effect of a host's reported load on its score."""
 LOAD_MEMORY = 1.0
-"""Seconds after which a host's word on its load says nothing any more; bursts
-of callers come and go within some seconds."""
+"""Seconds after which the reported load of a host is ignored.
+
+Bursts of calls begin and end within a few seconds.
+"""
 DEFAULT_LOAD = 0.5
-"""Share of its limit that a host of which nothing is known may have in use."""
+"""Assumed load of a host without a recent report, as a share of its limit."""
 MIN_FAILURE_STATUS = 500
-"""Status from which on an answer is no use to its caller."""
+"""Lowest HTTP status of a response that is of no use to its caller."""
 LATE_RESPONSE_LOSS = 0.6
-"""What is lost of an answer that comes after its target latency, where a failure
-loses all: most callers get some use of it, and few get much."""
+"""Loss of a response that exceeds the target latency; a failure counts as 1.
+
+Most callers get some use of a late response, and few get much.
+"""
 MIN_FAILURE_WEIGHT = 0.03
-"""Weight of the newest answer in the share of failures: some thirty answers
-tell a host that fails one in ten from one that does not."""
+"""Minimum weight of the newest response in the failure rate.
+
+About thirty responses distinguish a host that fails one call in ten from a
+host that fails none.
+"""
 MAX_FAILURE_WEIGHT = 0.15
-"""The same at most, where calls are rare: one failure alone moves nobody for
-long, and seven tell enough."""
+"""Maximum weight of the newest response in the failure rate.
+
+It applies when calls are rare.  A single failure diverts calls only briefly,
+and about seven responses are enough for an estimate.
+"""
 SIZE_WEIGHT = 0.05
-"""Weight of the newest answer in the size of an operation's answers."""
+"""Weight of the newest response in the mean response size of an operation."""
 FAILURE_HALF_LIFE = 3.0
-"""Seconds in which a share that nothing renews fades to its half, so that a
-host is tried again after some seconds."""
+"""Seconds in which a failure rate halves while no response updates it.
+
+A host that is avoided is tried again after a few seconds.
+"""
 SHED_WEIGHT = 0.1
-"""Weight of the newest reply in the share of sheds."""
+"""Weight of the newest reply in the shed rate."""
 SHED_PENALTY = 4.0
-"""A host that sheds everything counts as this much busier."""
+"""Relative increase of the score of a host that sheds every call."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Observation:
-    """What one call showed of a host.
+    """Result of one call, as evidence about its host.
 
     Attributes:
-      outcome: as defined in the messages.
-      reason: as defined in the messages.
-      latency_seconds: from sending the call to its reply.
-      threshold: what the host admits now, from its reply.
-      inflight: calls it says it runs; a hint.
-      limit: calls it says may run; a hint.
-      operation: what was called.
-      downstream_threshold: lowest level of it that the services below admit.
-      status: of the answer, 0 without one.
-      response_bytes: bytes of its body.
-      remote_bytes: bytes that the calls of such a run carry to other data centres.
-      late: the answer came after the operation's target latency.
+      outcome: Outcome of the call.
+      reason: Reason of the outcome.
+      latency_seconds: Time from sending the call to its reply.
+      threshold: Lowest level that the host admits, from its reply.
+      inflight: Calls running or queued at the host, as reported by it.
+      limit: Maximum running calls of the host, as reported by it.
+      operation: The operation that was called.
+      downstream_threshold: Lowest level of the operation that downstream
+        services admit.
+      status: HTTP status of the response, 0 if there is none.
+      response_bytes: Size of the response body.
+      remote_bytes: Average bytes that the child calls of a run of the
+        operation exchange with other data centres.
+      late: Whether the response exceeded the operation's target latency.
     """
 
     outcome: messages.Outcome
@@ -71,12 +85,13 @@
 
     @property
     def loss(self) -> float:
-        """How much of its use the caller lost, though it may have run.
+        """Share of the call's value that the caller lost, from 0 to 1.
 
-        A backend server that turned slow fails nothing, and with few calls
-        it is never full: by its load alone it keeps its callers, and answers
-        all of them late.  Towards other data centres it seldom outweighs the
-        bytes.
+        Late responses count as well.  A backend server that became slow does
+        not fail, and with few calls it is never full, so its load alone would
+        not divert its callers, and all their responses would be late.  For
+        hosts in other data centres, the loss rarely outweighs the cost of the
+        remote traffic.
         """
         if self.outcome is messages.Outcome.UNKNOWN:
             return 0.0 if self.reason in NEUTRAL_UNKNOWN_REASONS else 1.0
@@ -87,22 +102,22 @@
 
 @dataclasses.dataclass(slots=True)
 class FailureRate:
-    """How often calls of one operation fail at one host.
+    """Decaying average of the loss of one operation's calls at one host.
 
     Attributes:
-      rate: of the last answers, 0 to 1.
-      updated_at: loop time of the last one.
+      rate: Average loss at the last update, from 0 to 1.
+      updated_at: Loop time of the last update.
     """
 
     rate: float = 0.0
     updated_at: float = 0.0
 
     def update(self, loss: float, now: float) -> None:
-        """Takes in what one answer lost, 0 to 1.
+        """Updates the rate with the loss of one response, from 0 to 1.
 
-        The rarer the answers, the more each weighs, or the share would fade
-        faster than it is renewed: at two calls a second a host where half of
-        them fail would look like one where an eighth does.
+        The rarer the responses, the higher the weight of each.  Otherwise the
+        rate would decay faster than it is updated: at two calls per second, a
+        host that fails half of them would look like one that fails an eighth.
         """
         rate = self.rate_at(now)
         decay = 1.0 - 0.5 ** ((now - self.updated_at) / FAILURE_HALF_LIFE)
@@ -111,7 +126,7 @@
         self.updated_at = now
 
     def rate_at(self, now: float) -> float:
-        """Returns the share, faded since the last answer."""
+        """Returns the rate, decayed since the last update."""
         if not self.rate:
             return 0.0
         return self.rate * 0.5 ** ((now - self.updated_at) / FAILURE_HALF_LIFE)
@@ -122,17 +137,19 @@
     """One host of a service.
 
     Attributes:
-      member: as the control group announced it.
-      first_seen_at: loop time at which it was first seen; minus infinity when it was
-        there before this node.
-      outstanding: this node's own calls in flight there.
-      threshold: from the last reply.
-      last_reply_at: loop time of that reply.
-      load_hint: share of its limit that it says is in use, 0 to 1.
-      load: the same, above 1 where calls wait for a slot.
-      shed_rate: share of the last replies that were refusals.
-      failure_rates: of each operation that failed there.
-      remote_bytes_per_run: what the calls of a run let cross, of each operation that does.
+      member: The member of the view published by the control group.
+      first_seen_at: Loop time at which the host joined or was put back in use;
+        minus infinity if it was there before this node.
+      outstanding: Calls of this node in flight at the host.
+      threshold: Lowest level that the host admits, from the last reply.
+      last_reply_at: Loop time of the last reply.
+      load_hint: Reported load as a share of the host's limit, at most 1.
+      load: Reported load as a share of the host's limit; above 1 if calls wait
+        for a slot.
+      shed_rate: Moving average of the share of replies that are sheds.
+      failure_rates: Failure rates of the operations that failed at the host.
+      remote_bytes_per_run: Remote traffic per run, for the operations that
+        cause any.
     """
 
     member: messages.Member
@@ -153,19 +170,19 @@
     def remote_bytes_at(
         self, operation: ids.OperationName, now: float
     ) -> float:
-        """Returns the bytes that the calls of a run here let cross."""
+        """Returns the remote traffic per run of an operation, in bytes."""
         per_run = self.remote_bytes_per_run.get(operation)
         return per_run.value_at(now) if per_run else 0.0
 
     def failure_rate_at(
         self, operation: ids.OperationName, now: float
     ) -> float:
-        """Returns the share of an operation's calls that fail here."""
+        """Returns the failure rate of an operation at this host."""
         failure_rate = self.failure_rates.get(operation)
         return failure_rate.rate_at(now) if failure_rate else 0.0
 
     def update_failure_rate(self, observation: Observation, now: float) -> None:
-        """Learns whether calls of an operation fail here."""
+        """Updates the failure rate of the operation that was called."""
         if observation.outcome is messages.Outcome.NOT_RUN:
             return
         failure_rate = self.failure_rates.get(observation.operation)
@@ -178,10 +195,10 @@
         failure_rate.update(observation.loss, now)
 
     def threshold_at(self, now: float, reopen_time: float) -> int:
-        """Returns the threshold, fallen since it was told.
+        """Returns the threshold, decayed since the last reply.
 
-        A host that gets no calls sends no replies: a threshold that never
-        fell would keep it without calls for ever.
+        A host that receives no calls sends no replies.  If its threshold did
+        not decay, it would never receive calls again.
         """
         if not self.threshold:
             return levels.ADMIT_ALL
@@ -193,10 +210,10 @@
         )
 
     def shed_rate_at(self, now: float, reopen_time: float) -> float:
-        """Returns the share of sheds, faded since the last reply.
+        """Returns the shed rate, decayed since the last reply.
 
-        Without that, a host that calls were led away from would look as if
-        it still shed everything.
+        Without the decay, a host whose calls were diverted would look as if it
+        still shed every call.
         """
         if not self.shed_rate:
             return 0.0
@@ -205,19 +222,20 @@
         )
 
     def load_at(self, now: float) -> float:
-        """Returns the load, drawn towards the usual one since it was told.
+        """Returns the load, which moves to the default load with its age.
 
-        A host that was full when last heard of, and one that never was, would
-        else keep their name for ever: nobody goes there to find out.
+        Otherwise a host that was last reported as full or idle would be
+        treated so forever, since no call is sent that would update the report.
         """
         age_share = min(1.0, (now - self.last_reply_at) / LOAD_MEMORY)
         return self.load + (DEFAULT_LOAD - self.load) * age_share
 
     def score(self, ramp: float) -> float:
-        """Returns how busy the host is; the lower one is picked.
+        """Returns how busy the host is; hosts with a lower score are preferred.
 
-        Its own word on its load may be stale or wrong, so it only shifts a
-        choice between hosts that are about equal by this node's own count.
+        The load reported by the host may be stale or wrong.  It only decides
+        between hosts that are about equal by this node's count of outstanding
+        calls.
         """
         busy = (self.outstanding / ramp + 1) / max(self.member.slots, 1)
         return busy * (
@@ -225,13 +243,13 @@
         )
 
     def ramp(self, now: float, slow_start: float) -> float:
-        """Returns the share of its calls that the host gets now.
+        """Returns the share of its calls that the host receives in slow start.
 
-        A cold backend server is slower than it will be; a full share at once
-        fills it with calls that time out, so that it never warms up.  It is
-        a chance besides a part of the score: by score alone, a node that
-        rarely has two calls outstanding picks the cold host never, and fully
-        once it is warm.
+        A cold backend server is slow at first.  With its full share of calls
+        at once, the calls would time out and it would never warm up.  The ramp
+        is used as a probability as well as in the score: by score alone, a
+        node that rarely has two outstanding calls would never pick a cold host
+        and would pick it fully once it is warm.
         """
         age = now - self.first_seen_at
         if age >= slow_start:
@@ -239,7 +257,7 @@
         return max(MIN_RAMP, age / slow_start)
 
     def observe(self, observation: Observation, now: float) -> None:
-        """Learns from one reply."""
+        """Updates the state of the host from the result of one call."""
         self.update_failure_rate(observation, now)
         shed = observation.reason in SHED_REASONS
         self.shed_rate += (
@@ -269,7 +287,7 @@
         messages.Reason.CALLER_THROTTLED,
     }
 )
-"""Refusals of a host that works but has no room."""
+"""Refusals by a host that is healthy but has no capacity."""
 FAILURE_REASONS = frozenset(
     {
         messages.Reason.CONNECTION_FAILED,
@@ -278,9 +296,12 @@
         messages.Reason.NO_BACKEND,
     }
 )
-"""What counts towards ejection, besides every unknown outcome."""
+"""Reasons that count as failures for outlier ejection.
+
+Unknown outcomes count as well, except for NEUTRAL_UNKNOWN_REASONS.
+"""
 LEAVING_REASONS = frozenset({messages.Reason.LEAVING})
-"""The host takes no more calls, though the view does not say so yet."""
+"""Reasons sent by a host that is leaving, possibly before the view says so."""
 NEUTRAL_UNKNOWN_REASONS = frozenset(
     {
         messages.Reason.CANCELLED,
@@ -289,11 +310,11 @@
         messages.Reason.RUNNING,
     }
 )
-"""Unknown outcomes that say nothing about the host."""
+"""Reasons of unknown outcomes that say nothing about the health of the host."""
 
 
 def is_failure(observation: Observation) -> bool:
-    """Returns whether the observation speaks against the host."""
+    """Returns whether the observation counts as a failure of the host."""
     if observation.reason in FAILURE_REASONS:
         return True
     unknown = observation.outcome == messages.Outcome.UNKNOWN
@@ -302,11 +323,11 @@
 
 @dataclasses.dataclass(slots=True)
 class ReportedThreshold:
-    """What is refused below one operation, by the newest reply.
+    """Admission threshold downstream of an operation, from the newest reply.
 
     Attributes:
-      threshold: the lowest level admitted.
-      reported_at: loop time of the reply.
+      threshold: Lowest level that is admitted.
+      reported_at: Loop time of the reply.
     """
 
     threshold: int
@@ -314,13 +335,19 @@
 
 
 class ServiceHosts:
-    """The hosts of one service that take calls.
+    """Hosts of one service.
 
     Attributes:
-      downstream_thresholds: by operation; only where something is refused.  It is kept for
-        all hosts together, since they call the same services below.
-      local_hosts: those in the own data centre, or all when that does not matter.
-      remote_hosts: the others.
+      data_centre: Data centre of this node.
+      view_version: Version of the view that the hosts come from.
+      hosts: All hosts of the service by name.
+      local_hosts: Preferred hosts that accept calls: those in the data centre
+        of this node, or all if there are none or `local_first` is off.
+      remote_hosts: The other hosts that accept calls.
+      outliers: Ejects hosts that fail repeatedly.
+      downstream_thresholds: Thresholds above zero by operation.  They are
+        shared by all hosts, which call the same downstream services.
+      response_sizes: Mean response size in bytes by operation.
     """
 
     def __init__(
@@ -339,7 +366,7 @@
         self.response_sizes: dict[ids.OperationName, float] = {}
 
     def observe_operation(self, observation: Observation, now: float) -> None:
-        """Learns what the services below an operation admit."""
+        """Updates the response size and the downstream threshold."""
         if observation.outcome == messages.Outcome.UNKNOWN:
             return
         if observation.response_bytes:
@@ -359,7 +386,7 @@
     def downstream_threshold_at(
         self, operation: ids.OperationName, now: float, reopen_time: float
     ) -> int:
-        """Returns the lowest level of an operation admitted below now."""
+        """Returns the downstream threshold of an operation, decayed by age."""
         reported = self.downstream_thresholds.get(operation)
         if reported is None:
             return levels.ADMIT_ALL
@@ -371,7 +398,7 @@
         )
 
     def update(self, view: messages.ServiceView, now: float) -> None:
-        """Takes the members of a view; keeps what was observed of them."""
+        """Updates the hosts from a view and keeps their observed state."""
         if view.version == self.view_version:
             return
         first_seen_at = now if self.hosts else float("-inf")
@@ -391,7 +418,7 @@
     def refresh_host(
         self, host: Host | None, member: messages.Member, first_seen_at: float
     ) -> Host:
-        """Returns the host with its new announcement."""
+        """Returns the host of a member, a new one if the member restarted."""
         if host and host.member.incarnation == member.incarnation:
             host.member = member
             return host
@@ -399,7 +426,7 @@
         return Host(member, first_seen_at)
 
     def partition_hosts(self) -> None:
-        """Sorts the hosts that take calls into near and far ones."""
+        """Divides the hosts that accept calls into local and remote ones."""
         available = [
             host for host in self.hosts.values() if not host.member.leaving
         ]
@@ -411,13 +438,13 @@
             self.local_hosts, self.remote_hosts = self.remote_hosts, []
 
     def is_local(self, host: Host) -> bool:
-        """Returns whether the host is preferred for its place."""
+        """Returns whether the host is preferred for its data centre."""
         if not self.settings.local_first:
             return True
         return host.member.data_centre == self.data_centre
 
     def mark_leaving(self, host: Host) -> None:
-        """Stops using a host that said it is leaving."""
+        """Stops using a host that replied that it is leaving."""
         host.member = dataclasses.replace(host.member, leaving=True)
         self.partition_hosts()
 
@@ -427,7 +454,7 @@
         excluded: typing.AbstractSet[ids.HostId],
         now: float,
     ) -> bool:
-        """Returns whether an ordinary call may go to the host."""
+        """Returns whether a call that is no probe may go to the host."""
         host_id = host.member.host
         if host_id in excluded:
             return False
@@ -438,7 +465,7 @@
     def find_probe_due(
         self, excluded: typing.AbstractSet[ids.HostId], now: float
     ) -> Host | None:
-        """Returns a host that a probing call may go to."""
+        """Returns a host whose probe is due, or None."""
         for host_id in self.outliers.records:
             if (
                 self.outliers.state(host_id, now)
--- a/mangobay/retryallowance.py
+++ b/mangobay/retryallowance.py
@@ -1,9 +1,10 @@
-"""Extra tries of a call tree, conserved from hop to hop.
+"""Retry allowance of a call tree, conserved across hops.
 
-A call enters the system with a number of extra tries for its whole tree.  A
-node keeps some, lends some to each child call, and takes back what the reply
-returns.  No hop makes new ones, so however often each hop repeats, the tree
-never makes more extra attempts than it was granted.
+A call enters the system with an allowance of retries for its whole call tree.
+A node uses part of the allowance for its own retries, lends part of it to
+each child call and reclaims what the child's reply returns.  No hop creates
+retries, so the tree never makes more retries than it was granted, however
+often each hop retries.
 """
 
 import xxhash
@@ -11,20 +12,23 @@
 from mangobay import ids, invariants
 
 MAX_CHILDREN = 1024
-"""Child calls remembered for one parent; further ones count as repeats."""
+"""Distinct child calls remembered per running call.
+
+Further child calls are charged to the allowance like repeats.
+"""
 
 
 class RetryAllowance:
-    """Extra tries of one subtree at one node.
+    """Retry allowance of one subtree of a call tree, held by one node.
 
     Attributes:
-      granted: what came with the call.
-      remaining: what may still be used or lent here.
-      used: tries made by this node.
-      lent: tries that went down with child calls and did not come back.
-      returned: tries that went up with the reply.
-      lost: tries that came back after the reply had gone.
-      closed: the reply has gone.
+      granted: Retries received with the call.
+      remaining: Retries that this node may still use or lend.
+      used: Retries made by this node.
+      lent: Retries lent to child calls and not reclaimed.
+      returned: Retries returned to the caller with the reply.
+      lost: Retries reclaimed after the reply was sent.
+      closed: Whether the reply was sent.
     """
 
     __slots__ = (
@@ -47,7 +51,7 @@
         self.closed = False
 
     def try_withdraw(self) -> bool:
-        """Uses one try here; returns whether there was one."""
+        """Uses one retry; returns whether one was available."""
         if self.remaining < 1:
             return False
         self.remaining -= 1
@@ -56,13 +60,13 @@
         return True
 
     def refund(self) -> None:
-        """Takes back a try that was taken here and made no attempt."""
+        """Returns a withdrawn retry that led to no attempt."""
         self.used -= 1
         self.remaining += 1
         self.assert_conserved()
 
     def lend(self) -> int:
-        """Returns the tries for a child call: half, rounded up."""
+        """Lends half of the remaining retries, rounded up, to a child call."""
         retries = (self.remaining + 1) // 2
         self.remaining -= retries
         self.lent += retries
@@ -70,10 +74,10 @@
         return retries
 
     def reclaim(self, retries: int) -> None:
-        """Takes back what a child's reply returns.
+        """Reclaims the retries that the reply to a child call returns.
 
-        A reply that is lost gives nothing back.  A reply that returns more
-        than was lent would make tries out of nothing, so the rest is cut.
+        A lost reply returns nothing.  A reply that returns more than was lent
+        would create retries, so the surplus is dropped.
         """
         retries = max(0, min(retries, self.lent))
         self.lent -= retries
@@ -84,7 +88,7 @@
         self.assert_conserved()
 
     def close(self) -> int:
-        """Returns the tries left for the reply; none are left afterwards."""
+        """Closes the allowance and returns its remaining retries."""
         retries = self.remaining
         self.remaining = 0
         self.returned += retries
@@ -93,43 +97,49 @@
         return retries
 
     def assert_conserved(self) -> None:
-        """Asserts that no try was made or forgotten.
+        """Checks conservation; records a check only when it is violated.
 
         Raises:
-          errors.InvariantError: the sum is not what was granted.
+          errors.InvariantError: The retries do not add up to the grant.
         """
         if self.is_conserved():
             return
         self.record_check()
 
     def record_check(self) -> None:
-        """Counts one check of the sum; done once a call where it holds.
+        """Checks conservation and records the check.
+
+        A call whose retries are conserved records one check, when its
+        allowance is closed.
 
         Raises:
-          errors.InvariantError: the sum is not what was granted.
+          errors.InvariantError: The retries do not add up to the grant.
         """
         invariants.check(
             invariants.Promise.TRIES_CONSERVED,
             self.is_conserved(),
-            "the tries of a call are not what was granted",
+            "the retries of a call do not add up to its allowance",
         )
 
     def is_conserved(self) -> bool:
-        """Returns whether the tries add up to what was granted."""
+        """Returns whether the retries add up to the grant."""
         returned_or_lost = self.returned + self.lost
         total = self.remaining + self.used + self.lent + returned_or_lost
         return total == self.granted and self.remaining >= 0
 
 
 class RunningCall:
-    """A call that runs at the backend server, and its child calls.
+    """A call that is running at the backend server, and its child calls.
 
     Attributes:
-      allowance: the extra tries of the subtree.
-      child_attempts: how often each child call was made, by its fingerprint.
-      child_wait_seconds: seconds during which at least one child call was in flight.
-      downstream_threshold: highest threshold with which a child call was refused; kept here
-        for admission, which hears of it when the call leaves.
+      allowance: Retry allowance of the subtree.
+      child_attempts: Attempts of each child call by its fingerprint.
+      child_wait_seconds: Time with at least one child call in flight, up to
+        the last time that none was.
+      downstream_threshold: Highest admission threshold reported by a refused
+        child call.  Admission reads it when the call ends.
+      children_in_flight: Number of child calls in flight.
+      child_wait_since: Loop time since which child calls are in flight.
     """
 
     __slots__ = (
@@ -152,9 +162,10 @@
     def allow_child(self, method: str, target: str, body: bytes) -> bool:
         """Returns whether the backend server may make this child call.
 
-        The first call of a kind is free.  The same method, target and body
-        again is a repeat by the backend server and costs a try: otherwise
-        its own retry loop would multiply with those of the nodes.
+        The first call with a given method, target and body is free.  A further
+        one is a retry by the backend server and is charged to the allowance;
+        otherwise the retry loop of the backend server would multiply with the
+        retry loops of the nodes.
         """
         fingerprint = request_fingerprint(method, target, body)
         attempts = self.child_attempts.get(fingerprint, 0)
@@ -168,30 +179,30 @@
         return True
 
     def child_started(self, now: float) -> None:
-        """Notes that a child call is in flight; now is loop time."""
+        """Records the start of a child call; `now` is loop time."""
         if self.children_in_flight == 0:
             self.child_wait_since = now
         self.children_in_flight += 1
 
     def child_ended(self, now: float) -> None:
-        """Notes that a child call ended; now is loop time."""
+        """Records the end of a child call; `now` is loop time."""
         self.children_in_flight -= 1
         if self.children_in_flight == 0:
             self.child_wait_seconds += now - self.child_wait_since
 
     def child_refused(self, threshold: int) -> None:
-        """Notes that a child call was refused with this threshold."""
+        """Records the admission threshold that refused a child call."""
         self.downstream_threshold = max(self.downstream_threshold, threshold)
 
     def child_wait_seconds_at(self, now: float) -> float:
-        """Returns the seconds spent with child calls in flight until now."""
+        """Returns the seconds with child calls in flight up to `now`."""
         if self.children_in_flight == 0:
             return self.child_wait_seconds
         return self.child_wait_seconds + now - self.child_wait_since
 
 
 class RunningCalls:
-    """The calls that run at the backend server on this host."""
+    """The calls that are running at the backend server on this host."""
 
     def __init__(self):
         self.calls_by_id: dict[ids.CallId, RunningCall] = {}
@@ -199,23 +210,23 @@
     def start(
         self, call_id: ids.CallId, allowance: RetryAllowance
     ) -> RunningCall:
-        """Notes that the call starts to run."""
+        """Adds a running call and returns it."""
         running_call = RunningCall(allowance)
         self.calls_by_id[call_id] = running_call
         return running_call
 
     def find(self, call_id: ids.CallId) -> RunningCall | None:
-        """Returns the running call; None when it is not known here."""
+        """Returns a running call, or None if it is not known."""
         return self.calls_by_id.get(call_id)
 
     def finish(self, call_id: ids.CallId) -> int:
-        """Forgets the call; returns the tries left, for its reply."""
+        """Removes a call; returns its remaining retries for the reply."""
         running_call = self.calls_by_id.pop(call_id, None)
         return running_call.allowance.close() if running_call else 0
 
 
 def request_fingerprint(method: str, target: str, body: bytes) -> bytes:
-    """Returns the fingerprint that tells a repeat from another call."""
+    """Returns a hash that identifies repeats of the same request."""
     state = xxhash.xxh3_128(f"{method} {target}\n".encode())
     state.update(body)
     return state.digest()
--- a/mangobay/retrybudget.py
+++ b/mangobay/retrybudget.py
@@ -1,4 +1,4 @@
-"""Retry ratio of each service, and the wait before another try."""
+"""Retry budget of each service, and the backoff before a retry."""
 
 import math
 import random
@@ -7,34 +7,46 @@
 from mangobay.generated import messages, settings
 
 MAX_BACKOFF = 1.0
-"""Seconds; doubling stops here."""
+"""Upper bound of the exponential backoff, in seconds."""
 CRITICAL_RESERVE_SHARE = 0.5
-"""Share of the burst that is kept for critical calls."""
+"""Share of the burst that is reserved for critical calls."""
 SLACK_SHARE = 0.8
-"""Of the slack, what the nodes share: they do not count each other at the same
-moment."""
+"""Share of the slack that is divided among the nodes.
+
+The rest is a margin, since nodes learn of each other at different times.
+"""
 MIN_BURST = 1.0
-"""Below it nothing could ever be tried again."""
+"""Lower bound of the burst, in tokens; with less, no call could be retried."""
 CRITICAL_RESERVE_SECONDS = 1.0
-"""For this time after a critical call wanted a try."""
+"""Seconds for which tokens are reserved after a critical call asks to retry."""
 
 
 class RetryBudget:
-    """A token bucket for each service, filled by requests.
-
-    However a service fails, it gets no more attempts than its callers made
-    requests, times one and `ratio`, besides `burst`: without this every caller
-    would multiply the load of the service that just slowed.  Requests pay and
-    not answers, since another attempt serves a caller most just when many
-    fail, and a bound on the load does not need to know how they end.
-
-    The calls of a run that is another attempt are made once more as well.
-    Each takes a token, so that the services below keep to the bound too; it
-    may be one that is yet to be paid, since such a call is not to be refused.
-
-    Where many calls fail, critical ones come first: a request of theirs often
-    needs several calls in a row, and with a fair share of the tries nearly all
-    of them would lose one of these.
+    """A token bucket per service that is refilled by requests.
+
+    The attempts sent to a service are at most `1 + ratio` times the requests
+    of its callers, plus `burst`, however the service fails.  Without this
+    bound, every caller would multiply the load of a service that slows down.
+    Requests refill the bucket, not successful responses: retries help callers
+    most when many calls fail, and the bound on the load does not depend on
+    the outcome of the requests.
+
+    A retried call makes its child calls again.  Each of these takes a token,
+    so that the bound also holds for downstream services.  They are never
+    refused, so the bucket may go below zero.
+
+    When many calls fail, critical calls are retried first.  A critical request
+    often needs several calls in sequence, and with an equal share of the
+    retries nearly every such request would fail in one of its calls.
+
+    Attributes:
+      ratio: Tokens added per request.
+      max_burst: Configured capacity of a bucket, in tokens.
+      slack: Retries that all nodes together may have saved; 0 for no bound.
+      burst: Capacity of a bucket, in tokens.
+      tokens: Tokens by service; a missing service has a full bucket.
+      critical_request_times: Loop time at which a critical call last asked
+        for a retry, by service.
     """
 
     def __init__(self, retries: settings.NodeRetries):
@@ -46,10 +58,10 @@
         self.critical_request_times: dict[ids.ServiceName, float] = {}
 
     def set_node_count(self, node_count: int) -> None:
-        """Takes the number of nodes that save up tries.
+        """Divides the slack among the nodes that hold a retry budget.
 
-        Each with a few of them, many nodes would spend hundreds at the moment
-        when a service begins to fail.
+        With a few saved retries each, many nodes would together make hundreds
+        of retries at the moment a service begins to fail.
         """
         if self.slack:
             share = SLACK_SHARE * self.slack / max(node_count, 1)
@@ -58,11 +70,12 @@
     def record_request(
         self, service: ids.ServiceName, repeat: bool = False
     ) -> None:
-        """Counts a request, which pays for `ratio` tries.
+        """Records a request, which adds `ratio` tokens.
 
         Args:
-          service: who is asked.
-          repeat: the request is itself made once more, and costs a try.
+          service: The service that is called.
+          repeat: Whether the request is a child call of a retried call and
+            takes one token instead.
         """
         tokens = self.tokens.get(service, self.burst)
         change = -1.0 if repeat else self.ratio
@@ -74,7 +87,13 @@
         importance: messages.Importance = messages.Importance.NORMAL,
         now: float = 0.0,
     ) -> bool:
-        """Returns whether one more try may go to the service."""
+        """Takes a token for a retry; returns whether one was available.
+
+        Args:
+          service: The service that is called.
+          importance: Importance of the call.
+          now: Loop time.
+        """
         tokens = self.tokens.get(service, self.burst)
         reserve = 0.0
         if importance is messages.Importance.CRITICAL:
@@ -91,7 +110,7 @@
         return True
 
     def refund(self, service: ids.ServiceName) -> None:
-        """Takes back a try that was taken and made no attempt."""
+        """Returns the token of a retry that led to no attempt."""
         tokens = self.tokens.get(service, self.burst)
         self.tokens[service] = min(self.burst, tokens + 1)
 
@@ -99,16 +118,17 @@
 def backoff(
     base: float, attempt: int, remaining: float, rng: random.Random
 ) -> float | None:
-    """Returns the wait before another try, in seconds, with full jitter.
+    """Returns an exponential backoff with full jitter, in seconds.
 
     Args:
-      base: longest first wait, seconds; doubled with each attempt.
-      attempt: tries made so far, from 1.
-      remaining: time to the deadline less the time a try needs, seconds.
-      rng: the source of the jitter.
+      base: Upper bound of the first backoff in seconds; doubles with each
+        attempt.
+      attempt: Number of the retry, starting at 1.
+      remaining: Seconds until the deadline.
+      rng: Source of the jitter.
 
     Returns:
-      The wait, always below `remaining`; None when no time is left.
+      The backoff, always below `remaining`, or None if no time is left.
     """
     if remaining <= 0:
         return None
--- a/mangobay/retrypolicy.py
+++ b/mangobay/retrypolicy.py
@@ -1,4 +1,4 @@
-"""Which attempts of a call may be followed by another one, at another host."""
+"""Decides which failed attempts may be retried on another host."""
 
 from mangobay import calls
 from mangobay.generated import messages
@@ -14,6 +14,7 @@
         Reason.CONNECTION_FAILED,
     }
 )
+"""Refusals by a host that cannot have processed the call."""
 RETRYABLE_REFUSALS = frozenset(
     {
         Reason.OVERLOADED,
@@ -23,23 +24,27 @@
         Reason.CONNECTION_FAILED,
     }
 )
+"""Reasons of calls that did not run and may be retried."""
 RETRYABLE_UNKNOWNS = frozenset(
     {Reason.CONNECTION_BROKEN, Reason.INCOMPLETE_ANSWER, Reason.INTERNAL}
 )
-"""Only for idempotent calls."""
+"""Reasons of calls that may have run; only idempotent ones are retried."""
 FAILED_STATUS = 500
-"""Status of an answer that another backend server may not give."""
+"""HTTP status that another backend server may not return."""
 FAST_FAILURE_SHARE = 0.3
-"""Of the target latency: a try that begins later seldom ends within it."""
+"""Share of the target latency within which a failure may be retried.
+
+A retry that starts later rarely ends within the target latency.
+"""
 
 
 def is_redirect(reply: messages.Reply) -> bool:
-    """Returns whether the host cannot have touched the call."""
+    """Returns whether the host cannot have processed the call."""
     return reply.outcome is Outcome.NOT_RUN and reply.reason in REDIRECT_REASONS
 
 
 def may_have_reached_backend(reply: messages.Reply) -> bool:
-    """Returns whether a backend server may have seen the call."""
+    """Returns whether the call may have reached a backend server."""
     not_run = reply.outcome is Outcome.NOT_RUN
     return not not_run or reply.reason is Reason.BACKEND_SHED
 
@@ -47,12 +52,17 @@
 def is_fast_failure(
     request: calls.Request, reply: messages.Reply, seconds: float
 ) -> bool:
-    """Returns whether a failed answer is worth another try.
+    """Returns whether an error response is worth a retry.
+
+    A backend server that fails some of its requests usually fails them at
+    once, so another one can still respond in time.  A failure after child
+    calls is mostly caused by one of them; a retry would repeat all of these
+    calls, also those to the service that has just failed.
 
-    A backend server that fails part of its requests does so at once, and
-    another one can still answer in time.  One that fails after calls of its
-    own mostly fails for one of these: another try would make all of them
-    again, of a service that has just failed one.
+    Args:
+      request: The call.
+      reply: The reply with the response.
+      seconds: Time since the first attempt.
     """
     operation = request.operation
     if reply.status != FAILED_STATUS or not operation.idempotent:
@@ -63,10 +73,11 @@
 
 
 def may_retry(request: calls.Request, reply: messages.Reply) -> bool:
-    """Returns whether an extra try may go to another host.
+    """Returns whether the call may be retried on another host.
 
-    What is refused for the services below is refused at every host: a host
-    that has not learned it yet would run the call in vain.
+    A call that is refused because of a downstream service would be refused by
+    every host.  A host that has not learned of the refusal yet would run the
+    call in vain.
     """
     if reply.outcome == Outcome.NOT_RUN:
         refused_downstream = reply.below > reply.threshold
--- a/mangobay/routing.py
+++ b/mangobay/routing.py
@@ -1,4 +1,4 @@
-"""Picks the host for a call, among those that serve the service called."""
+"""Picks a host for a call among the hosts of the called service."""
 
 import asyncio
 import dataclasses
@@ -10,33 +10,51 @@
 from mangobay.generated import messages, settings
 
 MAX_SCANNED_HOSTS = 64
-"""Hosts; bounds the time of a pick in a large service in trouble."""
+"""Maximum hosts examined per pick.
+
+It bounds the time of a pick in a large service when many hosts are unusable.
+"""
 SPILL_SHED_RATE = 0.5
-"""Share of sheds from which on a call tries the other data centres."""
+"""Shed rate from which on calls spill over to other data centres."""
 SPILL_LOAD = 0.8
-"""Share of its limit in use from which on a near host may be passed over: a
-little before its calls begin to wait, or callers of the worst served data centre
-wait while other hosts stand idle."""
+"""Load of a local host from which on calls may spill over.
+
+It is a little lower than the load at which calls begin to wait.  Otherwise the
+callers of the most loaded data centre would wait while other hosts are idle.
+"""
 REMOTE_LOAD_MARGIN = 0.2
-"""A far host must be less loaded by this much: the way there takes longer."""
+"""Load difference from which on a remote host is preferred.
+
+The margin accounts for the higher network latency.
+"""
 REMOTE_LOAD_MARGIN_PER_KB = 0.1
-"""The same for each 1,000 bytes of the answer, which cross to another data
-centre: large answers cost more there than a wait near by is worth."""
+"""Addition to REMOTE_LOAD_MARGIN per 1,000 bytes of the response.
+
+Sending a large response between data centres costs more than a wait at a local
+host.
+"""
 FAILURE_RATE_MARGIN = 0.05
-"""A host is passed over for one where this share fewer of the calls fail: one
-in twenty is above what a handful of broken answers makes of the share."""
+"""Failure rate difference from which on the better host is preferred.
+
+One failure in twenty calls is more than a few stray failures add to the rate.
+"""
 FAILURE_RATE_MARGIN_PER_KB = 0.03
-"""The same for each 1,000 bytes of the answer, towards another data centre."""
+"""Addition to FAILURE_RATE_MARGIN per 1,000 bytes of a remote response."""
 FAILURE_RATE_NOISE = 0.25
-"""Two deviations of the difference of two shares, over the root of
-share x (1 - share): where half of all calls fail everywhere, two shares differ
-by a tenth without any reason."""
+"""Two standard deviations of the difference of two equal failure rates.
+
+The unit is the square root of rate x (1 - rate).  If half of the calls fail at
+every host, two measured rates differ by a tenth by chance.
+"""
 FAILURE_PENALTY = 8.0
-"""A host where every call fails counts as this much busier among its like."""
+"""Relative score increase of a host per failure rate difference of 1.
+
+It applies to the choice between two hosts of the same group.
+"""
 PROBE_SHARE = 0.02
-"""Share of the calls that go on although every threshold is above them."""
+"""Share of the calls that are sent although every host would refuse them."""
 MIN_RETRY_AFTER = 0.05
-"""Seconds."""
+"""Lower bound of `retry_after` before jitter, in seconds."""
 ANY_OPERATION = ids.OperationName("")
 
 Observation = hosts.Observation
@@ -44,14 +62,14 @@
 
 @dataclasses.dataclass(slots=True)
 class PickCriteria:
-    """What one pick looks for.
+    """Criteria for picking the host of one call.
 
     Attributes:
-      excluded: hosts already tried.
-      level: of the call.
-      idempotent: may probe.
-      now: loop time.
-      operation: what is called.
+      excluded: Hosts that were already tried.
+      level: Admission level of the call.
+      idempotent: Whether the call may probe an ejected host.
+      now: Loop time.
+      operation: The operation that is called.
     """
 
     excluded: typing.AbstractSet[ids.HostId]
@@ -62,15 +80,15 @@
 
 
 class NoHostError(errors.MangobayError):
-    """No host can take the call: none is known, or all were tried."""
+    """No host can take the call: all known hosts were tried or are ejected."""
 
 
 class EarlyRefusalError(errors.MangobayError):
-    """Every host would refuse the call, by what they said last.
+    """Every host would refuse the call, according to their last replies.
 
     Attributes:
-      retry_after: seconds, jittered, after which the caller may try again.
-      threshold: the lowest level that some host admits.
+      retry_after: Seconds after which the caller may retry, with jitter.
+      threshold: Lowest level that some host admits.
     """
 
     def __init__(self, retry_after: float, threshold: int):
@@ -80,10 +98,18 @@
 
 
 class Router:
-    """Routes the calls of one node.
+    """Picks hosts for the calls of one node.
+
+    The router holds only the services of the views that it is given, so a node
+    knows only the hosts of the services that it calls.
 
-    It holds only the services of the views it is given, so a node knows the
-    hosts of the services that it calls and of no others.
+    Attributes:
+      early_refusal: Whether calls that every host would refuse are refused by
+        the router.
+      by_importance: Whether the level depends on the importance of the call.
+      reopen_time: Seconds in which a reported threshold decays to zero.
+      data_centre: Data centre of this node.
+      services: Hosts by service.
     """
 
     def __init__(
@@ -104,7 +130,7 @@
     def update_views(
         self, views: dict[ids.ServiceName, messages.ServiceView]
     ) -> None:
-        """Takes the views as committed by the control group."""
+        """Updates the hosts from the views committed by the control group."""
         now = asyncio.get_running_loop().time()
         for service in self.services.keys() - views.keys():
             del self.services[service]
@@ -129,17 +155,17 @@
         """Returns the host for a call.
 
         Args:
-          service: the service called.
-          excluded: hosts already tried for this call.
-          importance: of the call tree.
-          depth: hops from the first node.
-          operation: what is called.
-          idempotent: the call may probe a host that failed before.
-          tree: the text that the ticket's level comes from.
+          service: The called service.
+          excluded: Hosts that were already tried for this call.
+          importance: Importance of the call tree.
+          depth: Hops from the first node.
+          operation: The called operation.
+          idempotent: Whether the call may probe an ejected host.
+          tree: Id of the call tree, from which its level is derived.
 
         Raises:
-          NoHostError: there is none, or all are excluded or ejected.
-          EarlyRefusalError: the call would be refused wherever it went.
+          NoHostError: There is no host, or all are excluded or ejected.
+          EarlyRefusalError: Every host would refuse the call.
         """
         service_hosts = self.services.get(service)
         if service_hosts is None or not service_hosts.local_hosts:
@@ -157,7 +183,7 @@
     def record_call_start(
         self, service: ids.ServiceName, host: ids.HostId
     ) -> None:
-        """Counts a call sent to the host."""
+        """Records that a call is sent to the host."""
         known_host = self.find_host(service, host)
         if known_host:
             known_host.outstanding += 1
@@ -168,11 +194,11 @@
         host: ids.HostId,
         observation: Observation,
     ) -> None:
-        """Learns from a call that began; every one must end here.
+        """Records the end of a call; every started call must end here.
 
-        Calls cut by a restart may end when the host is already known under
-        its new incarnation, and would eject it before its first call.  It has
-        no calls in flight then, so they are told by that.
+        Calls that are interrupted by a restart of the host may end after the
+        new incarnation is known, and would eject it before its first call.
+        They are ignored, since the new incarnation has no outstanding calls.
         """
         service_hosts = self.services.get(service)
         known_host = service_hosts.hosts.get(host) if service_hosts else None
@@ -197,7 +223,7 @@
         observation: Observation,
         now: float,
     ) -> None:
-        """Ejects a host that keeps failing, or takes it back."""
+        """Ejects a host that fails repeatedly, or puts it back in use."""
         answered = observation.outcome == messages.Outcome.ANSWERED
         if answered and not service_hosts.outliers.records:
             return
@@ -209,23 +235,23 @@
         elif service_hosts.outliers.record_success(host):
             service_hosts.hosts[host].first_seen_at = now
             service_hosts.hosts[host].failure_rates.clear()
-            self.log_host_change("host back", service, host)
+            self.log_host_change("host back in use", service, host)
 
     def log_host_change(
         self, event: str, service: ids.ServiceName, host: ids.HostId
     ) -> None:
-        """Logs a change of a host's state; rare, by the time out of use."""
+        """Logs an ejection or its end; `eject_time` bounds their frequency."""
         logs.say(logs.Part.ROUTING, event, service=service, host=host)
 
     def find_host(
         self, service: ids.ServiceName, host: ids.HostId
     ) -> hosts.Host | None:
-        """Returns what is known of a host of a service."""
+        """Returns the state of a host of a service, or None if unknown."""
         service_hosts = self.services.get(service)
         return service_hosts.hosts.get(host) if service_hosts else None
 
     def level(self, importance: messages.Importance, tree: str) -> int:
-        """Returns the level of a call, as the called host will see it."""
+        """Returns the admission level that the called host will compute."""
         if not self.by_importance:
             importance = messages.Importance.NORMAL
         return levels.level_of(importance, tree)
@@ -235,11 +261,11 @@
         service_hosts: hosts.ServiceHosts,
         criteria: PickCriteria,
     ) -> hosts.Host:
-        """Returns a host to probe, else a near one, else a far one.
+        """Returns a host to probe, else a local host, else a remote one.
 
         Raises:
-          NoHostError: all are excluded or ejected.
-          EarlyRefusalError: all refuse calls of this level.
+          NoHostError: All hosts are excluded or ejected.
+          EarlyRefusalError: All hosts would refuse a call of this level.
         """
         if criteria.idempotent and service_hosts.outliers.records:
             probe_host = service_hosts.find_probe_due(
@@ -267,7 +293,7 @@
                 return remote
         fallback = local or remote
         if fallback is None:
-            raise NoHostError("every host was tried or is out of use")
+            raise NoHostError("every host was tried or is ejected")
         if self.threshold(fallback, criteria.now) > criteria.level:
             self.maybe_refuse_early(
                 self.threshold(fallback, criteria.now), criteria
@@ -280,10 +306,11 @@
         local: hosts.Host,
         criteria: PickCriteria,
     ) -> hosts.Host:
-        """Returns a far host where the calls of the run stay near, or `near`.
+        """Returns a remote host if that reduces remote traffic, else `local`.
 
-        Where the only host of a data centre for a service went, every call of
-        a run crosses; the run itself crosses once.
+        If the local data centre has lost its only host of a downstream
+        service, every child call to that service goes to another data centre.
+        A call to a remote host crosses between data centres only once.
         """
         now, operation = criteria.now, criteria.operation
         local_bytes = local.remote_bytes_at(operation, now)
@@ -305,7 +332,7 @@
         )
 
     def is_good_enough(self, host: hosts.Host, criteria: PickCriteria) -> bool:
-        """Returns whether no other host need be looked at."""
+        """Returns whether no other host needs to be considered."""
         return (
             self.has_capacity(host, criteria)
             and host.load_at(criteria.now) < SPILL_LOAD
@@ -320,10 +347,10 @@
         local: hosts.Host,
         criteria: PickCriteria,
     ) -> bool:
-        """Returns whether a far host serves the caller enough better.
+        """Returns whether a remote host is sufficiently better for the caller.
 
-        Less loaded hosts are no help where more of the calls fail there, and
-        the other way round.
+        A less loaded host does not help if more calls fail there, and a host
+        with fewer failures does not help if it is full.
         """
         now = criteria.now
         kilobytes = (
@@ -349,7 +376,7 @@
         )
 
     def has_capacity(self, host: hosts.Host, criteria: PickCriteria) -> bool:
-        """Returns whether the call need not spill over from this host."""
+        """Returns whether the host admits the call and sheds few others."""
         if not host.threshold and not host.shed_rate:
             return True
         if self.threshold(host, criteria.now) > criteria.level:
@@ -360,13 +387,14 @@
     def maybe_refuse_early(
         self, threshold: int, criteria: PickCriteria
     ) -> None:
-        """Refuses a call below a threshold of every host, but for a few.
+        """Refuses a call that every host would refuse, except for a few calls.
 
-        Those few find out that a threshold fell, so that refusals end soon
-        after their cause and not only when the memory of it fades.
+        These few calls detect that a threshold was lowered, so that early
+        refusals end soon after their cause and not only when the reported
+        threshold has decayed.
 
         Raises:
-          EarlyRefusalError: nearly always.
+          EarlyRefusalError: The call is refused, as nearly all calls are.
         """
         if not self.early_refusal or self.rng.random() < PROBE_SHARE:
             return
@@ -375,7 +403,7 @@
         raise EarlyRefusalError(wait * (0.5 + self.rng.random()), threshold)
 
     def threshold(self, host: hosts.Host, now: float) -> int:
-        """Returns what the host admits now, as far as is known."""
+        """Returns the lowest level that the host is expected to admit."""
         return host.threshold_at(now, self.reopen_time)
 
     def pick_of_two(
@@ -387,7 +415,8 @@
         """Returns the less busy of two random hosts that admit the call.
 
         Returns:
-          A host that refuses the call if all do; None if none is usable.
+          The host.  If all usable hosts would refuse the call, one of them;
+          None if no host is usable.
         """
         count = len(candidates)
         if not count:
@@ -407,7 +436,7 @@
     def less_busy(
         self, first: hosts.Host, second: hosts.Host, criteria: PickCriteria
     ) -> hosts.Host:
-        """Returns the host with the lower score."""
+        """Returns the host with the lower score, adjusted for failures."""
         slow_start = self.settings.slow_start
         now = criteria.now
         first_score = first.score(first.ramp(now, slow_start))
@@ -415,8 +444,8 @@
         failure_rate_difference = first.failure_rate_at(
             criteria.operation, now
         ) - second.failure_rate_at(criteria.operation, now)
-        # Hosts that fail about equally often share the calls: by every small
-        # difference the better of two would get all of them.
+        # Hosts with about equal failure rates share the calls; if every small
+        # difference counted, the better host would get all of them.
         if failure_rate_difference >= FAILURE_RATE_MARGIN:
             first_score *= 1 + FAILURE_PENALTY * failure_rate_difference
         elif failure_rate_difference <= -FAILURE_RATE_MARGIN:
@@ -429,7 +458,10 @@
         host: hosts.Host,
         criteria: PickCriteria,
     ) -> bool:
-        """Returns whether the host is usable, warm and admits the call."""
+        """Returns whether the host is usable and admits the call.
+
+        A host in slow start is eligible with the probability of its ramp.
+        """
         if not service_hosts.is_usable(host, criteria.excluded, criteria.now):
             return False
         ramp = host.ramp(criteria.now, self.settings.slow_start)
@@ -445,9 +477,9 @@
         candidates: list[hosts.Host],
         criteria: PickCriteria,
     ) -> hosts.Host | None:
-        """Does what draw does where a host drawn first does not fit.
+        """Does the same as `pick_of_two` if a host drawn there is not eligible.
 
-        It looks at no more than MOST_LOOKED_AT hosts, from a random one on.
+        It examines at most MAX_SCANNED_HOSTS hosts, starting at a random one.
         """
         start = int(self.rng.random() * len(candidates))
         scanned = (candidates[start:] + candidates[:start])[:MAX_SCANNED_HOSTS]
--- a/tests/fakechain.py
+++ b/tests/fakechain.py
@@ -1,4 +1,4 @@
-"""A chain of fake services with real admission, on a virtual-time loop."""
+"""A chain of fake services with real admission, in virtual time."""
 
 import asyncio
 import collections
@@ -15,7 +15,7 @@
 
 
 class RefusedDownstreamError(Exception):
-    """A deeper service refused the child call."""
+    """A downstream service refused the child call."""
 
     def __init__(self, threshold: int):
         super().__init__()
@@ -23,12 +23,13 @@
 
 
 class FakeService:
-    """A backend server with slots, its admission, and the next service.
+    """A backend server with its admission and its downstream service.
 
     Attributes:
-      service_seconds: own time of a call without strain.
-      slowdown: times that the own time takes now.
-      busy_seconds: own seconds spent, by call tree.
+      service_seconds: Mean time of a call without its child call.
+      child: The downstream service, if any.
+      slowdown: Factor applied to the service time.
+      busy_seconds: Time spent without child calls, by call tree.
     """
 
     def __init__(
@@ -52,7 +53,12 @@
         self.busy_seconds: collections.Counter = collections.Counter()
 
     async def call(self, request: admissionrequest.AdmissionRequest) -> None:
-        """Runs a call; raises what refuses it."""
+        """Runs a call.
+
+        Raises:
+          admissionrequest.ShedError: The call was refused here.
+          RefusedDownstreamError: A downstream service refused the child call.
+        """
         permit = await self.admission.acquire(request)
         loop = asyncio.get_running_loop()
         started_at = loop.time()
@@ -101,14 +107,15 @@
 
 @dataclasses.dataclass(slots=True)
 class CallerGroup:
-    """One kind of callers.
+    """A group of callers with the same behavior.
 
     Attributes:
-      importance: of their calls.
-      rate: calls a second, open loop.
-      max_retries: how often a refused call is made again.
-      clients: number of callers that share the rate.
-      timeout_seconds: seconds until the deadline.
+      importance: Importance of the calls.
+      rate: Requests per second, open loop.
+      max_retries: Maximum retries of a refused call.
+      clients: Number of clients that share the rate.
+      timeout_seconds: Time from the request to its deadline.
+      name: Name of the group.
     """
 
     importance: messages.Importance
@@ -120,14 +127,14 @@
 
 
 class LoadGenerator:
-    """Callers of one service.
+    """Generates the load of several groups of callers on one service.
 
     Attributes:
-      sent: requests by kind and second.
-      answered: whole requests by kind and second of their arrival.
-      attempts: calls made, repeats included.
-      refused: attempts that failed, by reason.
-      wasted_seconds: backend server seconds of attempts that failed.
+      sent: Requests by group and second.
+      answered: Answered requests by group and the second they were sent in.
+      attempts: Number of calls, including retries.
+      refused: Failed attempts by reason.
+      wasted_seconds: Backend server time spent on failed attempts.
     """
 
     def __init__(self, chain: list[FakeService]):
@@ -141,13 +148,13 @@
         self.wasted_seconds = 0.0
 
     async def run(self, groups: list[CallerGroup], until: float) -> None:
-        """Sends all kinds until this loop time, then waits for the rest."""
+        """Sends requests until this loop time, then waits for them to end."""
         async with asyncio.TaskGroup() as tasks:
             for caller_group in groups:
                 tasks.create_task(self.send(caller_group, until))
 
     async def send(self, caller_group: CallerGroup, until: float) -> None:
-        """Sends one kind."""
+        """Sends the requests of one group."""
         loop = asyncio.get_running_loop()
         async with asyncio.TaskGroup() as tasks:
             while loop.time() < until:
@@ -155,7 +162,7 @@
                 tasks.create_task(self.request(caller_group))
 
     async def request(self, caller_group: CallerGroup) -> None:
-        """One request with its repeats, up to its deadline."""
+        """Makes one request with its retries, up to its deadline."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         second = int(now)
@@ -179,7 +186,7 @@
                 return
 
     async def attempt(self, request: admissionrequest.AdmissionRequest) -> bool:
-        """One attempt; returns whether it was answered in time."""
+        """Makes one attempt; returns whether it was answered in time."""
         self.attempts += 1
         spent_before = self.spent_seconds(request.tree)
         if await self.is_answered(request):
@@ -188,13 +195,13 @@
         return False
 
     def spent_seconds(self, tree: str) -> float:
-        """Returns the backend server seconds that a call tree took."""
+        """Returns the backend server time spent on a call tree."""
         return sum(service.busy_seconds[tree] for service in self.chain)
 
     async def is_answered(
         self, request: admissionrequest.AdmissionRequest
     ) -> bool:
-        """Makes one call; counts why it was not answered."""
+        """Makes one call; counts the reason if it was not answered."""
         try:
             async with asyncio.timeout_at(request.deadline):
                 await self.service.call(request)
@@ -202,7 +209,7 @@
             self.refused[error.reason] += 1
             return False
         except RefusedDownstreamError:
-            self.refused["below"] += 1
+            self.refused["downstream"] += 1
             return False
         except TimeoutError:
             self.refused["timeout"] += 1
@@ -210,7 +217,7 @@
         return True
 
     def success_rate(self, name: str, first: int, last: int) -> float:
-        """Returns the answered share of requests sent in these seconds."""
+        """Returns the answered share of the requests sent in these seconds."""
         seconds = range(first, last)
         sent = sum(self.sent[name, second] for second in seconds)
         answered = sum(self.answered[name, second] for second in seconds)
@@ -220,7 +227,7 @@
 def make_chain(
     slots: list[int], seconds: list[float], **changes
 ) -> list[FakeService]:
-    """Returns the services, the first one called first."""
+    """Returns a chain of services, in the order in which they are called."""
     chain: list[FakeService] = []
     for slot_count, service_seconds in zip(reversed(slots), reversed(seconds)):
         child = chain[0] if chain else None
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Which attempts a call gets, with hosts that a test scripts."""
+"""Tests of dispatching calls to scripted hosts, with retries."""
 
 import asyncio
 import random
@@ -32,7 +32,7 @@
 
 
 def default_section(cls, setting_options, **overrides):
-    """Returns a section of the settings with its defaults."""
+    """Returns a settings section with defaults and overrides."""
     values = {each.name: each.parse(each.default) for each in setting_options}
     return cls(**(values | overrides))
 
@@ -43,7 +43,7 @@
 
 
 class ScriptedTransport:
-    """A transport; `script` answers each attempt, by host and number."""
+    """A transport whose replies come from `script(host, call)`."""
 
     def __init__(self, script):
         self.script = script
@@ -64,7 +64,7 @@
 
 
 class FakeLease:
-    """Held unless a test says otherwise."""
+    """A lease that is held by default."""
 
     held = True
 
@@ -73,7 +73,7 @@
 
 
 class FakeViews:
-    """The view of the one service, as a subject has it."""
+    """A subject with the view of one service."""
 
     def __init__(self, names):
         members = [
@@ -137,7 +137,7 @@
 
 
 def refuse_all(reason=Reason.OVERLOADED):
-    """Returns a script in which every host refuses and hands tries back."""
+    """Returns a script in which every host refuses and returns retries."""
 
     def script(host, call):
         reply = calls.not_run_reply(reason)
@@ -152,7 +152,7 @@
 
 
 class FakeCallExecutor:
-    """A backend server on this host, with room, that fails some calls."""
+    """An executor with free slots whose backend server fails some calls."""
 
     def __init__(self, failing):
         self.local_services = self
@@ -182,7 +182,7 @@
 
 @pytest.mark.looptime
 class TestOwnHost:
-    """Calls that enter beside a backend server of their service."""
+    """Calls that enter on a host with a backend server of their service."""
 
     @pytest.mark.parametrize(
         ("failing", "fewest", "most"), [(0, 200, 200), (4, 5, 80)]
@@ -190,10 +190,10 @@
     async def test_failing_backend_server_on_the_own_host_is_avoided(
         self, failing, fewest, most
     ):
-        """Callers on one host get errors, all others nearly none.
+        """The backend server on the callers' host fails one call in four.
 
-        The backend server beside them fails one call in four; others of the
-        service are well.  It has room, and so it was never passed over.
+        It has free slots, so it would always be preferred, although other
+        backend servers of the service fail no calls.
         """
         dispatcher, _ = make_dispatcher(
             respond, names=[*HOSTS[:5], PROCESS.host], hop_tries=0
@@ -206,7 +206,7 @@
 
 @pytest.mark.looptime
 class TestRetries:
-    """Extra tries, bounded and only where nothing can run twice."""
+    """Retries are bounded and never run a non-idempotent call twice."""
 
     async def test_refused_call_is_retried_on_other_hosts_only(self):
         dispatcher, transport = make_dispatcher(refuse_all(), hop_tries=4)
@@ -230,27 +230,27 @@
         assert len(transport.asked_hosts) == 10 + 3
 
     async def test_failing_service_gets_burst_and_ratio(self):
-        """Every call is refused, and each caller could go on eight times.
+        """Every call is refused, and each could be retried eight times.
 
-        The load on a service that fails must stay bounded: one attempt more
-        for each four requests, however many tries the callers were granted.
+        The load on a failing service must stay bounded by the ratio, however
+        many retries the callers were granted.
         """
         dispatcher, transport = make_dispatcher(
             refuse_all(), burst=2, ratio=0.25, hop_tries=8
         )
         for _ in range(20):
             await dispatcher.handle(make_request())
-        # What the first request pays does not fit beside the burst.
+        # The tokens of the first request exceed the full bucket and are lost.
         assert len(transport.asked_hosts) == 20 + 2 + 20 // 4 - 1
 
     @pytest.mark.parametrize(("called", "attempts"), [(False, 2), (True, 1)])
     async def test_failure_after_child_calls_is_not_retried(
         self, called, attempts
     ):
-        """A run fails at once, for itself or for one of its own calls.
+        """A call fails fast, by itself or after one of its child calls.
 
-        Another backend server may serve the first.  The second would make
-        all its calls again, of a service that fails many of them.
+        Another backend server may succeed in the first case.  In the second,
+        a retry would repeat all child calls to a service that fails many.
         """
 
         def script(host, call):
@@ -265,10 +265,10 @@
         assert len(transport.asked_hosts) == attempts
 
     async def test_repeat_is_set_only_after_a_call_may_have_run(self):
-        """A call is refused by a node, then breaks, then is answered.
+        """A call is refused, then its connection breaks, then it succeeds.
 
-        After the refusal no backend server has seen it; after the break, the
-        calls that it makes may have been made before.
+        The refused call has not reached a backend server.  After the broken
+        connection, its child calls may have been made before.
         """
         results = [
             respond,
@@ -291,10 +291,10 @@
     async def test_only_idempotent_calls_are_retried_after_unknown(
         self, idempotent, attempts
     ):
-        """The connection breaks after a call was sent.
+        """The connection breaks after a call was sent, so it may have run.
 
-        It may have run.  A price is asked for again; a booking is not, and
-        its caller is told that nobody knows.
+        An idempotent call is retried.  Otherwise the caller gets the outcome
+        unknown.
         """
         dispatcher, transport = make_dispatcher(
             lambda host, call: errors.PeerBrokenError("cut")
@@ -306,10 +306,10 @@
     async def test_refusal_after_an_unknown_attempt_is_not_reported_as_not_run(
         self,
     ):
-        """The first host breaks off, every other one refuses unrun.
+        """The connection to the first host breaks, the other hosts refuse.
 
-        The first may have run the call, so the caller must not be told that
-        nothing ran, however true it is of the last host.
+        The first host may have run the call, so the caller must not be told
+        that the call did not run.
         """
         broken = [errors.PeerBrokenError("cut")]
 
@@ -329,10 +329,10 @@
             assert len(transport.asked_hosts) == 1
 
     async def test_redirects_are_free_but_bounded(self):
-        """Two of six hosts leave and one is dead while views lag.
+        """Two of six hosts leave and one is dead while the view is stale.
 
-        None of them touched the call, so it goes on without a try, even for
-        an operation that has none; but not for ever.
+        None of them processed the call, so the next attempt is no retry and
+        needs no allowance.  The number of redirects is bounded.
         """
         refusals = [
             calls.not_run_reply(Reason.LEAVING),
@@ -352,11 +352,10 @@
         assert len(transport.asked_hosts) == 1 + dispatch.MAX_REDIRECTS
 
     async def test_retry_without_a_host_is_refunded(self):
-        """Both hosts of a service refuse a call that has nine extra tries.
+        """Both hosts of a service refuse a call with an allowance of nine.
 
-        The second attempt costs one. The third finds no host that was not
-        tried, so it makes no attempt: its try goes back to the tree and to
-        the retry ratio.
+        The second attempt uses one retry.  For the third there is no untried
+        host, so its retry is refunded to the allowance and the budget.
         """
         dispatcher, transport = make_dispatcher(
             refuse_all(), names=HOSTS[:2], burst=3, ratio=0
@@ -384,7 +383,7 @@
 
 @pytest.mark.looptime
 class TestKeyedCalls:
-    """Keyed calls that must not run twice."""
+    """Calls with an idempotency key, which must not run twice."""
 
     async def test_keyed_call_goes_to_the_key_owner(self):
         dispatcher, transport = make_dispatcher(respond)
@@ -402,10 +401,10 @@
         assert len(transport.asked_hosts) == 1
 
     async def test_key_owner_is_looked_up_a_bounded_number_of_times(self):
-        """The owner of a key changes while a booking is on its way.
+        """The owner of a key changes while a call is in flight.
 
-        The former owner refuses it unrun.  The view is looked up again, and
-        the new owner runs it; a view that stays wrong ends in a refusal.
+        The former owner refuses the call.  The view is looked up again and the
+        new owner runs the call.  If the view stays stale, the call is refused.
         """
         dispatcher, transport = make_dispatcher(None, names=("a", "b"))
         request = make_request(idempotent=False, key="k")
@@ -445,10 +444,10 @@
 
 @pytest.mark.looptime
 class TestShutdown:
-    """Calls in flight when a node ends."""
+    """Calls in flight when a node shuts down."""
 
     async def test_refused_call_is_reported_as_not_run(self):
-        """A caller must not send again what has never run."""
+        """A call that never ran is not reported as unknown at shutdown."""
         dispatcher, _ = make_dispatcher(refuse_all(), hop_tries=9, backoff=4.0)
         request = make_request(idempotent=False, seconds=60)
         handling = asyncio.create_task(dispatcher.handle(request))
@@ -458,9 +457,9 @@
         reply = await handling
         assert reply.outcome is messages.Outcome.NOT_RUN
 
-    @pytest.mark.parametrize("order", ["answer-first", "cut-first"])
+    @pytest.mark.parametrize("order", ["reply-first", "shutdown-first"])
     async def test_reply_that_arrives_during_shutdown_is_returned(self, order):
-        """A whole answer is thrown away, and the caller told `unknown`."""
+        """A complete reply must not be replaced by `unknown` at shutdown."""
         dispatcher, transport = make_dispatcher(respond)
         loop = asyncio.get_running_loop()
         response_ready = loop.create_future()
@@ -474,7 +473,7 @@
         request = make_request(idempotent=False, seconds=60)
         handling = asyncio.create_task(dispatcher.handle(request))
         await asyncio.sleep(0.001)
-        if order == "answer-first":
+        if order == "reply-first":
             loop.call_later(
                 inflight.REFUSAL_DELIVERY_SECONDS,
                 response_ready.set_result,
@@ -482,7 +481,7 @@
             )
         giving_up = asyncio.create_task(dispatcher.in_flight.give_up())
         await asyncio.sleep(0)
-        if order == "cut-first":
+        if order == "shutdown-first":
             loop.call_later(
                 inflight.REFUSAL_DELIVERY_SECONDS,
                 response_ready.set_result,
--- a/tests/test_remotetraffic.py
+++ b/tests/test_remotetraffic.py
@@ -1,4 +1,4 @@
-"""Runs that go where their calls need not cross."""
+"""Tests of moving runs to reduce traffic between data centres."""
 
 import asyncio
 import random
@@ -12,17 +12,16 @@
 READ = ids.OperationName("read")
 CALLS_PER_RUN = 4
 RESPONSE_BYTES = 600
-"""Bytes of each answer, of the run and of its calls."""
+"""Size of each response, to the run and to its child calls."""
 RUNS_PER_SECOND = 40
-"""Runs a second."""
 
 
 class Scenario:
-    """A host near by whose calls may have to cross, and one elsewhere.
+    """Runs on a local host, whose child calls may be remote, or a remote host.
 
     Attributes:
-      remote_bytes: bytes that crossed between the data centres.
-      downstream_is_local: the service below has a host near by.
+      remote_bytes: Bytes sent between the data centres.
+      downstream_is_local: Whether the downstream service has a local host.
     """
 
     def __init__(self):
@@ -32,17 +31,17 @@
             routingfakes.LOCAL_DATA_CENTRE,
             random.Random(5),
         )
-        local = routingfakes.member("near")
-        remote = routingfakes.member("far", routingfakes.REMOTE_DATA_CENTRE)
+        local = routingfakes.member("local")
+        remote = routingfakes.member("remote", routingfakes.REMOTE_DATA_CENTRE)
         self.router.update_views(routingfakes.view(1, local, remote))
-        self.traffic = {"near": remotetraffic.RemoteTraffic()}
-        self.traffic["far"] = remotetraffic.RemoteTraffic()
+        self.traffic = {"local": remotetraffic.RemoteTraffic()}
+        self.traffic["remote"] = remotetraffic.RemoteTraffic()
         self.remote_bytes = 0
         self.load = 0
         self.downstream_is_local = True
 
     def run(self):
-        """Places one run and counts what crosses."""
+        """Places one run, records its remote traffic and returns its host."""
         now = asyncio.get_running_loop().time()
         member = self.router.pick(
             routingfakes.QUOTES,
@@ -53,7 +52,7 @@
         )
         self.router.record_call_start(routingfakes.QUOTES, member.host)
         traffic = self.traffic[member.host]
-        if member.host == "far":
+        if member.host == "remote":
             self.remote_bytes += (
                 remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES
             )
@@ -81,23 +80,24 @@
         return member.host
 
     async def run_seconds(self, count):
-        """Plays some seconds; returns the share of runs that went far."""
+        """Runs for `count` seconds; returns the share of remote runs."""
         hosts = []
         for _ in range(count * RUNS_PER_SECOND):
             hosts.append(self.run())
             await asyncio.sleep(1 / RUNS_PER_SECOND)
-        return hosts.count("far") / len(hosts)
+        return hosts.count("remote") / len(hosts)
 
 
 @pytest.mark.looptime
 class TestRunPlacement:
-    """Where runs go when a data centre lacks the service below."""
+    """Placement of runs if a data centre lacks the downstream service."""
 
     async def test_runs_move_if_child_calls_are_remote(self):
-        """Each answer waits for four far answers, one after the other.
+        """Runs must not stay local if all their child calls are remote.
 
-        The only host near by for the service below went.  All four calls of
-        a run cross, while a host elsewhere has that service beside it.
+        The only local host of the downstream service leaves.  Each response
+        then waits for four remote responses in sequence, while a remote host
+        has the downstream service in its own data centre.
         """
         scenario = Scenario()
         assert await scenario.run_seconds(2) == 0
@@ -121,7 +121,7 @@
         assert await scenario.run_seconds(5) == 0
 
     async def test_runs_do_not_move_to_a_full_host(self):
-        """Bytes are saved only where callers wait no longer for it."""
+        """Remote traffic is reduced only if callers do not wait longer."""
         scenario = Scenario()
         scenario.downstream_is_local = False
         scenario.load = 18
@@ -129,9 +129,9 @@
 
     @pytest.mark.parametrize("calls", [0, 1])
     async def test_run_with_at_most_one_child_call_stays(self, calls):
-        """A run that makes one call would carry as much itself."""
+        """Moving a run with one child call would not reduce traffic."""
         scenario = Scenario()
-        traffic = scenario.traffic["near"]
+        traffic = scenario.traffic["local"]
         for number in range(100):
             for _ in range(calls):
                 traffic.record_bytes(
--- a/tests/test_retryallowance.py
+++ b/tests/test_retryallowance.py
@@ -1,4 +1,4 @@
-"""Extra tries of a call tree."""
+"""Tests of the retry allowance of a call tree."""
 
 import hypothesis
 import pytest
@@ -10,7 +10,7 @@
 
 
 class TestRetryAllowance:
-    """The tries of one subtree."""
+    """Allowance of one subtree."""
 
     def test_lend_returns_half_rounded_up(self):
         allowance = retryallowance.RetryAllowance(3)
@@ -21,10 +21,9 @@
         ]
 
     def test_reclaim_drops_retries_that_were_not_lent(self):
-        """A broken peer returns more tries than it was lent.
+        """A faulty peer returns more retries than it was lent.
 
-        The node would then repeat calls that nobody granted, and the sum
-        over the tree would pass the grant.  The surplus is cut.
+        With the surplus, the tree would make more retries than its grant.
         """
         allowance = retryallowance.RetryAllowance(4)
         lent = allowance.lend()
@@ -38,10 +37,10 @@
             allowance.try_withdraw()
 
     def test_reclaim_after_close_adds_no_retries(self):
-        """The node's own reply has gone up when a child's reply comes.
+        """A reply to a child call arrives after the node's own reply was sent.
 
-        Its tries were counted as lost by then; taking them back would let
-        both the node and its caller use them.
+        Its retries are counted as lost.  If they were reclaimed, both the
+        node and its caller could use them.
         """
         allowance = retryallowance.RetryAllowance(4)
         lent = allowance.lend()
@@ -52,13 +51,13 @@
 
 
 class TestRunningCall:
-    """A backend server that repeats its own child calls."""
+    """Child calls of a running call."""
 
     def test_repeated_child_call_is_charged(self):
-        """A backend server's own client library retries a failed child call.
+        """The client library of a backend server retries a child call.
 
-        With two tries for the subtree it gets two repeats through, then a
-        refusal; a different child call is free of charge.
+        An allowance of two admits two repeats and refuses the third.  A
+        different child call is not charged.
         """
         running_call = retryallowance.RunningCalls().start(
             CALL_ID, retryallowance.RetryAllowance(2)
@@ -88,10 +87,10 @@
 
 
 class RandomCallTree:
-    """A call tree in which every hop fails, repeats and loses replies.
+    """A random call tree whose calls are retried and whose replies get lost.
 
     Attributes:
-      extra_attempts: attempts beyond the first of each call.
+      extra_attempts: Attempts beyond the first attempt of each call.
     """
 
     def __init__(self, data):
@@ -99,7 +98,7 @@
         self.extra_attempts = 0
 
     def call(self, granted: int, depth: int) -> int | None:
-        """Runs one call; returns the tries its reply brings, None if lost."""
+        """Runs one call; returns the retries in its reply, None if lost."""
         running_calls = retryallowance.RunningCalls()
         running_call = running_calls.start(
             CALL_ID, retryallowance.RetryAllowance(granted)
@@ -113,7 +112,7 @@
     def make_child_call(
         self, running_call: retryallowance.RunningCall, child: int, depth: int
     ) -> None:
-        """Makes a child call as often as the tries allow."""
+        """Makes a child call and repeats it while the allowance admits it."""
         for repeat in range(1 + self.data.draw(strategies.integers(0, 3))):
             if not running_call.allow_child("GET", f"/{child}", b""):
                 return
@@ -123,7 +122,7 @@
     def make_attempts(
         self, allowance: retryallowance.RetryAllowance, depth: int
     ) -> None:
-        """The node's own retry loop around one child call."""
+        """Runs the retry loop of the node for one child call."""
         for attempt in range(1 + self.data.draw(strategies.integers(0, 2))):
             if attempt and not allowance.try_withdraw():
                 return
@@ -134,7 +133,7 @@
 
 
 class TestCallTree:
-    """The sum over a whole call tree."""
+    """Retries summed over a whole call tree."""
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
     @hypothesis.given(
@@ -143,11 +142,10 @@
     def test_retries_of_a_tree_never_exceed_the_grant(
         self, data, granted, depth
     ):
-        """Backend servers and nodes repeat at every hop; replies get lost.
+        """Backend servers and nodes retry at every hop, and replies get lost.
 
-        Without conservation three tries a hop over four hops make 81
-        attempts of the last call.  Here the extra attempts of the whole tree
-        stay within what the first node granted.
+        Without conservation, three attempts per hop over four hops make 81
+        attempts of the last call.
         """
         tree = RandomCallTree(data)
         remaining = tree.call(granted, depth)
--- a/tests/test_retrybudget.py
+++ b/tests/test_retrybudget.py
@@ -1,4 +1,4 @@
-"""The retry ratio and the backoff."""
+"""Tests of the retry budget and the backoff."""
 
 import random
 
@@ -10,13 +10,13 @@
 
 
 class TestRetryBudget:
-    """Retries of a service against its requests."""
+    """Retries of a service in proportion to its requests."""
 
     def test_failing_service_gets_burst_and_ratio(self):
-        """Every call of a service fails and wants a retry.
+        """Every call of a service fails and asks to be retried.
 
-        Without the ratio the load on it doubles just then.  The burst goes
-        through, then one try for each ten requests.
+        Without the budget, the retries would double the load on the failing
+        service.  The budget admits the burst, then one retry per ten requests.
         """
         budget = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.1, burst=5)
@@ -33,9 +33,10 @@
         assert taken == 1
 
     def test_spent_setting_lowers_the_ratio(self):
-        """A bound over all nodes is broken though each one keeps to it.
+        """Each node keeps its ratio, but all nodes together exceed it.
 
-        Whoever counts looks at windows that begin at other moments.
+        An external count uses time windows that begin at other times than
+        those of the nodes.  The margin `spent` keeps it below the ratio.
         """
         budget = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.2, spent=0.9, burst=50)
@@ -50,10 +51,10 @@
         assert taken == 18
 
     def test_critical_calls_are_retried_first(self):
-        """Half of all calls fail, and ten times the tries would be needed.
+        """More calls fail than the budget can retry, and most are not critical.
 
-        Readers want most of them.  A booking needs four calls in a row; were
-        each tried again as seldom as a reader's, it would be lost.
+        A critical request needs several calls in sequence and would fail if
+        its calls were retried as rarely as the others.
         """
         budget = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.2, burst=4)
@@ -72,10 +73,10 @@
 
     @pytest.mark.parametrize(("nodes", "taken"), [(5, 4), (58, 1), (9999, 1)])
     def test_burst_shrinks_with_the_number_of_nodes(self, nodes, taken):
-        """A service begins to fail, and every node has tries saved up.
+        """A service begins to fail while every node has saved retries.
 
-        Together they may spend a hundred; with four at each of 58 nodes, 232
-        attempts came at the service at once.
+        With a burst of four at each of 58 nodes, 232 retries would reach the
+        service at once.  The slack bounds them to 100 for all nodes together.
         """
         budget = retrybudget.RetryBudget(
             routingfakes.section("retries", burst=4, slack=100)
@@ -88,9 +89,9 @@
 
     @pytest.mark.parametrize("slack", [0, 100])
     def test_zero_burst_allows_no_retries(self, slack):
-        """An operator switches extra tries off, and critical calls fail.
+        """Retries are switched off by a burst of 0, and critical calls fail.
 
-        What is kept for those must not let one of the others through.
+        The reserve for critical calls must not admit any retry.
         """
         budget = retrybudget.RetryBudget(
             routingfakes.section("retries", burst=0, slack=slack)
@@ -109,10 +110,10 @@
             assert budget.try_withdraw(routingfakes.QUOTES)
 
     def test_child_calls_of_a_retried_call_take_tokens(self):
-        """A run is tried again, and makes four calls of its own once more.
+        """A retried call makes its four child calls again.
 
-        Whoever counts attempts at the service below sees five for one.  The
-        calls are paid before anybody there is tried again.
+        For the downstream service they are retries too.  Their tokens are
+        earned back before another call to this service is retried.
         """
         budget = retrybudget.RetryBudget(
             routingfakes.section("retries", ratio=0.5, burst=2)
@@ -127,7 +128,7 @@
 
 
 class TestBackoff:
-    """The wait before another try."""
+    """Backoff before a retry."""
 
     def test_backoff_is_below_the_remaining_time(self):
         rng = random.Random(routingfakes.SEED)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""The choice of a host."""
+"""Tests of picking a host for a call."""
 
 import asyncio
 import collections
@@ -15,7 +15,7 @@
 
 
 def make_router(*members: messages.Member, **changes) -> routing.Router:
-    """Returns a router of a node in Lima that knows these hosts."""
+    """Returns a router of a node in the local data centre with these hosts."""
     router = routing.Router(
         fakes.section("routing", **changes),
         fakes.section("admission"),
@@ -34,7 +34,7 @@
 def complete_call(
     router: routing.Router, host: ids.HostId, observation
 ) -> None:
-    """Sends a call to the host and ends it with this observation."""
+    """Starts a call to the host and ends it with this observation."""
     router.record_call_start(fakes.QUOTES, host)
     router.record_call_end(fakes.QUOTES, host, observation)
 
@@ -49,7 +49,7 @@
 
 
 def response_with_load(inflight: int, status: int = 200) -> routing.Observation:
-    """Returns an answer of a host with a limit of 20 and this many calls."""
+    """Returns a response of a host with a limit of 20 and this many calls."""
     return routing.Observation(
         outcome=messages.Outcome.ANSWERED,
         inflight=inflight,
@@ -60,7 +60,7 @@
 
 @pytest.mark.looptime
 class TestSpillover:
-    """When a call leaves its data centre."""
+    """Conditions under which a call goes to another data centre."""
 
     def make(self):
         return make_router(
@@ -68,9 +68,9 @@
         )
 
     async def test_spills_over_if_calls_queue_at_the_local_host(self):
-        """One data centre's callers wait while another's hosts stand idle.
+        """Callers of one data centre wait while hosts of another are idle.
 
-        The near host has more calls than its limit and the far one few.
+        The local host has more calls than its limit, the remote host few.
         """
         router = self.make()
         complete_call(router, ids.HostId("a"), response_with_load(30))
@@ -91,10 +91,10 @@
         assert {pick(router) for _ in range(50)} == {"a"}
 
     async def test_spills_over_if_the_local_host_fails_some_calls(self):
-        """Callers of one data centre get errors, those of another none.
+        """The local backend server fails one call in five but is healthy.
 
-        The near backend server fails one in five calls while its health
-        check is good; some seconds later it is tried again.
+        Its callers would get errors while those of the other data centre get
+        none.  The local host is tried again after a few seconds.
         """
         router = self.make()
         for number in range(90):
@@ -115,13 +115,13 @@
 
 @pytest.mark.looptime
 class TestSlowHost:
-    """A backend server that turned slow, with room for more calls."""
+    """A backend server that became slow and is not full."""
 
     async def test_calls_move_to_a_host_that_responds_in_time(self):
-        """Callers of one data centre get every answer too late.
+        """Callers of one data centre get every response too late.
 
-        Their own host needs four times as long as before, and has so few
-        calls that none waits; another data centre's host answers in time.
+        The local host is slow but has so few calls that none waits, so its
+        load does not divert them.  The remote host responds in time.
         """
         router = make_router(
             fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
@@ -131,9 +131,10 @@
         assert sum(late[100:]) < 60
 
     async def test_slow_host_is_detected_with_few_calls(self):
-        """A node with two calls a second stays with a slow host for ever.
+        """A node with two calls per second stays with a slow host forever.
 
-        What each late answer adds fades before the next one comes.
+        The failure rate added by each late response decays before the next
+        response arrives.
         """
         router = make_router(
             fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
@@ -156,13 +157,13 @@
         assert hosts.count("a") > 240
 
     def call(self, router, slow):
-        """Sends a call; returns whether its answer came late."""
+        """Completes a call; returns whether its response is late."""
         host = pick(router)
         complete_call(router, host, self.make_observation(late=host == slow))
         return host == slow
 
     def make_observation(self, late):
-        """Returns an answer of a host that is half full."""
+        """Returns a response of a host that is half full."""
         return routing.Observation(
             outcome=messages.Outcome.ANSWERED,
             status=200,
@@ -174,7 +175,7 @@
 
 @pytest.mark.looptime
 class TestPick:
-    """Which host a call goes to."""
+    """Choice between usable hosts."""
 
     async def test_prefers_the_local_data_centre(self):
         router = make_router(
@@ -190,10 +191,10 @@
         assert {pick(router) for _ in range(50)} == {"b"}
 
     async def test_spills_over_while_the_backend_server_sheds(self):
-        """The near backend server sheds by itself; its node knows no level.
+        """The local backend server sheds calls without reporting a threshold.
 
-        Calls go to the other data centre, and after a while without news
-        some try the near one again.
+        Calls go to the other data centre.  After a time without replies, the
+        local host is tried again.
         """
         router = make_router(
             fakes.member("a"), fakes.member("b", fakes.REMOTE_DATA_CENTRE)
@@ -220,10 +221,9 @@
         assert max(sent.values()) - min(sent.values()) <= 6
 
     async def test_leaving_host_receives_no_calls(self):
-        """The host says on a reply that it is leaving; the view lags.
+        """A host replies that it is leaving before the view says so.
 
-        Calls sent there in the meantime would only be refused, so its own
-        word counts at once.
+        Calls sent to it until the view is updated would be refused.
         """
         router = make_router(fakes.member("a"), fakes.member("b"))
         leaving = routing.Observation(
@@ -240,13 +240,13 @@
 
 @pytest.mark.looptime
 class TestEarlyRefusal:
-    """Refusing at the first node what a deeper hop refuses."""
+    """Refusal at the first node of calls that a later hop would refuse."""
 
     async def test_refuses_until_a_call_finds_the_threshold_lowered(self):
-        """Every host says that it admits only important calls.
+        """Every host reports that it admits only important calls.
 
-        Callers get refusals at once, but for a few calls that go on.  Once
-        such a call is admitted, its reply opens the way for the others.
+        Other calls are refused early, except for a few.  Once one of these is
+        admitted, its reply ends the early refusals.
         """
         router = make_router(fakes.member("a"))
         host = ids.HostId("a")
@@ -263,10 +263,10 @@
         assert pick(router) == host
 
     async def test_refuses_only_the_operation_refused_downstream(self):
-        """Prices need a service in trouble, stock does not.
+        """One operation needs an overloaded downstream service, another not.
 
-        The host admits everything itself.  Calls for prices are refused at
-        the first node; calls for stock go on.
+        The host itself admits all calls.  Only calls of the first operation
+        are refused early.
         """
         router = make_router(fakes.member("a"))
         price, stock = map(ids.OperationName, ("price", "stock"))
@@ -289,13 +289,13 @@
 
 @pytest.mark.looptime
 class TestEjection:
-    """Hosts that keep failing."""
+    """Ejection of hosts that fail repeatedly."""
 
     async def test_ejected_share_is_bounded(self):
-        """All three hosts break every call, as when the network is cut.
+        """All three hosts fail every call, as in a network outage.
 
-        Ejecting all would turn a partial outage into a whole one, so at
-        most a third goes; the others still get calls.
+        Ejecting all of them would turn a partial outage into a complete one.
+        At most a third is ejected.
         """
         router = make_router(
             fakes.member("a"), fakes.member("b"), fakes.member("c")
@@ -306,10 +306,10 @@
         assert len(remaining) == 2
 
     async def test_restarted_host_is_not_ejected_for_earlier_failures(self):
-        """A host is killed with ten calls in flight and announces itself anew.
+        """A host is killed with ten calls in flight and restarts.
 
-        The calls break after the view was updated. They say nothing about
-        the new process, which gets calls at once.
+        The calls fail after the view is updated.  These failures must not
+        eject the new process.
         """
         others = [fakes.member("b"), fakes.member("c")]
         router = make_router(fakes.member("a"), *others)
@@ -330,11 +330,10 @@
         assert not router.services[fakes.QUOTES].outliers.records
 
     async def test_one_idempotent_call_probes_an_ejected_host(self):
-        """A host was ejected and its time is up; is it well again?
+        """The ejection time of a host has passed and a probe is due.
 
-        A non-idempotent call must not find out, and a crowd of calls must
-        not fall on it.  One idempotent call goes; its answer brings the host
-        back, with a share of calls that ramps up.
+        Non-idempotent calls must not probe the host, and only one call may.
+        Its response puts the host back in use, in slow start.
         """
         router, bad = await self.make_probe_due()
         assert bad not in {pick(router) for _ in range(50)}
@@ -344,7 +343,7 @@
         assert bad in {pick(router) for _ in range(200)}
 
     async def make_probe_due(self) -> tuple[routing.Router, ids.HostId]:
-        """Returns a router and a host whose time out of use is just up."""
+        """Returns a router and an ejected host whose probe is due."""
         router = make_router(
             fakes.member("a"), fakes.member("b"), fakes.member("c")
         )
@@ -366,13 +365,13 @@
 
 @pytest.mark.looptime
 class TestSlowStart:
-    """A host that was just started."""
+    """A host that has just joined."""
 
     async def test_share_of_a_new_host_ramps_up(self):
-        """A third host joins cold, at a service under steady load.
+        """A third, cold host joins a service under steady load.
 
-        With a third of the calls at once it would time out on all of them.
-        Its share grows over the time set.
+        With a third of the calls at once, all of its calls would time out.
+        Its share grows over the slow start time.
         """
         old = [fakes.member("a", slots=100), fakes.member("b", slots=100)]
         router = make_router(*old)
@@ -386,7 +385,7 @@
         assert 0.25 < shares[-1] < 0.4
 
     def share_of(self, router: routing.Router, host: ids.HostId) -> float:
-        """Sends 90 calls at once, ends them; returns the host's share."""
+        """Completes 90 concurrent calls; returns the host's share."""
         sent = []
         for _ in range(90):
             sent.append(pick(router))
@@ -398,13 +397,13 @@
 
 @pytest.mark.looptime
 class TestReportedLoad:
-    """What a host says of its own load."""
+    """Load that hosts report of themselves."""
 
     async def test_wrong_reported_load_does_not_attract_calls(self):
-        """A stuck host says that it is idle; the others say they are full.
+        """A stuck host reports that it is idle, the others that they are full.
 
-        Its calls do not come back, and this node's own count of them keeps
-        new ones away, whatever the host says.
+        Its calls do not end.  The node's own count of outstanding calls must
+        keep new calls away, whatever load the host reports.
         """
         router = make_router(
             fakes.member("a"), fakes.member("b"), fakes.member("c")
@@ -432,7 +431,7 @@
     """Random hosts that fail, shed, leave and restart.
 
     Attributes:
-      picked: calls that found a host.
+      picked: Number of calls that found a host.
     """
 
     def __init__(self, seed: int):
@@ -464,7 +463,7 @@
         )
 
     def call(self) -> None:
-        """Picks a host; checks that it may be picked."""
+        """Picks a host and checks that it may be picked."""
         excluded = {ids.HostId(f"host-{self.rng.randrange(8)}")}
         idempotent = self.rng.random() < 0.5
         try:
@@ -485,7 +484,7 @@
         self.in_flight.append(member.host)
 
     def end(self) -> None:
-        """Ends a random call in a random way."""
+        """Ends a random call with a random observation."""
         if not self.in_flight:
             return
         index = self.rng.randrange(len(self.in_flight))
@@ -497,7 +496,7 @@
         )
 
     def check(self) -> None:
-        """Asserts what holds at any time."""
+        """Checks the invariants of the router's state."""
         service_hosts = self.router.services[fakes.QUOTES]
         assert service_hosts.hosts.keys() == self.members.keys()
         assert (
@@ -510,14 +509,14 @@
 
 @pytest.mark.looptime
 class TestRandomEvents:
-    """Hosts come, go, fail and return while calls are in flight."""
+    """Random changes of the hosts while calls are in flight."""
 
     @pytest.mark.parametrize("seed", range(4))
     async def test_only_usable_hosts_are_picked(self, seed):
-        """Replies arrive from hosts that restarted or left meanwhile.
+        """Replies arrive from hosts that have restarted or left.
 
-        Counts of a former incarnation must not stay with the new one, and
-        no call may go to a host that leaves or was already tried.
+        Counts of a former incarnation must not carry over to the new one, and
+        no call may go to a host that is leaving or was already tried.
         """
         cluster = Cluster(seed)
         cluster.change()
