--- a/mangobay/dispatch.py
+++ b/mangobay/dispatch.py
@@ -1,4 +1,4 @@
-"""The entry side: brings a call to a host that runs it, within its tries."""
+"""Dispatches calls to hosts and retries them within their allowance."""
 
 import asyncio
 import dataclasses
@@ -29,38 +29,43 @@
 Reason = messages.Reason
 
 MAX_REDIRECTS = 3
-"""Free attempts of one call after hosts that cannot have touched it.
+"""Maximum redirects of one call to another host; they are not retries.
 
 A host that is leaving, is not the owner or cannot be reached did no work, so
-going on to another one multiplies nothing; the bound keeps stale views from
-sending a call around for long.
+a redirect does not multiply load.  The bound keeps a call from being passed
+on for long by nodes with stale views.
 """
 OWNER_LOOKUP_DELAY = 0.05
-"""Seconds before the owner of a key is looked up again; tripled each time."""
+"""Seconds before the owner of a key is looked up again.
+
+The delay triples with each lookup.
+"""
 QUEUE_WAIT_SHARE = 0.5
-"""Of an operation's target latency that a call may wait for a slot: a call in
-the middle of a chain that is refused wastes the work of all above it, and one
-that waits longer than this comes too late as well."""
+"""Share of an operation's target latency that a call may wait for a slot.
+
+Refusing a call in the middle of a call chain wastes the work of all callers
+above it.  A call that waits longer than this would be late anyway.
+"""
 REPLY_GRACE = 0.05
-"""Seconds after the deadline in which a reply that says why is awaited."""
+"""Seconds after the deadline to wait for a reply that states its reason."""
 
 
 class Lease(typing.Protocol):
-    """What is needed of `lease.Lease`."""
+    """The part of `lease.Lease` that the dispatcher uses."""
 
     def holds(self) -> bool:
-        """Whether the lease has not ended."""
+        """Returns whether the lease is valid."""
 
 
 class Views(typing.Protocol):
-    """What is needed of the subject of views."""
+    """The part of the subject of views that the dispatcher uses."""
 
     value: dict[ids.ServiceName, messages.ServiceView]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Dependencies:
-    """What the entry side works with."""
+    """Objects that the dispatcher uses."""
 
     process: calls.Process
     router: routing.Router
@@ -75,15 +80,15 @@
 
 @dataclasses.dataclass(slots=True)
 class RetryState:
-    """How one call has fared so far.
+    """State of the attempts of one call.
 
     Attributes:
-      excluded: hosts that are not tried again.
-      retries: extra tries used here.
-      redirects: free attempts used.
-      unknown_reply: the reply of an attempt that may have run.
-      retry_reserved: a try was taken for the attempt that comes next.
-      started_at: loop time of the first attempt.
+      excluded: Hosts that are not tried again.
+      retries: Number of retries made by this node.
+      redirects: Number of redirects.
+      unknown_reply: Reply of an attempt that may have run, if any.
+      retry_reserved: Whether a retry was withdrawn for the next attempt.
+      started_at: Loop time of the first attempt.
     """
 
     excluded: set[ids.HostId] = dataclasses.field(default_factory=set)
@@ -94,25 +99,27 @@
     started_at: float = 0.0
 
     def record(self, reply: messages.Reply) -> None:
-        """Remembers an attempt whose fate is unknown."""
+        """Records the reply if the attempt may have run."""
         if reply.outcome == Outcome.UNKNOWN:
             self.unknown_reply = reply
 
     def final_reply(self, reply: messages.Reply) -> messages.Reply:
-        """Returns what the caller is told.
+        """Returns the reply for the caller.
 
-        A refusal by the last host is true of that host only.  After an
-        attempt that may have run, `not_run` would be a lie to the caller.
+        A refusal by the last host holds for that host only.  After an earlier
+        attempt that may have run, the caller must not be told `not_run`.
         """
         refused = reply.outcome == Outcome.NOT_RUN
         return self.unknown_reply if refused and self.unknown_reply else reply
 
 
 class Dispatcher:
-    """Brings calls to hosts; the only place that repeats an attempt.
+    """Dispatches calls to hosts; the only component that makes retries.
 
     Attributes:
-      in_flight: the calls that have no reply yet.
+      retries: Settings of retries.
+      dependencies: Objects that the dispatcher uses.
+      in_flight: Calls without a reply.
     """
 
     def __init__(
@@ -123,9 +130,9 @@
         self.in_flight = inflight.InFlightCalls()
 
     async def handle(self, request: calls.Request) -> messages.Reply:
-        """Returns the reply to a call, after other attempts where allowed.
+        """Returns the reply to a call, after retries where allowed.
 
-        Cancelling gives up what may be given up; see `serving`.
+        Cancellation also cancels the attempt if that is safe; see `execution`.
         """
         operation = request.operation
         if operation.key_required and not request.key:
@@ -145,29 +152,29 @@
         return await self.in_flight.track(run(request))
 
     async def try_routed_hosts(self, request: calls.Request) -> messages.Reply:
-        """Tries hosts that the router picks."""
-        made = RetryState(started_at=asyncio.get_running_loop().time())
+        """Tries the hosts that the router picks until a reply is final."""
+        state = RetryState(started_at=asyncio.get_running_loop().time())
         reply = None
         while True:
-            member = self.pick_or_refuse(request, made.excluded)
+            member = self.pick_or_refuse(request, state.excluded)
             if isinstance(member, messages.Reply):
-                if made.retry_reserved:
+                if state.retry_reserved:
                     self.refund_retry(request)
-                return made.final_reply(reply or member)
-            made.retry_reserved = False
-            made.excluded.add(member.host)
+                return state.final_reply(reply or member)
+            state.retry_reserved = False
+            state.excluded.add(member.host)
             reply = await self.attempt(request, member)
-            made.record(reply)
-            wait = self.delay_before_next(request, reply, made)
-            if wait is None:
-                return made.final_reply(reply)
-            if wait and not await self.in_flight.pause(wait):
-                return made.final_reply(reply)
+            state.record(reply)
+            delay = self.delay_before_next(request, reply, state)
+            if delay is None:
+                return state.final_reply(reply)
+            if delay and not await self.in_flight.pause(delay):
+                return state.final_reply(reply)
 
     def pick_or_refuse(
         self, request: calls.Request, excluded: set[ids.HostId]
     ) -> messages.Member | messages.Reply:
-        """Returns the host to try, or the refusal where there is none."""
+        """Returns the next host, or the refusal if there is none."""
         service = request.operation.service
         if self.prefers_own_host(request.operation, excluded):
             return messages.Member(host=self.dependencies.process.host)
@@ -191,57 +198,67 @@
     def prefers_own_host(
         self, operation: messages.Operation, excluded: set[ids.HostId]
     ) -> bool:
-        """Whether the backend server here serves well: that saves a hop.
+        """Returns whether to use the backend server on this host.
 
-        One that fails calls, or answers them late, would else keep all those
-        that enter here: up to a third of a service's callers are beside its
-        backend servers, and the router never got to choose for them.
+        That saves a hop.  A backend server that fails calls or responds late
+        is not preferred.  Otherwise it would receive all calls that enter on
+        its host: up to a third of a service's callers run on the hosts of its
+        backend servers, and the router would not choose a host for them.
         """
-        here = self.dependencies.executor
-        place = here.local_services.find(operation.service)
+        executor = self.dependencies.executor
+        local_service = executor.local_services.find(operation.service)
         host = self.dependencies.process.host
-        if place is None or here.leaving or host in excluded:
+        if local_service is None or executor.leaving or host in excluded:
             return False
-        if not place.announcement.healthy or place.admission.threshold:
+        if (
+            not local_service.announcement.healthy
+            or local_service.admission.threshold
+        ):
             return False
-        if place.admission.running >= place.admission.limit:
+        if local_service.admission.running >= local_service.admission.limit:
             return False
-        known = self.dependencies.router.services.get(operation.service)
-        found = known.hosts.get(host) if known else None
-        if found is None:
+        service_hosts = self.dependencies.router.services.get(operation.service)
+        known_host = service_hosts.hosts.get(host) if service_hosts else None
+        if known_host is None:
             return True
         now = asyncio.get_running_loop().time()
         if (
-            found.failure_rate_at(operation.name, now)
+            known_host.failure_rate_at(operation.name, now)
             >= routing.FAILURE_RATE_MARGIN
         ):
             return False
-        return known.is_usable(found, excluded, now)
+        return service_hosts.is_usable(known_host, excluded, now)
 
     def delay_before_next(
-        self, request: calls.Request, reply: messages.Reply, made: RetryState
+        self, request: calls.Request, reply: messages.Reply, state: RetryState
     ) -> float | None:
-        """Returns the seconds before another attempt, None for none."""
+        """Returns the seconds before the next attempt, or None for no attempt.
+
+        A retry is charged to the retry budget and to the call's allowance.
+        """
         now = asyncio.get_running_loop().time()
-        failed = reply.outcome is Outcome.ANSWERED
-        if failed and not retrypolicy.is_fast_failure(
-            request, reply, now - made.started_at
+        has_response = reply.outcome is Outcome.ANSWERED
+        if has_response and not retrypolicy.is_fast_failure(
+            request, reply, now - state.started_at
         ):
             return None
-        left = request.deadline - now
-        if left <= 0 or self.in_flight.given_up:
+        seconds_left = request.deadline - now
+        if seconds_left <= 0 or self.in_flight.given_up:
             return None
-        if retrypolicy.is_redirect(reply) and made.redirects < MAX_REDIRECTS:
-            made.redirects += 1
+        if retrypolicy.is_redirect(reply) and state.redirects < MAX_REDIRECTS:
+            state.redirects += 1
             return 0.0
-        if not failed and not retrypolicy.may_retry(request, reply):
+        if not has_response and not retrypolicy.may_retry(request, reply):
             return None
-        if made.retries >= self.retries.hop_tries:
+        if state.retries >= self.retries.hop_tries:
             return None
-        wait = retrybudget.backoff(
-            self.retries.backoff, made.retries + 1, left, self.dependencies.rng
+        delay = retrybudget.backoff(
+            self.retries.backoff,
+            state.retries + 1,
+            seconds_left,
+            self.dependencies.rng,
         )
-        if wait is None:
+        if delay is None:
             return None
         service = request.operation.service
         if request.allowance.remaining < 1:
@@ -251,23 +268,23 @@
         ):
             return None
         request.allowance.try_withdraw()
-        made.retries += 1
-        made.retry_reserved = True
+        state.retries += 1
+        state.retry_reserved = True
         request.repeat = request.repeat or retrypolicy.may_have_reached_backend(
             reply
         )
-        return wait
+        return delay
 
     def refund_retry(self, request: calls.Request) -> None:
-        """Takes back the try of an attempt for which there was no host."""
+        """Refunds a reserved retry for which there is no host."""
         request.allowance.refund()
         self.dependencies.retry_budget.refund(request.operation.service)
 
     async def try_key_owner(self, request: calls.Request) -> messages.Reply:
-        """Brings a keyed call to the owner of its key.
+        """Sends a call with an idempotency key to the owner of the key.
 
-        The owner's own refusals are final here: the same host is never tried
-        again, and no other one may run the key.
+        A refusal by the owner is final: the same host is not tried again, and
+        no other host may run a call with this key.
         """
         service = request.operation.service
         slot = keyslots.slot_of(request.key)
@@ -280,38 +297,38 @@
                 reply = await self.attempt(request, owner)
             if not retrypolicy.is_redirect(reply) or redirect == MAX_REDIRECTS:
                 return reply
-            left = request.deadline - asyncio.get_running_loop().time()
-            wait = (
+            seconds_left = request.deadline - asyncio.get_running_loop().time()
+            delay = (
                 OWNER_LOOKUP_DELAY
                 * 3**redirect
                 * self.dependencies.rng.uniform(0.5, 1)
             )
-            if wait >= left or not await self.in_flight.pause(wait):
+            if delay >= seconds_left or not await self.in_flight.pause(delay):
                 return reply
         return reply
 
     async def attempt(
         self, request: calls.Request, member: messages.Member
     ) -> messages.Reply:
-        """Returns the reply of one host, or what its silence means."""
+        """Returns the reply of one host, or one that describes its failure."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        left = request.deadline - began
-        if left <= 0:
+        started_at = loop.time()
+        seconds_left = request.deadline - started_at
+        if seconds_left <= 0:
             return calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
         service = request.operation.service
         lent = request.allowance.lend()
-        call = self.make_call(request, left, lent)
+        call = self.make_call(request, seconds_left, lent)
         router = self.dependencies.router
         router.record_call_start(service, member.host)
         reply = execution.PENDING_REPLY
         try:
-            reply = await self.deliver(call, member, left)
+            reply = await self.deliver(call, member, seconds_left)
         finally:
             router.record_call_end(
                 service,
                 member.host,
-                make_observation(request, reply, loop.time() - began),
+                make_observation(request, reply, loop.time() - started_at),
             )
             self.record_remote_bytes(request, member, reply)
             if request.trace.sampled:
@@ -320,7 +337,7 @@
                     call=call,
                     member=member,
                     reply=reply,
-                    began=began,
+                    began=started_at,
                 )
                 self.dependencies.tracer.record(attempt)
         request.allowance.reclaim(min(reply.tries_left, lent))
@@ -332,28 +349,34 @@
         member: messages.Member,
         reply: messages.Reply,
     ) -> None:
-        """Counts what a call of a run here carried to a far host."""
+        """Records the remote traffic of a child call for its parent's run."""
         if not request.parent_operation:
             return
-        size = reply.crossing
+        remote_bytes = reply.crossing
         if member.data_centre not in (
             "",
             self.dependencies.process.data_centre,
         ):
-            size += (
+            remote_bytes += (
                 remotetraffic.CALL_OVERHEAD_BYTES
                 + len(request.body)
                 + len(reply.body)
             )
-        if size:
+        if remote_bytes:
             self.dependencies.executor.remote_traffic.record_bytes(
-                request.parent_operation, size
+                request.parent_operation, remote_bytes
             )
 
     def make_call(
-        self, request: calls.Request, left: float, lent: int
+        self, request: calls.Request, seconds_left: float, lent: int
     ) -> messages.Call:
-        """Returns the message of one attempt."""
+        """Builds the message of one attempt.
+
+        Args:
+          request: The call.
+          seconds_left: Seconds until the deadline.
+          lent: Retries lent to the attempt.
+        """
         operation = request.operation
         view = self.dependencies.views.value.get(operation.service)
         call_id = httpheaders.new_call_id()
@@ -367,7 +390,7 @@
             caller=request.caller,
             importance=request.importance,
             depth=request.depth,
-            deadline_ms=max(int(left * 1000), 1),
+            deadline_ms=max(int(seconds_left * 1000), 1),
             tries=lent,
             idempotent=operation.idempotent,
             key=request.key
@@ -384,16 +407,16 @@
         )
 
     async def deliver(
-        self, call: messages.Call, member: messages.Member, left: float
+        self, call: messages.Call, member: messages.Member, seconds_left: float
     ) -> messages.Reply:
-        """Hands the call to this host's serving side or to a peer."""
+        """Sends the call to the executor of this host or to a peer."""
         if member.host == self.dependencies.process.host:
             return await self.dependencies.executor.serve(call)
         try:
             reply = await self.dependencies.transport.ask(
                 parse_peer_address(member.peer_address),
                 call,
-                left + REPLY_GRACE,
+                seconds_left + REPLY_GRACE,
             )
         except errors.PeerUnreachableError:
             reply = calls.not_run_reply(Reason.CONNECTION_FAILED)
@@ -411,7 +434,7 @@
 def make_observation(
     request: calls.Request, reply: messages.Reply, seconds: float
 ) -> hosts.Observation:
-    """Returns what the reply shows of its host."""
+    """Builds the observation of a host from its reply."""
     return hosts.Observation(
         operation=request.operation.name,
         downstream_threshold=reply.below,
@@ -430,5 +453,5 @@
 
 @functools.lru_cache(maxsize=65536)
 def parse_peer_address(text: str) -> options.Address:
-    """Returns a member's peer address."""
+    """Parses the peer address of a member; results are cached."""
     return options.parse_address(text)
--- a/tests/test_remotetraffic.py
+++ b/tests/test_remotetraffic.py
@@ -1,4 +1,4 @@
-"""Runs that go where their calls need not cross."""
+"""Tests of moving runs to reduce traffic between data centres."""
 
 import asyncio
 import random
@@ -12,17 +12,16 @@
 READ = ids.OperationName("read")
 CALLS_PER_RUN = 4
 RESPONSE_BYTES = 600
-"""Bytes of each answer, of the run and of its calls."""
+"""Size of each response, to the run and to its child calls."""
 RUNS_PER_SECOND = 40
-"""Runs a second."""
 
 
 class Scenario:
-    """A host near by whose calls may have to cross, and one elsewhere.
+    """Runs on a local host, whose child calls may be remote, or a remote host.
 
     Attributes:
-      remote_bytes: bytes that crossed between the data centres.
-      downstream_is_local: the service below has a host near by.
+      remote_bytes: Bytes sent between the data centres.
+      downstream_is_local: Whether the downstream service has a local host.
     """
 
     def __init__(self):
@@ -32,17 +31,17 @@
             routingfakes.LOCAL_DATA_CENTRE,
             random.Random(5),
         )
-        near = routingfakes.member("near")
-        far = routingfakes.member("far", routingfakes.REMOTE_DATA_CENTRE)
-        self.router.update_views(routingfakes.view(1, near, far))
-        self.traffic = {"near": remotetraffic.RemoteTraffic()}
-        self.traffic["far"] = remotetraffic.RemoteTraffic()
+        local = routingfakes.member("local")
+        remote = routingfakes.member("remote", routingfakes.REMOTE_DATA_CENTRE)
+        self.router.update_views(routingfakes.view(1, local, remote))
+        self.traffic = {"local": remotetraffic.RemoteTraffic()}
+        self.traffic["remote"] = remotetraffic.RemoteTraffic()
         self.remote_bytes = 0
         self.load = 0
         self.downstream_is_local = True
 
     def run(self):
-        """Places one run and counts what crosses."""
+        """Places one run, records its remote traffic and returns its host."""
         now = asyncio.get_running_loop().time()
         member = self.router.pick(
             routingfakes.QUOTES,
@@ -52,90 +51,93 @@
             operation=READ,
         )
         self.router.record_call_start(routingfakes.QUOTES, member.host)
-        learned = self.traffic[member.host]
-        if member.host == "far":
+        traffic = self.traffic[member.host]
+        if member.host == "remote":
             self.remote_bytes += (
                 remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES
             )
         elif not self.downstream_is_local:
             for _ in range(CALLS_PER_RUN):
-                learned.record_bytes(
+                traffic.record_bytes(
                     READ, remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES
                 )
                 self.remote_bytes += (
                     remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES
                 )
-        learned.record_run_end(READ, now)
-        seen = routing.Observation(
+        traffic.record_run_end(READ, now)
+        observation = routing.Observation(
             outcome=messages.Outcome.ANSWERED,
             operation=READ,
             status=200,
             response_bytes=RESPONSE_BYTES,
             inflight=self.load,
             limit=20,
-            remote_bytes=learned.bytes_per_run(READ, now),
+            remote_bytes=traffic.bytes_per_run(READ, now),
+        )
+        self.router.record_call_end(
+            routingfakes.QUOTES, member.host, observation
         )
-        self.router.record_call_end(routingfakes.QUOTES, member.host, seen)
         return member.host
 
     async def run_seconds(self, count):
-        """Plays some seconds; returns the share of runs that went far."""
+        """Runs for `count` seconds; returns the share of remote runs."""
         hosts = []
         for _ in range(count * RUNS_PER_SECOND):
             hosts.append(self.run())
             await asyncio.sleep(1 / RUNS_PER_SECOND)
-        return hosts.count("far") / len(hosts)
+        return hosts.count("remote") / len(hosts)
 
 
 @pytest.mark.looptime
-class TestPlacing:
-    """Where runs go when a data centre lacks the service below."""
+class TestRunPlacement:
+    """Placement of runs if a data centre lacks the downstream service."""
 
-    async def test_runs_cross_in_place_of_their_calls(self):
-        """Each answer waits for four far answers, one after the other.
+    async def test_runs_move_if_child_calls_are_remote(self):
+        """Runs must not stay local if all their child calls are remote.
 
-        The only host near by for the service below went.  All four calls of
-        a run cross, while a host elsewhere has that service beside it.
+        The only local host of the downstream service leaves.  Each response
+        then waits for four remote responses in sequence, while a remote host
+        has the downstream service in its own data centre.
         """
-        world = Scenario()
-        assert await world.run_seconds(2) == 0
-        assert world.remote_bytes == 0
-        world.downstream_is_local = False
-        await world.run_seconds(20)
+        scenario = Scenario()
+        assert await scenario.run_seconds(2) == 0
+        assert scenario.remote_bytes == 0
+        scenario.downstream_is_local = False
+        await scenario.run_seconds(20)
         every_call = (
             20
             * RUNS_PER_SECOND
             * CALLS_PER_RUN
             * (remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES)
         )
-        assert world.remote_bytes < 0.4 * every_call
-
-    async def test_they_come_back_when_the_service_does(self):
-        world = Scenario()
-        world.downstream_is_local = False
-        await world.run_seconds(10)
-        world.downstream_is_local = True
-        await world.run_seconds(25)
-        assert await world.run_seconds(5) == 0
-
-    async def test_a_full_host_elsewhere_is_left_alone(self):
-        """Bytes are saved only where callers wait no longer for it."""
-        world = Scenario()
-        world.downstream_is_local = False
-        world.load = 18
-        assert await world.run_seconds(10) < 0.15
+        assert scenario.remote_bytes < 0.4 * every_call
+
+    async def test_runs_return_when_the_downstream_service_returns(self):
+        scenario = Scenario()
+        scenario.downstream_is_local = False
+        await scenario.run_seconds(10)
+        scenario.downstream_is_local = True
+        await scenario.run_seconds(25)
+        assert await scenario.run_seconds(5) == 0
+
+    async def test_runs_do_not_move_to_a_full_host(self):
+        """Remote traffic is reduced only if callers do not wait longer."""
+        scenario = Scenario()
+        scenario.downstream_is_local = False
+        scenario.load = 18
+        assert await scenario.run_seconds(10) < 0.15
 
     @pytest.mark.parametrize("calls", [0, 1])
-    async def test_one_call_is_no_reason(self, calls):
-        """A run that makes one call would carry as much itself."""
-        world = Scenario()
-        learned = world.traffic["near"]
+    async def test_run_with_at_most_one_child_call_stays(self, calls):
+        """Moving a run with one child call would not reduce traffic."""
+        scenario = Scenario()
+        traffic = scenario.traffic["local"]
         for number in range(100):
             for _ in range(calls):
-                learned.record_bytes(
+                traffic.record_bytes(
                     READ, remotetraffic.CALL_OVERHEAD_BYTES + RESPONSE_BYTES
                 )
-            learned.record_run_end(READ, number / RUNS_PER_SECOND)
+            traffic.record_run_end(READ, number / RUNS_PER_SECOND)
         assert not remotetraffic.should_move_run(
-            learned.bytes_per_run(READ, 2.5), 0, RESPONSE_BYTES
+            traffic.bytes_per_run(READ, 2.5), 0, RESPONSE_BYTES
         )
--- a/tests/test_retryallowance.py
+++ b/tests/test_retryallowance.py
@@ -1,4 +1,4 @@
-"""Extra tries of a call tree."""
+"""Tests of the retry allowance of a call tree."""
 
 import hypothesis
 import pytest
@@ -6,84 +6,91 @@
 
 from mangobay import errors, ids, retryallowance
 
-CALL = ids.CallId("call-1")
+CALL_ID = ids.CallId("call-1")
 
 
-class TestGrant:
-    """The tries of one subtree."""
+class TestRetryAllowance:
+    """Allowance of one subtree."""
 
-    def test_lends_half_rounded_up(self):
-        grant = retryallowance.RetryAllowance(3)
-        assert [grant.lend(), grant.lend(), grant.lend()] == [2, 1, 0]
+    def test_lend_returns_half_rounded_up(self):
+        allowance = retryallowance.RetryAllowance(3)
+        assert [allowance.lend(), allowance.lend(), allowance.lend()] == [
+            2,
+            1,
+            0,
+        ]
 
-    def test_a_reply_that_returns_too_much_makes_no_tries(self):
-        """A broken peer returns more tries than it was lent.
+    def test_reclaim_drops_retries_that_were_not_lent(self):
+        """A faulty peer returns more retries than it was lent.
 
-        The node would then repeat calls that nobody granted, and the sum
-        over the tree would pass the grant.  The surplus is cut.
+        With the surplus, the tree would make more retries than its grant.
         """
-        grant = retryallowance.RetryAllowance(4)
-        lent = grant.lend()
-        grant.reclaim(lent + 100)
-        assert grant.remaining == 4
-
-    def test_a_broken_sum_stops_the_action(self):
-        grant = retryallowance.RetryAllowance(4)
-        grant.remaining += 1
+        allowance = retryallowance.RetryAllowance(4)
+        lent = allowance.lend()
+        allowance.reclaim(lent + 100)
+        assert allowance.remaining == 4
+
+    def test_withdraw_raises_if_retries_are_not_conserved(self):
+        allowance = retryallowance.RetryAllowance(4)
+        allowance.remaining += 1
         with pytest.raises(errors.InvariantError):
-            grant.try_withdraw()
+            allowance.try_withdraw()
 
-    def test_a_late_reply_gives_nothing_back(self):
-        """The node's own reply has gone up when a child's reply comes.
+    def test_reclaim_after_close_adds_no_retries(self):
+        """A reply to a child call arrives after the node's own reply was sent.
 
-        Its tries were counted as lost by then; taking them back would let
-        both the node and its caller use them.
+        Its retries are counted as lost.  If they were reclaimed, both the
+        node and its caller could use them.
         """
-        grant = retryallowance.RetryAllowance(4)
-        lent = grant.lend()
-        assert grant.close() == 2
-        grant.reclaim(lent)
-        assert grant.remaining == 0
-        assert not grant.try_withdraw()
+        allowance = retryallowance.RetryAllowance(4)
+        lent = allowance.lend()
+        assert allowance.close() == 2
+        allowance.reclaim(lent)
+        assert allowance.remaining == 0
+        assert not allowance.try_withdraw()
 
 
-class TestRunning:
-    """A backend server that repeats its own child calls."""
+class TestRunningCall:
+    """Child calls of a running call."""
 
-    def test_a_repeat_costs_a_try(self):
-        """A backend server's own client library retries a failed child call.
+    def test_repeated_child_call_is_charged(self):
+        """The client library of a backend server retries a child call.
 
-        With two tries for the subtree it gets two repeats through, then a
-        refusal; a different child call is free of charge.
+        An allowance of two admits two repeats and refuses the third.  A
+        different child call is not charged.
         """
-        running = retryallowance.RunningCalls().start(
-            CALL, retryallowance.RetryAllowance(2)
+        running_call = retryallowance.RunningCalls().start(
+            CALL_ID, retryallowance.RetryAllowance(2)
         )
-        made = [running.allow_child("GET", "/price/1", b"") for _ in range(4)]
-        assert made == [True, True, True, False]
-        assert running.allow_child("GET", "/price/2", b"")
-
-    def test_time_with_children_in_flight_counts_once(self):
-        running = retryallowance.RunningCall(retryallowance.RetryAllowance(0))
-        running.child_started(1.0)
-        running.child_started(2.0)
-        running.child_ended(3.0)
-        running.child_ended(5.0)
-        assert running.child_wait_seconds_at(9.0) == 4.0
-
-    def test_a_closed_call_is_unknown(self):
-        grants = retryallowance.RunningCalls()
-        grants.start(CALL, retryallowance.RetryAllowance(5))
-        assert grants.finish(CALL) == 5
-        assert grants.find(CALL) is None
-        assert grants.finish(CALL) == 0
+        allowed = [
+            running_call.allow_child("GET", "/price/1", b"") for _ in range(4)
+        ]
+        assert allowed == [True, True, True, False]
+        assert running_call.allow_child("GET", "/price/2", b"")
+
+    def test_overlapping_child_calls_count_once(self):
+        running_call = retryallowance.RunningCall(
+            retryallowance.RetryAllowance(0)
+        )
+        running_call.child_started(1.0)
+        running_call.child_started(2.0)
+        running_call.child_ended(3.0)
+        running_call.child_ended(5.0)
+        assert running_call.child_wait_seconds_at(9.0) == 4.0
+
+    def test_finished_call_is_not_found(self):
+        running_calls = retryallowance.RunningCalls()
+        running_calls.start(CALL_ID, retryallowance.RetryAllowance(5))
+        assert running_calls.finish(CALL_ID) == 5
+        assert running_calls.find(CALL_ID) is None
+        assert running_calls.finish(CALL_ID) == 0
 
 
 class RandomCallTree:
-    """A call tree in which every hop fails, repeats and loses replies.
+    """A random call tree whose calls are retried and whose replies get lost.
 
     Attributes:
-      extra_attempts: attempts beyond the first of each call.
+      extra_attempts: Attempts beyond the first attempt of each call.
     """
 
     def __init__(self, data):
@@ -91,52 +98,55 @@
         self.extra_attempts = 0
 
     def call(self, granted: int, depth: int) -> int | None:
-        """Runs one call; returns the tries its reply brings, None if lost."""
-        grants = retryallowance.RunningCalls()
-        running = grants.start(CALL, retryallowance.RetryAllowance(granted))
+        """Runs one call; returns the retries in its reply, None if lost."""
+        running_calls = retryallowance.RunningCalls()
+        running_call = running_calls.start(
+            CALL_ID, retryallowance.RetryAllowance(granted)
+        )
         if depth:
             for child in range(self.data.draw(strategies.integers(0, 2))):
-                self.make_child_call(running, child, depth)
-        left = grants.finish(CALL)
-        return left if self.data.draw(strategies.booleans()) else None
+                self.make_child_call(running_call, child, depth)
+        remaining = running_calls.finish(CALL_ID)
+        return remaining if self.data.draw(strategies.booleans()) else None
 
     def make_child_call(
-        self, running: retryallowance.RunningCall, child: int, depth: int
+        self, running_call: retryallowance.RunningCall, child: int, depth: int
     ) -> None:
-        """Makes a child call as often as the tries allow."""
+        """Makes a child call and repeats it while the allowance admits it."""
         for repeat in range(1 + self.data.draw(strategies.integers(0, 3))):
-            if not running.allow_child("GET", f"/{child}", b""):
+            if not running_call.allow_child("GET", f"/{child}", b""):
                 return
             self.extra_attempts += repeat > 0
-            self.make_attempts(running.allowance, depth)
+            self.make_attempts(running_call.allowance, depth)
 
     def make_attempts(
-        self, grant: retryallowance.RetryAllowance, depth: int
+        self, allowance: retryallowance.RetryAllowance, depth: int
     ) -> None:
-        """The node's own retry loop around one child call."""
+        """Runs the retry loop of the node for one child call."""
         for attempt in range(1 + self.data.draw(strategies.integers(0, 2))):
-            if attempt and not grant.try_withdraw():
+            if attempt and not allowance.try_withdraw():
                 return
             self.extra_attempts += attempt > 0
-            back = self.call(grant.lend(), depth - 1)
-            if back is not None:
-                grant.reclaim(back)
+            returned = self.call(allowance.lend(), depth - 1)
+            if returned is not None:
+                allowance.reclaim(returned)
 
 
-class TestTree:
-    """The sum over a whole call tree."""
+class TestCallTree:
+    """Retries summed over a whole call tree."""
 
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=150)
     @hypothesis.given(
         strategies.data(), strategies.integers(0, 6), strategies.integers(1, 3)
     )
-    def test_extra_attempts_never_exceed_the_grant(self, data, granted, depth):
-        """Backend servers and nodes repeat at every hop; replies get lost.
+    def test_retries_of_a_tree_never_exceed_the_grant(
+        self, data, granted, depth
+    ):
+        """Backend servers and nodes retry at every hop, and replies get lost.
 
-        Without conservation three tries a hop over four hops make 81
-        attempts of the last call.  Here the extra attempts of the whole tree
-        stay within what the first node granted.
+        Without conservation, three attempts per hop over four hops make 81
+        attempts of the last call.
         """
         tree = RandomCallTree(data)
-        left = tree.call(granted, depth)
-        assert tree.extra_attempts + (left or 0) <= granted
+        remaining = tree.call(granted, depth)
+        assert tree.extra_attempts + (remaining or 0) <= granted
