--- a/mangobay/completion.py
+++ b/mangobay/completion.py
@@ -16,7 +16,7 @@
 
 
 async def publish_result(
-    share: slotownership.SlotOwnership,
+    ownership: slotownership.SlotOwnership,
     sender: copies.CopySender,
     record: records.Record,
 ) -> None:
@@ -28,29 +28,33 @@
     The caller has its answer already.  If this process dies before the copies
     arrive, a repeat gets `unknown`, never a second run.
     """
-    while share.fenced:
-        await share.change_event.wait()
-    placement = share.placement
+    while ownership.fenced:
+        await ownership.change_event.wait()
+    placement = ownership.placement
     owner = placement.owner(record.slot)
-    told = [*placement.holders(record.slot)]
+    recipients = [*placement.holders(record.slot)]
     if owner is not None:
-        told.append(owner)
-    told = [member for member in told if not share.is_this_process(member)]
-    if not told:
+        recipients.append(owner)
+    recipients = [
+        member for member in recipients if not ownership.is_this_process(member)
+    ]
+    if not recipients:
         return
     now = asyncio.get_running_loop().time()
-    put = messages.CopyPut(
-        service=share.service,
-        view_version=share.view.version,
+    message = messages.CopyPut(
+        service=ownership.service,
+        view_version=ownership.view.version,
         entries=[records.to_entry(record, now)],
     )
-    if not await sender.put_all(told, put):
-        logs.say(logs.Part.ONCE, "an answer has no copy", service=share.service)
+    if not await sender.put_all(recipients, message):
+        logs.say(
+            logs.Part.ONCE, "an answer has no copy", service=ownership.service
+        )
 
 
 async def finish_handover(
-    me: slotownership.ProcessId,
-    shares: collections.abc.Mapping[
+    this_process: slotownership.ProcessId,
+    ownerships: collections.abc.Mapping[
         ids.ServiceName, slotownership.SlotOwnership
     ],
     sender: copies.CopySender,
@@ -61,55 +65,61 @@
     owners of its slots have asked for what it knows.  Gone earlier, its
     callers' repeats would get `unknown` where a copy is missing.
     """
-    tell_at = asyncio.get_running_loop().time() + LOG_AFTER_SECONDS
-    while not all(may_leave(share, me) for share in shares.values()):
+    log_at = asyncio.get_running_loop().time() + LOG_AFTER_SECONDS
+    while not all(
+        may_leave(ownership, this_process) for ownership in ownerships.values()
+    ):
         now = asyncio.get_running_loop().time()
-        if now >= tell_at:
-            tell_at = math.inf
-            for share in shares.values():
-                log_pending(share, me)
-        for share in shares.values():
-            await copies.hand_over(share, sender, now)
+        if now >= log_at:
+            log_at = math.inf
+            for ownership in ownerships.values():
+                log_pending(ownership, this_process)
+        for ownership in ownerships.values():
+            await copies.hand_over(ownership, sender, now)
         await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
 def may_leave(
-    share: slotownership.SlotOwnership, me: slotownership.ProcessId
+    ownership: slotownership.SlotOwnership,
+    this_process: slotownership.ProcessId,
 ) -> bool:
     """Whether this node may go without taking knowledge along."""
     return not (
-        unfinished_records(share, me)
-        or share.owned_slots
-        or share.unfetched_slots()
+        unfinished_records(ownership, this_process)
+        or ownership.owned_slots
+        or ownership.unfetched_slots()
     )
 
 
 def unfinished_records(
-    share: slotownership.SlotOwnership, me: slotownership.ProcessId
+    ownership: slotownership.SlotOwnership,
+    this_process: slotownership.ProcessId,
 ) -> list[records.Record]:
     """Returns the records of calls that run on this host."""
     return [
         record
-        for record in share.registry.by_key.values()
-        if record.state in UNFINISHED_STATES and record.runner == me.host
+        for record in ownership.registry.by_key.values()
+        if record.state in UNFINISHED_STATES
+        and record.runner == this_process.host
     ]
 
 
 def log_pending(
-    share: slotownership.SlotOwnership, me: slotownership.ProcessId
+    ownership: slotownership.SlotOwnership,
+    this_process: slotownership.ProcessId,
 ) -> None:
     """Logs what keeps a leaving node from going."""
     logs.say(
         logs.Part.ONCE,
         "a leaving node still has keys",
-        service=share.service,
-        view=share.view.version,
-        seen=share.newest_version,
+        service=ownership.service,
+        view=ownership.view.version,
+        seen=ownership.newest_version,
         unfinished=[
             (record.state.name.lower(), record.runner_incarnation)
-            for record in unfinished_records(share, me)
+            for record in unfinished_records(ownership, this_process)
         ],
-        own_incarnation=me.incarnation,
-        slots_owned=len(share.owned_slots),
-        slots_not_fetched=len(share.unfetched_slots()),
+        own_incarnation=this_process.incarnation,
+        slots_owned=len(ownership.owned_slots),
+        slots_not_fetched=len(ownership.unfetched_slots()),
     )
--- a/mangobay/copies.py
+++ b/mangobay/copies.py
@@ -40,15 +40,17 @@
         if len(members) == 1:
             ack = await self.put(members[0], message)
             return ack is not None and ack.kept
-        acks = await asyncio.gather(*(self.put(m, message) for m in members))
+        acks = await asyncio.gather(
+            *(self.put(member, message) for member in members)
+        )
         return all(ack is not None and ack.kept for ack in acks)
 
     async def fetch(
         self, member: messages.Member, message: messages.CopyFetch
     ) -> messages.CopyList | None:
         """Asks a member what it knows; None when it does not answer."""
-        known = await self.ask(member, message)
-        return known if isinstance(known, messages.CopyList) else None
+        copy_list = await self.ask(member, message)
+        return copy_list if isinstance(copy_list, messages.CopyList) else None
 
     async def ask(
         self,
@@ -64,7 +66,9 @@
 
 
 def store_copies(
-    share: slotownership.SlotOwnership, message: messages.CopyPut, now: float
+    ownership: slotownership.SlotOwnership,
+    message: messages.CopyPut,
+    now: float,
 ) -> messages.CopyAck:
     """Keeps the records that another process sends.
 
@@ -73,116 +77,124 @@
     cut off), and an acknowledgement would let it run a call that the new
     owner runs too.  Settled records only add knowledge and are always kept.
     """
-    starts = any(
+    has_started = any(
         entry.state is messages.OnceState.STARTED for entry in message.entries
     )
-    if starts and message.view_version < share.newest_version:
-        return messages.CopyAck(kept=False, view_version=share.newest_version)
-    share.fence(message.view_version)
+    if has_started and message.view_version < ownership.newest_version:
+        return messages.CopyAck(
+            kept=False, view_version=ownership.newest_version
+        )
+    ownership.fence(message.view_version)
     for entry in message.entries:
-        share.merge(entry, now)
+        ownership.merge(entry, now)
     # A floor stands for all that its owner did not know.  A holder without it
     # would vouch for the slot, and the next owner would run older keys again.
     for floor in message.floors:
-        share.raise_floor(floor.slot, floor.minted_before_ms)
+        ownership.raise_floor(floor.slot, floor.minted_before_ms)
     for slot in message.complete_slots:
-        held = share.held_at.get(ids.Slot(slot), 0)
-        share.held_at[ids.Slot(slot)] = max(held, message.view_version)
-    return messages.CopyAck(kept=True, view_version=share.newest_version)
+        held_version = ownership.held_at.get(ids.Slot(slot), 0)
+        ownership.held_at[ids.Slot(slot)] = max(
+            held_version, message.view_version
+        )
+    return messages.CopyAck(kept=True, view_version=ownership.newest_version)
 
 
 def answer_fetch(
-    share: slotownership.SlotOwnership, message: messages.CopyFetch, now: float
+    ownership: slotownership.SlotOwnership,
+    message: messages.CopyFetch,
+    now: float,
 ) -> messages.CopyList:
     """Tells a new owner what this process knows, and is fenced by it."""
-    share.fence(message.view_version)
-    wanted = [ids.Slot(slot) for slot in message.slots]
-    share.fetched_versions.update(dict.fromkeys(wanted, message.view_version))
+    ownership.fence(message.view_version)
+    slots = [ids.Slot(slot) for slot in message.slots]
+    ownership.fetched_versions.update(
+        dict.fromkeys(slots, message.view_version)
+    )
     return messages.CopyList(
-        host=share.this_process.host,
-        incarnation=share.this_process.incarnation,
+        host=ownership.this_process.host,
+        incarnation=ownership.this_process.incarnation,
         entries=[
             records.to_entry(record, now)
-            for slot in wanted
-            for record in share.registry.copyable_records(slot)
+            for slot in slots
+            for record in ownership.registry.copyable_records(slot)
         ],
-        knowledge=[share.knowledge(slot) for slot in wanted],
-        floors=wire_floors(share, wanted),
+        knowledge=[ownership.knowledge(slot) for slot in slots],
+        floors=wire_floors(ownership, slots),
     )
 
 
 def wire_floors(
-    share: slotownership.SlotOwnership, wanted: list[ids.Slot]
+    ownership: slotownership.SlotOwnership, slots: list[ids.Slot]
 ) -> list[messages.SlotFloor]:
     """Returns the floors of some slots, as they travel."""
     return [
-        messages.SlotFloor(slot=slot, minted_before_ms=share.floors[slot])
-        for slot in wanted
-        if slot in share.floors
+        messages.SlotFloor(slot=slot, minted_before_ms=ownership.floors[slot])
+        for slot in slots
+        if slot in ownership.floors
     ]
 
 
 async def sync_holders(
-    share: slotownership.SlotOwnership, sender: CopySender, now: float
+    ownership: slotownership.SlotOwnership, sender: CopySender, now: float
 ) -> bool:
     """Gives each holder all that this owner knows of the slots it holds.
 
     Returns:
       Whether every holder now has everything.
     """
-    version = share.view.version
-    by_holder: dict[str, list[ids.Slot]] = {}
-    members = {}
-    for slot in share.owned_slots:
-        if not share.ready(slot):
+    version = ownership.view.version
+    slots_by_host: dict[str, list[ids.Slot]] = {}
+    holders = {}
+    for slot in ownership.owned_slots:
+        if not ownership.ready(slot):
             continue
-        for holder in share.placement.holders(slot):
-            by_holder.setdefault(holder.host, []).append(slot)
-            members[holder.host] = holder
-    done = [
-        await sync_holder(share, sender, members[host], batch, version, now)
-        for host, batch in by_holder.items()
+        for holder in ownership.placement.holders(slot):
+            slots_by_host.setdefault(holder.host, []).append(slot)
+            holders[holder.host] = holder
+    results = [
+        await sync_holder(ownership, sender, holders[host], slots, version, now)
+        for host, slots in slots_by_host.items()
     ]
-    return all(done)
+    return all(results)
 
 
 async def hand_over(
-    share: slotownership.SlotOwnership, sender: CopySender, now: float
+    ownership: slotownership.SlotOwnership, sender: CopySender, now: float
 ) -> None:
     """Gives the new owners what they did not ask this process for.
 
     A new owner that held the slot's copies never asks.  Its copy of the last
     answers may still be on the way, so a leaving process sends them again.
     """
-    version = share.view.version
-    batches: dict[str, list[ids.Slot]] = {}
-    members = {}
-    for slot in share.unfetched_slots():
-        owner = share.placement.owner(slot)
-        batches.setdefault(owner.host, []).append(slot)
-        members[owner.host] = owner
-    for host, batch in batches.items():
-        if await send_entries(share, sender, members[host], batch, now):
-            share.fetched_versions.update(dict.fromkeys(batch, version))
+    version = ownership.view.version
+    slots_by_host: dict[str, list[ids.Slot]] = {}
+    owners = {}
+    for slot in ownership.unfetched_slots():
+        owner = ownership.placement.owner(slot)
+        slots_by_host.setdefault(owner.host, []).append(slot)
+        owners[owner.host] = owner
+    for host, slots in slots_by_host.items():
+        if await send_entries(ownership, sender, owners[host], slots, now):
+            ownership.fetched_versions.update(dict.fromkeys(slots, version))
 
 
 async def send_entries(
-    share: slotownership.SlotOwnership,
+    ownership: slotownership.SlotOwnership,
     sender: CopySender,
     member: messages.Member,
-    batch: list[ids.Slot],
+    slots: list[ids.Slot],
     now: float,
 ) -> bool:
     """Sends all records of some slots; true when every part was kept."""
     entries = [
         records.to_entry(record, now)
-        for slot in batch
-        for record in share.registry.copyable_records(slot)
+        for slot in slots
+        for record in ownership.registry.copyable_records(slot)
     ]
-    version = share.view.version
+    version = ownership.view.version
     for start in range(0, len(entries), MAX_BATCH_ENTRIES):
         message = messages.CopyPut(
-            service=share.service,
+            service=ownership.service,
             view_version=version,
             entries=entries[start : start + MAX_BATCH_ENTRIES],
         )
@@ -193,23 +205,23 @@
 
 
 async def sync_holder(
-    share: slotownership.SlotOwnership,
+    ownership: slotownership.SlotOwnership,
     sender: CopySender,
     holder: messages.Member,
-    batch: list[ids.Slot],
+    slots: list[ids.Slot],
     version: ids.ViewVersion,
     now: float,
 ) -> bool:
     """Gives one holder all of some slots; true when it has all."""
-    if not await send_entries(share, sender, holder, batch, now):
+    if not await send_entries(ownership, sender, holder, slots, now):
         return False
-    if share.view.version != version:
+    if ownership.view.version != version:
         return False
-    last = messages.CopyPut(
-        service=share.service,
+    message = messages.CopyPut(
+        service=ownership.service,
         view_version=version,
-        complete_slots=[int(slot) for slot in batch],
-        floors=wire_floors(share, batch),
+        complete_slots=[int(slot) for slot in slots],
+        floors=wire_floors(ownership, slots),
     )
-    ack = await sender.put(holder, last)
+    ack = await sender.put(holder, message)
     return ack is not None and ack.kept
--- a/mangobay/execution.py
+++ b/mangobay/execution.py
@@ -77,13 +77,13 @@
     def __init__(
         self,
         process: calls.Process,
-        served: localservices.LocalServices,
-        sender: BackendClient,
+        local_services: localservices.LocalServices,
+        backend_client: BackendClient,
         once: AtMostOnce,
     ):
         self.process = process
-        self.local_services = served
-        self.backend_client = sender
+        self.local_services = local_services
+        self.backend_client = backend_client
         self.once = once
         self.leaving = False
         self.shutdown = shutdown.ShutdownSchedule()
@@ -103,22 +103,26 @@
         An idempotent call is given up, down to the backend server. Another
         one is given up only before its first byte; afterwards it goes on.
         """
-        place = self.local_services.find(call.service)
+        local_service = self.local_services.find(call.service)
         if self.leaving:
-            return self.refuse(call, place, calls.not_run_reply(Reason.LEAVING))
-        if place is None:
             return self.refuse(
-                call, place, calls.not_run_reply(Reason.NO_BACKEND)
+                call, local_service, calls.not_run_reply(Reason.LEAVING)
+            )
+        if local_service is None:
+            return self.refuse(
+                call, local_service, calls.not_run_reply(Reason.NO_BACKEND)
             )
         if not call.deadline_ms:
-            late = calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
-            return self.refuse(call, place, late)
+            refusal = calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
+            return self.refuse(call, local_service, refusal)
         deadline = asyncio.get_running_loop().time() + call.deadline_ms / 1000
         if not self.shutdown.allows_deadline(deadline):
-            return self.refuse(call, place, calls.not_run_reply(Reason.LEAVING))
-        grant = retryallowance.RetryAllowance(call.tries)
+            return self.refuse(
+                call, local_service, calls.not_run_reply(Reason.LEAVING)
+            )
+        allowance = retryallowance.RetryAllowance(call.tries)
         execute = functools.partial(
-            self.admit_and_run, call, place, grant, deadline
+            self.admit_and_run, call, local_service, allowance, deadline
         )
         self.open_calls += 1
         try:
@@ -128,22 +132,24 @@
                 reply = await self.serve_non_idempotent(call, execute, deadline)
         finally:
             self.open_calls -= 1
-        return self.add_host_state(call, reply, place, grant.close())
+        return self.add_host_state(
+            call, reply, local_service, allowance.close()
+        )
 
     def refuse(
         self,
         call: messages.Call,
-        place: localservices.LocalService | None,
+        local_service: localservices.LocalService | None,
         reply: messages.Reply,
     ) -> messages.Reply:
         """Returns a refusal that hands every extra try back."""
-        return self.add_host_state(call, reply, place, call.tries)
+        return self.add_host_state(call, reply, local_service, call.tries)
 
     def add_host_state(
         self,
         call: messages.Call,
         reply: messages.Reply,
-        place: localservices.LocalService | None,
+        local_service: localservices.LocalService | None,
         tries_left: int,
     ) -> messages.Reply:
         """Returns the reply with what this host says of itself.
@@ -153,11 +159,13 @@
         """
         reply.tries_left = tries_left
         reply.host = self.process.host
-        if place is not None:
-            reply.threshold = place.admission.threshold
-            reply.below = place.admission.downstream_threshold(call.operation)
-            reply.inflight = place.admission.load
-            reply.limit = place.admission.limit
+        if local_service is not None:
+            reply.threshold = local_service.admission.threshold
+            reply.below = local_service.admission.downstream_threshold(
+                call.operation
+            )
+            reply.inflight = local_service.admission.load
+            reply.limit = local_service.admission.limit
             now = asyncio.get_running_loop().time()
             reply.crossing = self.remote_traffic.bytes_per_run(
                 call.operation, now
@@ -173,23 +181,23 @@
         """
         if not call.key:
             return await self.serve_unkeyed(execute, deadline)
-        waiting = asyncio.ensure_future(self.once.run(call, execute))
+        task = asyncio.ensure_future(self.once.run(call, execute))
         try:
             done, _ = await asyncio.wait(
-                {waiting}, timeout=deadline - asyncio.get_running_loop().time()
+                {task}, timeout=deadline - asyncio.get_running_loop().time()
             )
         except asyncio.CancelledError:
-            waiting.cancel()
+            task.cancel()
             raise
         if done:
-            return dataclasses.replace(waiting.result())
-        waiting.cancel()
-        return await self.reply_at_deadline(waiting)
+            return dataclasses.replace(task.result())
+        task.cancel()
+        return await self.reply_at_deadline(task)
 
-    async def reply_at_deadline(self, waiting: asyncio.Task) -> messages.Reply:
+    async def reply_at_deadline(self, task: asyncio.Task) -> messages.Reply:
         """Returns the reply at the deadline; it may just have come."""
         try:
-            return dataclasses.replace(await waiting)
+            return dataclasses.replace(await task)
         except asyncio.CancelledError:
             return calls.unknown_reply(Reason.DEADLINE_EXCEEDED)
 
@@ -199,15 +207,15 @@
         """Waits for a call that has no key; given up only before it started."""
         started = asyncio.Event()
 
-        async def gate() -> None:
+        async def mark_started() -> None:
             started.set()
 
-        task = asyncio.create_task(execute(gate))
+        task = asyncio.create_task(execute(mark_started))
         self.unkeyed_tasks.add(task)
         task.add_done_callback(self.unkeyed_tasks.discard)
-        left = deadline - asyncio.get_running_loop().time()
+        timeout = deadline - asyncio.get_running_loop().time()
         try:
-            await asyncio.wait({task}, timeout=left)
+            await asyncio.wait({task}, timeout=timeout)
         except asyncio.CancelledError:
             if not started.is_set():
                 task.cancel()
@@ -224,17 +232,17 @@
     async def admit_and_run(
         self,
         call: messages.Call,
-        place: localservices.LocalService,
-        grant: retryallowance.RetryAllowance,
+        local_service: localservices.LocalService,
+        allowance: retryallowance.RetryAllowance,
         deadline: float,
-        gate: backend.BeforeSend | None,
+        before_send: backend.BeforeSend | None,
     ) -> messages.Reply:
         """Admits a call and runs it at the backend server.
 
         Raises:
           Exception: whatever the gate raises; no byte was sent.
         """
-        ticket = admissionrequest.AdmissionRequest(
+        request = admissionrequest.AdmissionRequest(
             importance=call.importance,
             depth=call.depth,
             deadline=deadline,
@@ -244,34 +252,34 @@
             max_wait=call.patience_ms / 1000,
         )
         try:
-            permit = await place.admission.acquire(ticket)
-        except admissionrequest.ShedError as shed:
-            return calls.not_run_reply(shed.reason, shed.retry_after)
-        running = retryallowance.RunningCall(grant)
+            permit = await local_service.admission.acquire(request)
+        except admissionrequest.ShedError as error:
+            return calls.not_run_reply(error.reason, error.retry_after)
+        running_call = retryallowance.RunningCall(allowance)
         self.parents[call.call_id] = calls.Parent(
             call=call,
             deadline=deadline,
-            running_call=running,
+            running_call=running_call,
         )
-        attempt = backend.Attempt(gate)
-        began = asyncio.get_running_loop().time()
+        attempt = backend.Attempt(before_send)
+        started_at = asyncio.get_running_loop().time()
         reply = PENDING_REPLY
         try:
             reply = await self.send_to_backend(
-                call, place, running, attempt, deadline
+                call, local_service, running_call, attempt, deadline
             )
         finally:
             del self.parents[call.call_id]
             now = asyncio.get_running_loop().time()
             self.remote_traffic.record_run_end(call.operation, now)
             permit.release(
-                now - began,
+                now - started_at,
                 ok=is_success(reply),
-                child_wait_seconds=running.child_wait_seconds_at(now),
+                child_wait_seconds=running_call.child_wait_seconds_at(now),
                 backend_shed=reply.reason == Reason.BACKEND_SHED,
-                downstream_threshold=running.downstream_threshold,
+                downstream_threshold=running_call.downstream_threshold,
             )
-        reply.called_below = running.child_wait_seconds > 0
+        reply.called_below = running_call.child_wait_seconds > 0
         invariants.check(
             invariants.Promise.NOT_RUN_IS_TRUE,
             reply.outcome != Outcome.NOT_RUN
@@ -284,82 +292,88 @@
     async def send_to_backend(
         self,
         call: messages.Call,
-        place: localservices.LocalService,
-        running: retryallowance.RunningCall,
+        local_service: localservices.LocalService,
+        running_call: retryallowance.RunningCall,
         attempt: backend.Attempt,
         deadline: float,
     ) -> messages.Reply:
         """Returns the reply that is true of what happened to the request."""
-        late = 0.0 if call.idempotent else MAX_OVERRUN_SECONDS
+        overrun = 0.0 if call.idempotent else MAX_OVERRUN_SECONDS
         request = backend.Request(
             method=call.method,
             target=call.target,
-            headers=self.headers(call, place),
+            headers=self.headers(call, local_service),
             body=call.body,
             idempotent=call.idempotent,
             deadline=deadline,
-            abort_at=deadline + late,
+            abort_at=deadline + overrun,
         )
         try:
-            answer = await self.backend_client.send(
-                place.announcement.address, request, attempt
+            response = await self.backend_client.send(
+                local_service.announcement.address, request, attempt
             )
         except errors.BackendError as error:
             return reply_for_error(error, attempt)
         except errors.InvariantError as error:
             logs.say(logs.Part.CALL, "stopped", why=str(error))
             return calls.unknown_reply(Reason.INTERNAL)
-        return self.reply_of(answer, running)
+        return self.reply_of(response, running_call)
 
     def reply_of(
-        self, answer: backend.Response, running: retryallowance.RunningCall
+        self,
+        response: backend.Response,
+        running_call: retryallowance.RunningCall,
     ) -> messages.Reply:
         """Returns the reply that says what a backend server answered."""
-        if answer.shed and not running.child_attempts:
+        if response.shed and not running_call.child_attempts:
             return calls.not_run_reply(Reason.BACKEND_SHED)
         # A backend server may pass the refusal of a deeper service on as its
         # own. After child calls some of its work was done, so its word that
         # nothing ran does not count, and the answer is its answer.
         return messages.Reply(
             outcome=Outcome.ANSWERED,
-            status=answer.status,
-            headers=answer.headers,
-            body=answer.body,
-            service_ms=int(answer.seconds * 1000),
+            status=response.status,
+            headers=response.headers,
+            body=response.body,
+            service_ms=int(response.seconds * 1000),
         )
 
     def headers(
-        self, call: messages.Call, place: localservices.LocalService
+        self, call: messages.Call, local_service: localservices.LocalService
     ) -> list[messages.Header]:
         """Returns the fields for the backend server."""
-        del place
-        others = httpheaders.find(call.headers, httpheaders.TRACESTATE)
-        kept = call.headers
-        if others:
-            kept = [
-                each
-                for each in kept
-                if each.name.lower() != httpheaders.TRACESTATE
+        del local_service
+        other_tracestate = httpheaders.find(
+            call.headers, httpheaders.TRACESTATE
+        )
+        forwarded = call.headers
+        if other_tracestate:
+            forwarded = [
+                header
+                for header in forwarded
+                if header.name.lower() != httpheaders.TRACESTATE
             ]
-        state = httpheaders.join_tracestate(call.call_id, others)
+        tracestate = httpheaders.join_tracestate(call.call_id, other_tracestate)
         return [
-            *kept,
+            *forwarded,
             messages.Header(
                 name=httpheaders.TRACEPARENT, value=call.traceparent
             ),
-            messages.Header(name=httpheaders.TRACESTATE, value=state),
+            messages.Header(name=httpheaders.TRACESTATE, value=tracestate),
         ]
 
     def parent_of(
         self, tracestate: str, traceparent: str
     ) -> calls.Parent | None:
         """Returns the running call that a backend server's call belongs to."""
-        named, _ = httpheaders.split_tracestate(tracestate)
-        if named in self.parents:
-            return self.parents[named]
-        trace = httpheaders.parse_traceparent(traceparent)
+        call_id, _ = httpheaders.split_tracestate(tracestate)
+        if call_id in self.parents:
+            return self.parents[call_id]
+        trace_context = httpheaders.parse_traceparent(traceparent)
         return (
-            self.parents.get(ids.CallId(trace.parent_span)) if trace else None
+            self.parents.get(ids.CallId(trace_context.parent_span))
+            if trace_context
+            else None
         )
 
 
@@ -369,8 +383,8 @@
     One whose child call was refused answers with an error early: its time is
     no service time, and its answer no sign that the services below admit.
     """
-    answered = reply.outcome == Outcome.ANSWERED
-    return answered and reply.status < FIRST_SERVER_ERROR_STATUS
+    is_answered = reply.outcome == Outcome.ANSWERED
+    return is_answered and reply.status < FIRST_SERVER_ERROR_STATUS
 
 
 def reply_for_error(
--- a/mangobay/inbound.py
+++ b/mangobay/inbound.py
@@ -21,13 +21,13 @@
     """
     if not raw_path.startswith("/"):
         raise calls.RequestError(Reason.MALFORMED, "not a path")
-    path, mark, query = raw_path.partition("?")
+    path, separator, query = raw_path.partition("?")
     service, _, rest = path[1:].partition("/")
-    return ids.ServiceName(service), f"/{rest}{mark}{query}"
+    return ids.ServiceName(service), f"/{rest}{separator}{query}"
 
 
 def deadline_of(
-    operation: messages.Operation, received: httpheaders.HeaderMap
+    operation: messages.Operation, headers: httpheaders.HeaderMap
 ) -> float:
     """Returns the loop time by which the caller must have its answer.
 
@@ -35,42 +35,44 @@
       calls.RequestError: Request-Timeout is malformed.
     """
     seconds = operation.deadline_ms / 1000 or calls.DEFAULT_DEADLINE
-    given = received.get(httpheaders.REQUEST_TIMEOUT)
-    if given is not None:
+    value = headers.get(httpheaders.REQUEST_TIMEOUT)
+    if value is not None:
         try:
-            seconds = min(seconds, httpheaders.parse_timeout(given))
+            seconds = min(seconds, httpheaders.parse_timeout(value))
         except ValueError as error:
             raise calls.RequestError(Reason.MALFORMED, str(error)) from None
     return asyncio.get_running_loop().time() + seconds
 
 
-def key_of(received: httpheaders.HeaderMap) -> ids.IdempotencyKey:
+def key_of(headers: httpheaders.HeaderMap) -> ids.IdempotencyKey:
     """Returns the idempotency key, empty where there is none.
 
     Raises:
       calls.RequestError: it is malformed.
     """
-    given = received.get(httpheaders.IDEMPOTENCY_KEY)
-    if given is None:
+    value = headers.get(httpheaders.IDEMPOTENCY_KEY)
+    if value is None:
         return ids.IdempotencyKey("")
     try:
-        return httpheaders.parse_idempotency_key(given)
+        return httpheaders.parse_idempotency_key(value)
     except ValueError as error:
         raise calls.RequestError(Reason.MALFORMED, str(error)) from None
 
 
-def headers_of(received: httpheaders.HeaderMap) -> list[messages.Header]:
+def headers_of(headers: httpheaders.HeaderMap) -> list[messages.Header]:
     """Returns the fields passed on, with the tracestate of others."""
-    kept = httpheaders.end_to_end_headers(received)
-    if httpheaders.TRACESTATE in received:
-        _, others = httpheaders.split_tracestate(
-            received[httpheaders.TRACESTATE]
+    forwarded = httpheaders.end_to_end_headers(headers)
+    if httpheaders.TRACESTATE in headers:
+        _, other_tracestate = httpheaders.split_tracestate(
+            headers[httpheaders.TRACESTATE]
         )
-        if others:
-            kept.append(
-                messages.Header(name=httpheaders.TRACESTATE, value=others)
+        if other_tracestate:
+            forwarded.append(
+                messages.Header(
+                    name=httpheaders.TRACESTATE, value=other_tracestate
+                )
             )
-    return kept
+    return forwarded
 
 
 def client_of(request: web.BaseRequest) -> ids.ClientId:
@@ -82,7 +84,9 @@
     client = request.remote or ""
     credentials = request.headers.get("Authorization")
     if credentials:
-        data = credentials.encode("utf-8", "surrogateescape")
-        digest = hashlib.blake2b(data, digest_size=FINGERPRINT_BYTES)
+        credential_bytes = credentials.encode("utf-8", "surrogateescape")
+        digest = hashlib.blake2b(
+            credential_bytes, digest_size=FINGERPRINT_BYTES
+        )
         client = f"{client}/{digest.hexdigest()}"
     return ids.ClientId(client)
--- a/mangobay/inflight.py
+++ b/mangobay/inflight.py
@@ -37,23 +37,23 @@
         self.given_up = False
 
     async def track(
-        self, replying: collections.abc.Coroutine[None, None, messages.Reply]
+        self, reply: collections.abc.Coroutine[None, None, messages.Reply]
     ) -> messages.Reply:
         """Returns the reply to a call, `unknown` if it is given up."""
-        entered = InFlightCall(
+        call = InFlightCall(
             asyncio.current_task(), asyncio.get_running_loop().time()
         )
-        self.open.add(entered)
+        self.open.add(call)
         try:
-            return await replying
+            return await reply
         except asyncio.CancelledError:
             # `give_up` cancels the wait for the reply, not the caller's task.
             if not self.given_up:
                 raise
-            entered.task.uncancel()
+            call.task.uncancel()
             return calls.unknown_reply(messages.Reason.LEAVING)
         finally:
-            self.open.discard(entered)
+            self.open.discard(call)
 
     async def pause(self, seconds: float) -> bool:
         """Waits between two attempts; returns False if the node ends."""
@@ -74,12 +74,12 @@
         self.given_up = True
         await asyncio.sleep(REFUSAL_DELIVERY_SECONDS)
         loop = asyncio.get_running_loop()
-        for each in self.open:
+        for call in self.open:
             # Behind the tasks to which a reply has come in this turn.
-            loop.call_soon(self.cancel, each)
+            loop.call_soon(self.cancel, call)
         await asyncio.sleep(0)
 
-    def cancel(self, each: InFlightCall) -> None:
+    def cancel(self, call: InFlightCall) -> None:
         """Cancels a call unless its reply has come."""
-        if each in self.open:
-            each.task.cancel()
+        if call in self.open:
+            call.task.cancel()
--- a/mangobay/keys.py
+++ b/mangobay/keys.py
@@ -55,7 +55,7 @@
         return CreationTime()
     if parsed.version != UUID7_VERSION:
         return CreationTime()
-    minted_ms = parsed.int >> TIMESTAMP_SHIFT_BITS
-    if minted_ms > now_ms + skew_ms:
+    created_ms = parsed.int >> TIMESTAMP_SHIFT_BITS
+    if created_ms > now_ms + skew_ms:
         return CreationTime()
-    return CreationTime(created_ms=minted_ms)
+    return CreationTime(created_ms=created_ms)
--- a/mangobay/keyslots.py
+++ b/mangobay/keyslots.py
@@ -36,9 +36,11 @@
     members: list[messages.Member], slot: ids.Slot
 ) -> list[messages.Member]:
     """Returns the members that may own the slot, the owner first."""
-    able = [member for member in members if not member.leaving]
+    eligible = [member for member in members if not member.leaving]
     return sorted(
-        able, key=lambda member: rendezvous_score(member, slot), reverse=True
+        eligible,
+        key=lambda member: rendezvous_score(member, slot),
+        reverse=True,
     )
 
 
@@ -52,11 +54,11 @@
     """
 
     def __init__(
-        self, members: list[messages.Member], copies: int, place: CopyPlace
+        self, members: list[messages.Member], copies: int, copy_place: CopyPlace
     ):
         self.members = members
         self.copies = copies
-        self.copy_place = place
+        self.copy_place = copy_place
         self.ranking = functools.cache(self.compute_ranking)
 
     def compute_ranking(self, slot: ids.Slot) -> list[messages.Member]:
@@ -65,25 +67,30 @@
 
     def owner(self, slot: ids.Slot) -> messages.Member | None:
         """Returns the slot's owner, None when no member may own it."""
-        ranks = self.ranking(slot)
-        return ranks[0] if ranks else None
+        ranking = self.ranking(slot)
+        return ranking[0] if ranking else None
 
     def holders(self, slot: ids.Slot) -> list[messages.Member]:
         """Returns the members that hold copies of the slot."""
-        ranks = self.ranking(slot)
-        if not ranks:
+        ranking = self.ranking(slot)
+        if not ranking:
             return []
-        wants_same = self.copy_place is CopyPlace.SAME_DATA_CENTRE
-        home = ranks[0].data_centre
-        others = sorted(
-            ranks[1:], key=lambda m: (m.data_centre == home) is not wants_same
+        prefer_same = self.copy_place is CopyPlace.SAME_DATA_CENTRE
+        owner_data_centre = ranking[0].data_centre
+        candidates = sorted(
+            ranking[1:],
+            key=lambda member: (
+                (member.data_centre == owner_data_centre) is not prefer_same
+            ),
         )
-        return others[: self.copies]
+        return candidates[: self.copies]
 
 
 def owner(view: messages.ServiceView, slot: ids.Slot) -> messages.Member | None:
     """Returns who owns the slot under the view, None when nobody may."""
-    able = (member for member in view.members if not member.leaving)
+    eligible = (member for member in view.members if not member.leaving)
     return max(
-        able, key=lambda member: rendezvous_score(member, slot), default=None
+        eligible,
+        key=lambda member: rendezvous_score(member, slot),
+        default=None,
     )
--- a/mangobay/once.py
+++ b/mangobay/once.py
@@ -45,15 +45,15 @@
     def __init__(
         self,
         options: settings.NodeOnce,
-        me: slotownership.ProcessId,
+        this_process: slotownership.ProcessId,
         transport: "peers.Transport",
         lease: "lease.Lease",
-        wall_ms: collections.abc.Callable[[], int] = clock.unix_ms,
+        unix_ms: collections.abc.Callable[[], int] = clock.unix_ms,
     ):
         self.options = options
-        self.this_process = me
+        self.this_process = this_process
         self.lease = lease
-        self.unix_ms = wall_ms
+        self.unix_ms = unix_ms
         self.sender = copies.CopySender(
             transport=transport, timeout=options.copy_timeout
         )
@@ -61,9 +61,9 @@
         self.budget = records.MemoryBudget(options.memory_bytes)
         self.tasks: set[asyncio.Task] = set()
 
-    def spawn(self, work: collections.abc.Coroutine) -> asyncio.Task:
+    def spawn(self, coroutine: collections.abc.Coroutine) -> asyncio.Task:
         """Starts a task and keeps it from being collected while it runs."""
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
@@ -83,7 +83,7 @@
         # A record outlives its key by twice the clock skew, so that no key
         # still counts as young after its record was dropped.
         window = self.options.window + 2 * self.options.clock_skew
-        made = slotownership.SlotOwnership(
+        ownership = slotownership.SlotOwnership(
             service,
             self.this_process,
             records.Registry(window, self.options.entries, self.budget),
@@ -91,10 +91,10 @@
             keyslots.CopyPlace(self.options.copy_place),
         )
         worker = takeover.Takeover(
-            made, self.sender, self.unix_ms, self.skew_ms
+            ownership, self.sender, self.unix_ms, self.skew_ms
         )
         self.spawn(worker.run())
-        return made
+        return ownership
 
     @property
     def skew_ms(self) -> int:
@@ -109,10 +109,10 @@
             known = service in self.ownerships
             if not known and not self.is_member(view):
                 continue
-            share = self.ownership_of(service)
-            if view.version >= share.view.version:
-                share.adopt_view(view)
-                share.resolve_orphans()
+            ownership = self.ownership_of(service)
+            if view.version >= ownership.view.version:
+                ownership.adopt_view(view)
+                ownership.resolve_orphans()
 
     def is_member(self, view: messages.ServiceView) -> bool:
         """Whether this host is a member of the view."""
@@ -125,33 +125,33 @@
         while True:
             await asyncio.sleep(EXPIRE_INTERVAL_SECONDS)
             now = asyncio.get_running_loop().time()
-            for share in self.ownerships.values():
-                share.registry.expire(now)
+            for ownership in self.ownerships.values():
+                ownership.registry.expire(now)
 
     async def handle(
-        self, body: messages.CopyPut | messages.CopyFetch
+        self, message: messages.CopyPut | messages.CopyFetch
     ) -> messages.CopyAck | messages.CopyList:
         """Answers another member of a service."""
-        share = self.ownership_of(body.service)
+        ownership = self.ownership_of(message.service)
         now = asyncio.get_running_loop().time()
-        match body:
+        match message:
             case messages.CopyPut():
-                ack = copies.store_copies(share, body, now)
-                self.forward_results(share, body)
+                ack = copies.store_copies(ownership, message, now)
+                self.forward_results(ownership, message)
                 return ack
             case messages.CopyFetch():
-                return copies.answer_fetch(share, body, now)
+                return copies.answer_fetch(ownership, message, now)
 
     def forward_results(
-        self, share: slotownership.SlotOwnership, put: messages.CopyPut
+        self, ownership: slotownership.SlotOwnership, message: messages.CopyPut
     ) -> None:
         """Sends the end of a run that began under a former owner onward."""
-        for entry in put.entries:
-            settled = entry.state is not messages.OnceState.STARTED
-            if settled and share.owns(entry.slot):
-                record = share.registry.get(entry.key)
+        for entry in message.entries:
+            is_final = entry.state is not messages.OnceState.STARTED
+            if is_final and ownership.owns(entry.slot):
+                record = ownership.registry.get(entry.key)
                 self.spawn(
-                    completion.publish_result(share, self.sender, record)
+                    completion.publish_result(ownership, self.sender, record)
                 )
 
     async def run(
@@ -167,22 +167,22 @@
         Returns:
           The reply, the same whole one for every repeat.
         """
-        share = self.ownership_of(call.service)
+        ownership = self.ownership_of(call.service)
         slot = keyslots.slot_of(call.key)
         deadline = self.deadline_of(call)
-        refusal = await self.wait_until_ready(share, slot, deadline)
+        refusal = await self.wait_until_ready(ownership, slot, deadline)
         if refusal is not None:
             return refusal
-        record = share.registry.get(call.key)
+        record = ownership.registry.get(call.key)
         if record is not None:
             return await self.reply_to_repeat(record, call, deadline)
-        refusal = self.reply_to_old_key(share, slot, call.key)
+        refusal = self.reply_to_old_key(ownership, slot, call.key)
         if refusal is not None:
             return refusal
-        if share.registry.full:
+        if ownership.registry.full:
             return calls.not_run_reply(messages.Reason.OVERLOADED)
-        record = self.claim(share, slot, call)
-        task = self.spawn(self.run_first(share, record, execute))
+        record = self.claim(ownership, slot, call)
+        task = self.spawn(self.run_first(ownership, record, execute))
         return await self.wait_for_run(task, record)
 
     def deadline_of(self, call: messages.Call) -> float:
@@ -191,48 +191,48 @@
 
     async def wait_until_ready(
         self,
-        share: slotownership.SlotOwnership,
+        ownership: slotownership.SlotOwnership,
         slot: ids.Slot,
         deadline: float,
     ) -> messages.Reply | None:
         """Waits a moment for a takeover; says why this node can't run it."""
-        patience = min(
+        wait_until = min(
             deadline,
             asyncio.get_running_loop().time() + self.options.copy_timeout,
         )
         while True:
             if not self.lease.holds():
                 return calls.not_run_reply(messages.Reason.NO_LEASE)
-            if not share.owns(slot):
+            if not ownership.owns(slot):
                 return calls.not_run_reply(messages.Reason.NOT_OWNER)
-            if share.ready(slot):
+            if ownership.ready(slot):
                 return None
             try:
-                async with asyncio.timeout_at(patience):
-                    await share.change_event.wait()
+                async with asyncio.timeout_at(wait_until):
+                    await ownership.change_event.wait()
             except TimeoutError:
                 return calls.not_run_reply(messages.Reason.OWNER_CHANGED)
 
     def reply_to_old_key(
         self,
-        share: slotownership.SlotOwnership,
+        ownership: slotownership.SlotOwnership,
         slot: ids.Slot,
         key: ids.IdempotencyKey,
     ) -> messages.Reply | None:
         """Answers keys that may have run before this node can remember."""
         now_ms = self.unix_ms()
         window_ms = int(self.options.window * 1000)
-        age = keys.creation_time(key, now_ms, self.skew_ms)
-        if not age.undated and age.created_ms < now_ms - window_ms:
+        created = keys.creation_time(key, now_ms, self.skew_ms)
+        if not created.undated and created.created_ms < now_ms - window_ms:
             return calls.unknown_reply(messages.Reason.KEY_EXPIRED)
-        floor_ms = share.floors.get(slot, 0)
-        if age.may_predate(floor_ms, window_ms, now_ms):
+        floor_ms = ownership.floors.get(slot, 0)
+        if created.may_predate(floor_ms, window_ms, now_ms):
             return calls.unknown_reply(messages.Reason.OWNER_CHANGED)
         return None
 
     def claim(
         self,
-        share: slotownership.SlotOwnership,
+        ownership: slotownership.SlotOwnership,
         slot: ids.Slot,
         call: messages.Call,
     ) -> records.Record:
@@ -246,7 +246,7 @@
             runner=self.this_process.host,
             runner_incarnation=self.this_process.incarnation,
         )
-        share.registry.add(record)
+        ownership.registry.add(record)
         return record
 
     async def wait_for_run(
@@ -279,22 +279,25 @@
 
     async def run_first(
         self,
-        share: slotownership.SlotOwnership,
+        ownership: slotownership.SlotOwnership,
         record: records.Record,
         execute: Execute,
     ) -> messages.Reply:
         """Runs the call and settles its record."""
-        gate = startcheck.StartCheck(
-            lease=self.lease, sender=self.sender, ownership=share, record=record
+        start_check = startcheck.StartCheck(
+            lease=self.lease,
+            sender=self.sender,
+            ownership=ownership,
+            record=record,
         )
         try:
-            reply = await execute(gate.permit_start)
-        except startcheck.StartRefusedError as refused:
-            reply = calls.not_run_reply(refused.reason)
+            reply = await execute(start_check.permit_start)
+        except startcheck.StartRefusedError as error:
+            reply = calls.not_run_reply(error.reason)
         except BaseException:
-            self.resolve(share, record, self.reply_after_error(record))
+            self.resolve(ownership, record, self.reply_after_error(record))
             raise
-        self.resolve(share, record, reply)
+        self.resolve(ownership, record, reply)
         return reply
 
     def reply_after_error(self, record: records.Record) -> messages.Reply:
@@ -305,7 +308,7 @@
 
     def resolve(
         self,
-        share: slotownership.SlotOwnership,
+        ownership: slotownership.SlotOwnership,
         record: records.Record,
         reply: messages.Reply,
     ) -> None:
@@ -315,21 +318,21 @@
         told this node as its holder.  Then the record is that owner's:
         forgotten here, the key would run again once that owner is lost.
         """
-        claimed = record.state is records.State.CLAIMED
-        started = record.state is records.State.STARTED
+        is_claimed = record.state is records.State.CLAIMED
+        is_started = record.state is records.State.STARTED
         runs_here = slotownership.runner_of(record) == self.this_process
-        if not claimed and not (started and runs_here):
+        if not is_claimed and not (is_started and runs_here):
             return
-        if claimed or reply.outcome is messages.Outcome.NOT_RUN:
-            share.registry.remove(record)
+        if is_claimed or reply.outcome is messages.Outcome.NOT_RUN:
+            ownership.registry.remove(record)
             record.reply = reply
             record.resolved.set()
             return
-        answered = reply.outcome is messages.Outcome.ANSWERED
-        state = records.State.ANSWERED if answered else records.State.UNKNOWN
+        is_answered = reply.outcome is messages.Outcome.ANSWERED
+        state = records.State.ANSWERED if is_answered else records.State.UNKNOWN
         record.resolve(state, reply)
-        share.registry.update_size(record)
-        self.spawn(completion.publish_result(share, self.sender, record))
+        ownership.registry.update_size(record)
+        self.spawn(completion.publish_result(ownership, self.sender, record))
 
     async def finish_handover(self) -> None:
         """Returns when no record here is needed by a newer owner any more."""
--- a/mangobay/records.py
+++ b/mangobay/records.py
@@ -126,11 +126,11 @@
     """Returns about how many bytes a record keeps."""
     if record.reply is None:
         return RECORD_OVERHEAD_BYTES
-    headers = sum(
+    header_bytes = sum(
         HEADER_OVERHEAD_BYTES + len(header.name) + len(header.value)
         for header in record.reply.headers
     )
-    return RECORD_OVERHEAD_BYTES + headers + len(record.reply.body)
+    return RECORD_OVERHEAD_BYTES + header_bytes + len(record.reply.body)
 
 
 @dataclasses.dataclass(slots=True)
@@ -159,9 +159,9 @@
       budget: the memory, shared with the node's other services.
     """
 
-    def __init__(self, window: float, limit: int, budget: MemoryBudget):
+    def __init__(self, window: float, max_records: int, budget: MemoryBudget):
         self.window = window
-        self.max_records = limit
+        self.max_records = max_records
         self.budget = budget
         self.by_key: dict[ids.IdempotencyKey, Record] = {}
         self.by_slot: collections.defaultdict[
@@ -195,9 +195,9 @@
         """Counts what a record keeps, after it got its answer."""
         if self.by_key.get(record.key) is not record:
             return
-        weight = estimate_bytes(record)
-        self.budget.used_bytes += weight - record.counted_bytes
-        record.counted_bytes = weight
+        size = estimate_bytes(record)
+        self.budget.used_bytes += size - record.counted_bytes
+        record.counted_bytes = size
 
     def remove(self, record: Record) -> None:
         """Drops a record: its key was not run, or left the window."""
--- a/mangobay/slotownership.py
+++ b/mangobay/slotownership.py
@@ -51,16 +51,16 @@
     def __init__(
         self,
         service: ids.ServiceName,
-        me: ProcessId,
+        this_process: ProcessId,
         registry: records.Registry,
         copies: int,
-        place: keyslots.CopyPlace,
+        copy_place: keyslots.CopyPlace,
     ):
         self.service = service
-        self.this_process = me
+        self.this_process = this_process
         self.registry = registry
         self.copies = copies
-        self.copy_place = place
+        self.copy_place = copy_place
         self.view = messages.ServiceView(service=service)
         self.newest_version = ids.ViewVersion(0)
         self.placement = self.make_placement([])
@@ -102,7 +102,7 @@
         Nobody would ever settle them, and a repeat would wait for its whole
         deadline to be told the same.
         """
-        alive = {process_id_of(m) for m in self.view.members} | {
+        alive = {process_id_of(member) for member in self.view.members} | {
             self.this_process
         }
         for record in self.registry.by_key.values():
@@ -165,10 +165,10 @@
 
     def compute_owned_slots(self) -> list[ids.Slot]:
         """Returns the slots that this node owns under the view."""
-        every = map(ids.Slot, range(keyslots.SLOT_COUNT))
+        slots = map(ids.Slot, range(keyslots.SLOT_COUNT))
         return [
             slot
-            for slot in every
+            for slot in slots
             if self.is_this_process(self.placement.owner(slot))
         ]
 
@@ -176,7 +176,9 @@
         """Returns the slots that this node owns without knowing everything."""
         version = self.view.version
         return [
-            s for s in self.owned_slots if self.owned_upto.get(s, 0) < version
+            slot
+            for slot in self.owned_slots
+            if self.owned_upto.get(slot, 0) < version
         ]
 
     def unfetched_slots(self) -> list[ids.Slot]:
@@ -202,17 +204,17 @@
             held_at=self.held_at.get(slot, ids.ViewVersion(0)),
         )
 
-    def raise_floor(self, slot: ids.Slot, minted_before_ms: int) -> None:
+    def raise_floor(self, slot: ids.Slot, floor_ms: int) -> None:
         """Answers `unknown` to keys that may have been minted before."""
-        old = self.floors.get(slot, 0)
-        self.floors[slot] = max(old, minted_before_ms)
+        current_ms = self.floors.get(slot, 0)
+        self.floors[slot] = max(current_ms, floor_ms)
 
 
 KnowledgeByProcess = collections.abc.Mapping[ProcessId, messages.SlotKnowledge]
 
 
 def is_history_known(
-    tenure: SlotOwnership, slot: ids.Slot, answers: KnowledgeByProcess
+    ownership: SlotOwnership, slot: ids.Slot, knowledge: KnowledgeByProcess
 ) -> bool:
     """Whether the answers together hold all that was ever started in a slot.
 
@@ -223,34 +225,42 @@
     each later view is enough, whatever the clock of a silent owner says.
 
     Args:
-      tenure: the new owner's.
+      ownership: the new owner's.
       slot: the slot in question.
-      answers: what each process that answered can vouch for, this node's own
+      knowledge: what each process that answered can vouch for, this node's own
         knowledge included.
     """
-    vouched = max(
-        (max(k.owned_upto, k.held_at) for k in answers.values()), default=0
+    known_version = max(
+        (max(item.owned_upto, item.held_at) for item in knowledge.values()),
+        default=0,
+    )
+    former_views = ownership.view.formers
+    oldest_version = (
+        former_views[-1].version if former_views else ownership.view.version
     )
-    formers = tenure.view.formers
-    oldest = formers[-1].version if formers else tenure.view.version
-    if vouched < oldest and not tenure.view.lineage_whole:
+    if known_version < oldest_version and not ownership.view.lineage_whole:
         return False
-    later = (former for former in formers if former.version > vouched)
+    later_views = (
+        former_view
+        for former_view in former_views
+        if former_view.version > known_version
+    )
     return all(
-        is_view_covered(tenure, former, slot, answers) for former in later
+        is_view_covered(ownership, former_view, slot, knowledge)
+        for former_view in later_views
     )
 
 
 def is_view_covered(
-    tenure: SlotOwnership,
-    former: messages.FormerView,
+    ownership: SlotOwnership,
+    former_view: messages.FormerView,
     slot: ids.Slot,
-    answers: KnowledgeByProcess,
+    knowledge: KnowledgeByProcess,
 ) -> bool:
     """Whether the owner or a holder of the view answered."""
-    placement = tenure.make_placement(former.members)
+    placement = ownership.make_placement(former_view.members)
     owner = placement.owner(slot)
     if owner is None:
         return True
-    witnesses = [owner, *placement.holders(slot)]
-    return any(process_id_of(member) in answers for member in witnesses)
+    members = [owner, *placement.holders(slot)]
+    return any(process_id_of(member) in knowledge for member in members)
--- a/mangobay/startcheck.py
+++ b/mangobay/startcheck.py
@@ -71,12 +71,12 @@
     async def notify_holders(self, holders: list[messages.Member]) -> None:
         """Tells every holder that the call will start."""
         now = asyncio.get_running_loop().time()
-        put = messages.CopyPut(
+        message = messages.CopyPut(
             service=self.ownership.service,
             view_version=self.ownership.view.version,
             entries=[records.started_entry(self.record, now)],
         )
-        if not await self.sender.put_all(holders, put):
+        if not await self.sender.put_all(holders, message):
             raise StartRefusedError(messages.Reason.COPY_FAILED)
 
     def check_may_start(self) -> None:
--- a/mangobay/takeover.py
+++ b/mangobay/takeover.py
@@ -22,46 +22,46 @@
 
     def __init__(
         self,
-        share: slotownership.SlotOwnership,
+        ownership: slotownership.SlotOwnership,
         sender: copies.CopySender,
-        wall_ms: collections.abc.Callable[[], int],
+        unix_ms: collections.abc.Callable[[], int],
         skew_ms: int,
     ):
-        self.ownership = share
+        self.ownership = ownership
         self.sender = sender
-        self.unix_ms = wall_ms
+        self.unix_ms = unix_ms
         self.skew_ms = skew_ms
         self.synced_version = ids.ViewVersion(0)
 
     async def run(self) -> None:
         """Follows the views, one after the other, until cancelled."""
         while True:
-            moved = self.ownership.change_event
-            settled = await self.run_round()
-            if settled:
-                await moved.wait()
+            change_event = self.ownership.change_event
+            done = await self.run_round()
+            if done:
+                await change_event.wait()
                 continue
             await asyncio.sleep(ROUND_INTERVAL_SECONDS)
 
     async def run_round(self) -> bool:
         """Asks everybody once; true when nothing is left to do."""
-        share = self.ownership
-        if share.fenced:
+        ownership = self.ownership
+        if ownership.fenced:
             return False
-        version = share.view.version
-        answers = self.own_knowledge()
-        self.mark_known_slots(answers)
-        if share.incomplete_slots():
-            await self.ask_members(answers)
-            if share.view.version != version or share.fenced:
+        version = ownership.view.version
+        knowledge = self.own_knowledge()
+        self.mark_known_slots(knowledge)
+        if ownership.incomplete_slots():
+            await self.ask_members(knowledge)
+            if ownership.view.version != version or ownership.fenced:
                 return False
-            self.mark_known_slots(answers)
-        if share.incomplete_slots() and share.view.active:
+            self.mark_known_slots(knowledge)
+        if ownership.incomplete_slots() and ownership.view.active:
             self.set_floors()
-        if share.incomplete_slots():
+        if ownership.incomplete_slots():
             return False
-        asked = await self.ask_runners(version)
-        return await self.sync_holders(version) and asked
+        runners_answered = await self.ask_runners(version)
+        return await self.sync_holders(version) and runners_answered
 
     async def ask_runners(self, version: ids.ViewVersion) -> bool:
         """Asks the processes that are to run calls of this node's slots.
@@ -74,35 +74,35 @@
         Returns:
           Whether everybody asked has answered under this view.
         """
-        share = self.ownership
-        for member in share.view.members:
+        ownership = self.ownership
+        for member in ownership.view.members:
             runner = slotownership.process_id_of(member)
-            started = share.records_started_by(runner)
-            if not started or runner == share.this_process:
+            started = ownership.records_started_by(runner)
+            if not started or runner == ownership.this_process:
                 continue
             message = messages.CopyFetch(
-                service=share.service,
+                service=ownership.service,
                 view_version=version,
                 slots=sorted({int(record.slot) for record in started}),
             )
-            known = await self.sender.fetch(member, message)
+            copy_list = await self.sender.fetch(member, message)
             # A newer view may have let the runner start them after all.
-            if share.view.version != version or share.fenced:
+            if ownership.view.version != version or ownership.fenced:
                 return False
-            if known is None or known.incarnation != runner.incarnation:
+            if copy_list is None or copy_list.incarnation != runner.incarnation:
                 return False
-            self.merge_answer(known, {}, asyncio.get_running_loop().time())
-            self.remove_unstarted(started, known)
+            self.merge_answer(copy_list, {}, asyncio.get_running_loop().time())
+            self.remove_unstarted(started, copy_list)
         return True
 
     def remove_unstarted(
-        self, started: list[records.Record], known: messages.CopyList
+        self, started: list[records.Record], copy_list: messages.CopyList
     ) -> None:
         """Drops the calls that their runner knows nothing of."""
-        running = {entry.key for entry in known.entries}
+        known_keys = {entry.key for entry in copy_list.entries}
         for record in started:
-            still = record.state is records.State.STARTED
-            if still and record.key not in running:
+            still_started = record.state is records.State.STARTED
+            if still_started and record.key not in known_keys:
                 self.ownership.registry.remove_as_not_run(record)
 
     async def sync_holders(self, version: ids.ViewVersion) -> bool:
@@ -117,75 +117,81 @@
 
     def own_knowledge(self) -> dict[slotownership.ProcessId, dict]:
         """Returns what this node itself can vouch for."""
-        share = self.ownership
-        mine = {
-            slot: share.knowledge(slot) for slot in share.incomplete_slots()
+        ownership = self.ownership
+        by_slot = {
+            slot: ownership.knowledge(slot)
+            for slot in ownership.incomplete_slots()
         }
-        return {share.this_process: mine}
+        return {ownership.this_process: by_slot}
 
     def mark_known_slots(
-        self, answers: dict[slotownership.ProcessId, dict]
+        self, knowledge: dict[slotownership.ProcessId, dict]
     ) -> None:
         """Takes the slots whose whole past the answers hold."""
-        taken = False
+        changed = False
         for slot in self.ownership.incomplete_slots():
-            told = {
-                process: slots[slot]
-                for process, slots in answers.items()
-                if slot in slots
+            slot_knowledge = {
+                process: by_slot[slot]
+                for process, by_slot in knowledge.items()
+                if slot in by_slot
             }
-            if slotownership.is_history_known(self.ownership, slot, told):
+            if slotownership.is_history_known(
+                self.ownership, slot, slot_knowledge
+            ):
                 self.ownership.mark_complete(slot)
-                taken = True
-        if taken:
+                changed = True
+        if changed:
             self.ownership.notify_change()
 
     async def ask_members(
-        self, answers: dict[slotownership.ProcessId, dict]
+        self, knowledge: dict[slotownership.ProcessId, dict]
     ) -> None:
         """Asks every other witness and adds what they answer."""
-        share = self.ownership
+        ownership = self.ownership
         message = messages.CopyFetch(
-            service=share.service,
-            view_version=share.view.version,
-            slots=[int(slot) for slot in share.incomplete_slots()],
+            service=ownership.service,
+            view_version=ownership.view.version,
+            slots=[int(slot) for slot in ownership.incomplete_slots()],
         )
-        asked = self.other_members()
-        lists = await asyncio.gather(
-            *(self.sender.fetch(member, message) for member in asked)
+        members = self.other_members()
+        copy_lists = await asyncio.gather(
+            *(self.sender.fetch(member, message) for member in members)
         )
         now = asyncio.get_running_loop().time()
-        for known in lists:
-            if known is not None:
-                self.merge_answer(known, answers, now)
-        share.resolve_orphans()
+        for copy_list in copy_lists:
+            if copy_list is not None:
+                self.merge_answer(copy_list, knowledge, now)
+        ownership.resolve_orphans()
 
     def other_members(self) -> list[messages.Member]:
         """Returns the other members of this and of the former views."""
-        share = self.ownership
-        found = {slotownership.process_id_of(m): m for m in share.view.members}
-        for former in share.view.formers:
-            for member in former.members:
-                found.setdefault(slotownership.process_id_of(member), member)
-        found.pop(share.this_process, None)
-        return list(found.values())
+        ownership = self.ownership
+        members = {
+            slotownership.process_id_of(member): member
+            for member in ownership.view.members
+        }
+        for former_view in ownership.view.formers:
+            for member in former_view.members:
+                members.setdefault(slotownership.process_id_of(member), member)
+        members.pop(ownership.this_process, None)
+        return list(members.values())
 
     def merge_answer(
         self,
-        known: messages.CopyList,
-        answers: dict[slotownership.ProcessId, dict],
+        copy_list: messages.CopyList,
+        knowledge: dict[slotownership.ProcessId, dict],
         now: float,
     ) -> None:
         """Merges what one process told."""
-        for entry in known.entries:
+        for entry in copy_list.entries:
             self.ownership.merge(entry, now)
-        for floor in known.floors:
+        for floor in copy_list.floors:
             self.ownership.raise_floor(floor.slot, floor.minted_before_ms)
         # The process that answers says which run it is: a restarted host
         # under the old address knows nothing and must not vouch for the run
         # that died.
-        process = slotownership.ProcessId(known.host, known.incarnation)
-        answers[process] = {item.slot: item for item in known.knowledge}
+        process = slotownership.ProcessId(copy_list.host, copy_list.incarnation)
+        knowledge[process] = {item.slot: item for item in copy_list.knowledge}
 
     def set_floors(self) -> None:
         """Gives up on the past of the slots that nobody vouches for.
@@ -195,8 +201,8 @@
         lease any more.  Keys minted from now on cannot have run.
         """
         floor_ms = self.unix_ms() + self.skew_ms
-        lost = self.ownership.incomplete_slots()
-        for slot in lost:
+        lost_slots = self.ownership.incomplete_slots()
+        for slot in lost_slots:
             self.ownership.raise_floor(slot, floor_ms)
             self.ownership.mark_complete(slot)
         self.ownership.notify_change()
@@ -204,6 +210,6 @@
             logs.Part.ONCE,
             "the past of slots is lost, older keys get unknown",
             service=self.ownership.service,
-            slots=len(lost),
+            slots=len(lost_slots),
             view=self.ownership.view.version,
         )
--- a/tests/once_fakes.py
+++ b/tests/once_fakes.py
@@ -55,29 +55,29 @@
         self.options = dataclasses.replace(OPTIONS, **changes)
         self.formers: list[messages.FormerView] = []
         self.view = messages.ServiceView(service=SERVICE)
-        for number in range(hosts):
-            self.add_node(f"h{number}", number)
+        for index in range(hosts):
+            self.add_node(f"h{index}", index)
 
-    def can_reach(self, one: str, other: str) -> bool:
-        pair = frozenset((one, other))
-        return not self.isolated & pair and pair not in self.cut_pairs
+    def can_reach(self, first: str, second: str) -> bool:
+        addresses = frozenset((first, second))
+        return not self.isolated & addresses and addresses not in self.cut_pairs
 
-    def delay(self, one: str, other: str) -> float:
+    def delay(self, first: str, second: str) -> float:
         return (
             SLOW_DELAY_SECONDS
-            if self.slow & {one, other}
+            if self.slow & {first, second}
             else NETWORK_DELAY_SECONDS
         )
 
     def unix_ms(self) -> int:
         return START_UNIX_MS + int(asyncio.get_running_loop().time() * 1000)
 
-    def add_node(self, host: str, number: int, incarnation: str = "1") -> None:
-        address = f"127.0.0.1:{1000 + number}"
+    def add_node(self, host: str, index: int, incarnation: str = "1") -> None:
+        address = f"127.0.0.1:{1000 + index}"
         self.members[host] = messages.Member(
             host=host,
             incarnation=incarnation,
-            data_centre=f"dc{number % 3}",
+            data_centre=f"dc{index % 3}",
             peer_address=address,
         )
         self.leases[host] = FakeLease()
@@ -125,13 +125,13 @@
         self.view = dataclasses.replace(self.view, active=True)
         self.deliver_view(hosts)
 
-    def cut_pair(self, one: str, other: str) -> None:
+    def cut_pair(self, first: str, second: str) -> None:
         """Cuts the way between two hosts only."""
-        pair = (
-            self.members[one].peer_address,
-            self.members[other].peer_address,
+        addresses = (
+            self.members[first].peer_address,
+            self.members[second].peer_address,
         )
-        self.cut_pairs.add(frozenset(pair))
+        self.cut_pairs.add(frozenset(addresses))
 
     def isolate(self, host: str) -> None:
         self.isolated.add(self.members[host].peer_address)
@@ -170,8 +170,8 @@
     async def close(self) -> None:
         for node in self.nodes.values():
             await node.close()
-        for travel in list(self.deliveries):
-            travel.cancel()
+        for delivery in list(self.deliveries):
+            delivery.cancel()
 
 
 @dataclasses.dataclass
@@ -183,10 +183,10 @@
 
     async def ask(self, address, body, timeout):
         # The request goes on when the sender gives up: it may arrive late.
-        travel = asyncio.create_task(self.deliver(str(address), body))
-        self.network.deliveries.add(travel)
-        travel.add_done_callback(self.network.deliveries.discard)
-        return await asyncio.wait_for(asyncio.shield(travel), timeout)
+        delivery = asyncio.create_task(self.deliver(str(address), body))
+        self.network.deliveries.add(delivery)
+        delivery.add_done_callback(self.network.deliveries.discard)
+        return await asyncio.wait_for(asyncio.shield(delivery), timeout)
 
     async def deliver(self, target, body):
         nodes = self.network.nodes
@@ -205,17 +205,17 @@
 @contextlib.asynccontextmanager
 async def running_network(hosts: int = 4, **changes):
     """A settled network of nodes that serve one service."""
-    made = FakeNetwork(hosts, **changes)
-    made.publish_view(*made.members)
+    fake_network = FakeNetwork(hosts, **changes)
+    fake_network.publish_view(*fake_network.members)
     await asyncio.sleep(1)
     try:
-        yield made
+        yield fake_network
     finally:
-        await made.close()
+        await fake_network.close()
 
 
-def new_key(dice: random.Random = RNG) -> str:
+def new_key(rng: random.Random = RNG) -> str:
     """A key minted at the fake wall clock's present."""
     now = START_UNIX_MS + int(asyncio.get_running_loop().time() * 1000)
-    number = (now << 80) | (UUID7_BITS | dice.getrandbits(62))
-    return str(uuid6.UUID(int=number))
+    value = (now << 80) | (UUID7_BITS | rng.getrandbits(62))
+    return str(uuid6.UUID(int=value))
--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -25,8 +25,8 @@
     """Notes how a slot was given back."""
 
     def __init__(self):
-        self.left: list[bool] = []
-        self.below: list[int] = []
+        self.released_ok: list[bool] = []
+        self.downstream_thresholds: list[int] = []
 
     def release(
         self,
@@ -36,15 +36,15 @@
         backend_shed=False,
         downstream_threshold=0,
     ):
-        self.left.append(ok)
-        self.below.append(downstream_threshold)
+        self.released_ok.append(ok)
+        self.downstream_thresholds.append(downstream_threshold)
 
 
 class FakeAdmission:
     """An admission that admits at once."""
 
     threshold = 300
-    told_below = 400
+    reported_threshold = 400
     running = 2
     load = 2
     limit = 7
@@ -52,42 +52,44 @@
     def __init__(self):
         self.permit = FakePermit()
 
-    async def acquire(self, ticket):
+    async def acquire(self, request):
         return self.permit
 
     def set_slots(self, slots):
         pass
 
     def downstream_threshold(self, operation):
-        return self.told_below
+        return self.reported_threshold
 
 
 class FakeBackendClient:
     """Opens the gate, then does what the test says."""
 
-    def __init__(self, act):
-        self.act = act
+    def __init__(self, respond):
+        self.respond = respond
         self.cancelled = 0
 
     async def send(self, address, request, attempt):
         if attempt.before_send is not None:
             await attempt.before_send()
         try:
-            return await self.act(attempt)
+            return await self.respond(attempt)
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
 
 
-def make_executor(act) -> execution.CallExecutor:
-    served = localservices.LocalServices(
+def make_executor(respond) -> execution.CallExecutor:
+    services = localservices.LocalServices(
         5, FakeAdmission, lambda services: None
     )
     address = options.Address("127.0.0.1", 1)
-    served.announce(
+    services.announce(
         localservices.Announcement(service="stock", address=address, slots=4)
     )
-    return execution.CallExecutor(PROCESS, served, FakeBackendClient(act), None)
+    return execution.CallExecutor(
+        PROCESS, services, FakeBackendClient(respond), None
+    )
 
 
 def call(idempotent=True, deadline_ms=1000) -> messages.Call:
@@ -103,21 +105,21 @@
 
 
 def fail_with(error, sent):
-    async def act(attempt):
+    async def respond(attempt):
         attempt.sent = sent
         raise error
 
-    return act
+    return respond
 
 
 def shed():
-    async def act(attempt):
+    async def respond(attempt):
         attempt.sent = True
         return backend.Response(
             status=503, headers=[], body=b"", seconds=0.1, shed=True
         )
 
-    return act
+    return respond
 
 
 @pytest.mark.looptime
@@ -165,74 +167,77 @@
             ),
         ],
     )
-    async def test_not_run_is_said_only_before_the_first_byte(
+    async def test_not_run_only_before_the_first_byte(
         self, error, sent, outcome, reason
     ):
-        made = make_executor(fail_with(error, sent))
-        reply = await made.serve(call())
+        executor = make_executor(fail_with(error, sent))
+        reply = await executor.serve(call())
         assert (reply.outcome, reply.reason) == (outcome, reason)
         assert reply.tries_left == 5
         assert (reply.threshold, reply.inflight, reply.limit) == (300, 2, 7)
         assert reply.below == 400
-        assert made.idle
+        assert executor.idle
 
-    async def test_a_shed_call_counts_as_not_run_unless_it_had_children(self):
+    async def test_shed_call_is_not_run_unless_it_made_child_calls(self):
         """A backend server hands on the refusal of a service below it.
 
         It had already booked elsewhere, so "not run" would be false.  Only
         where it made no child call its word is taken.
         """
-        made = make_executor(shed())
-        assert (await made.serve(call())).reason == Reason.BACKEND_SHED
+        executor = make_executor(shed())
+        assert (await executor.serve(call())).reason == Reason.BACKEND_SHED
 
-        async def with_child(attempt):
-            (parent,) = made.parents.values()
+        async def respond_after_child_call(attempt):
+            (parent,) = executor.parents.values()
             assert parent.running_call.allow_child("POST", "/book", b"")
             return await shed()(attempt)
 
-        made.backend_client.act = with_child
-        reply = await made.serve(call())
+        executor.backend_client.respond = respond_after_child_call
+        reply = await executor.serve(call())
         assert (reply.outcome, reply.status) == (Outcome.ANSWERED, 503)
 
-    async def test_admission_hears_what_is_refused_below(self):
+    async def test_admission_learns_of_a_refused_child_call(self):
         """A child call is refused, and the backend server answers 502.
 
         Its slot and its work were wasted.  Admission is told the threshold
         that refused it, and that no whole answer came of it.
         """
 
-        async def refused(attempt):
+        async def respond_after_refusal(attempt):
             attempt.sent = True
-            (parent,) = made.parents.values()
+            (parent,) = executor.parents.values()
             parent.running_call.child_refused(500)
             return backend.Response(
                 status=502, headers=[], body=b"", seconds=0.1, shed=False
             )
 
-        made = make_executor(refused)
-        await made.serve(call())
-        permit = made.local_services.find("stock").admission.permit
-        assert (permit.left, permit.below) == ([False], [500])
+        executor = make_executor(respond_after_refusal)
+        await executor.serve(call())
+        permit = executor.local_services.find("stock").admission.permit
+        assert (permit.released_ok, permit.downstream_thresholds) == (
+            [False],
+            [500],
+        )
 
-    async def test_refusals_hand_every_try_back(self):
-        made = make_executor(None)
-        reply = await made.serve(call(deadline_ms=0))
+    async def test_refusals_return_every_retry(self):
+        executor = make_executor(None)
+        reply = await executor.serve(call(deadline_ms=0))
         assert (reply.reason, reply.tries_left) == (Reason.DEADLINE_EXCEEDED, 5)
-        made.leaving = True
-        reply = await made.serve(call())
+        executor.leaving = True
+        reply = await executor.serve(call())
         assert (reply.reason, reply.tries_left) == (Reason.LEAVING, 5)
 
 
 @pytest.mark.looptime
-class TestStarted:
+class TestNonIdempotent:
     """A booking that has started is finished."""
 
-    async def run_for(self, made, seconds):
-        asking = asyncio.create_task(made.serve(call(idempotent=False)))
+    async def serve_for(self, executor, seconds):
+        serve_task = asyncio.create_task(executor.serve(call(idempotent=False)))
         await asyncio.sleep(seconds)
-        return asking
+        return serve_task
 
-    async def test_a_cancelled_booking_goes_on(self):
+    async def test_cancelled_booking_runs_to_its_end(self):
         """The caller hangs up while its booking runs.
 
         Its slot stays taken and the backend server is not disturbed; once it
@@ -240,92 +245,92 @@
         """
         done = asyncio.Event()
 
-        async def book(attempt):
+        async def respond_slowly(attempt):
             attempt.sent = True
             await asyncio.sleep(0.5)
             done.set()
             return await shed()(attempt)
 
-        made = make_executor(book)
-        asking = await self.run_for(made, 0.1)
-        asking.cancel()
-        await asyncio.wait({asking})
-        assert asking.cancelled()
-        assert not made.idle
+        executor = make_executor(respond_slowly)
+        serve_task = await self.serve_for(executor, 0.1)
+        serve_task.cancel()
+        await asyncio.wait({serve_task})
+        assert serve_task.cancelled()
+        assert not executor.idle
         await done.wait()
         await asyncio.sleep(0.01)
-        assert made.idle
-        assert made.backend_client.cancelled == 0
+        assert executor.idle
+        assert executor.backend_client.cancelled == 0
 
-    async def test_at_its_deadline_the_caller_is_told_unknown(self):
-        async def book(attempt):
+    async def test_caller_gets_unknown_at_the_deadline(self):
+        async def respond_slowly(attempt):
             attempt.sent = True
             await asyncio.sleep(3)
             return await shed()(attempt)
 
-        made = make_executor(book)
-        reply = await made.serve(call(idempotent=False))
+        executor = make_executor(respond_slowly)
+        reply = await executor.serve(call(idempotent=False))
         assert (reply.outcome, reply.reason) == (
             Outcome.UNKNOWN,
             Reason.DEADLINE_EXCEEDED,
         )
         assert asyncio.get_running_loop().time() < 2
-        assert made.unkeyed_tasks
+        assert executor.unkeyed_tasks
         await asyncio.sleep(3)
-        assert made.idle
+        assert executor.idle
 
-    async def test_a_cancelled_read_frees_its_slot(self):
-        async def read(attempt):
+    async def test_cancelled_read_frees_its_slot(self):
+        async def respond_late(attempt):
             attempt.sent = True
             await asyncio.sleep(LONG_SECONDS)
 
-        made = make_executor(read)
-        asking = asyncio.create_task(made.serve(call()))
+        executor = make_executor(respond_late)
+        serve_task = asyncio.create_task(executor.serve(call()))
         await asyncio.sleep(0.1)
-        asking.cancel()
-        await asyncio.wait({asking})
-        assert made.idle
-        permit = made.local_services.find("stock").admission.permit
-        assert permit.left == [False]
-        assert made.backend_client.cancelled == 1
-
-    async def test_one_that_never_started_is_told_not_run(self):
+        serve_task.cancel()
+        await asyncio.wait({serve_task})
+        assert executor.idle
+        permit = executor.local_services.find("stock").admission.permit
+        assert permit.released_ok == [False]
+        assert executor.backend_client.cancelled == 1
+
+    async def test_booking_that_never_started_is_not_run(self):
         """A caller whose booking got no slot in time may send it again.
 
         Every slot is taken until the deadline; told 504 the caller would have
         to take the booking for one that may have run.
         """
-        made = make_executor(shed())
-        place = made.local_services.find("stock")
+        executor = make_executor(shed())
+        local_service = executor.local_services.find("stock")
 
-        async def never(ticket):
+        async def wait_forever(request):
             await asyncio.sleep(60)
 
-        place.admission.acquire = never
-        reply = await made.serve(call(idempotent=False))
+        local_service.admission.acquire = wait_forever
+        reply = await executor.serve(call(idempotent=False))
         assert (reply.outcome, reply.reason) == (
             Outcome.NOT_RUN,
             Reason.DEADLINE_EXCEEDED,
         )
         await asyncio.sleep(0.01)
-        assert made.idle
+        assert executor.idle
 
 
 @pytest.mark.looptime
-class TestCallsBelow:
+class TestChildCalls:
     """What a reply says of the calls that its run made."""
 
     @pytest.mark.parametrize("calls_made", [0, 2])
-    async def test_a_run_that_made_calls_says_so(self, calls_made):
+    async def test_reply_says_whether_child_calls_were_made(self, calls_made):
         """A run fails; whether another attempt may help depends on why.
 
         One that made calls of its own mostly failed for one of those.
         """
 
-        async def act(attempt):
+        async def respond(attempt):
             attempt.sent = True
             loop = asyncio.get_running_loop()
-            (parent,) = made.parents.values()
+            (parent,) = executor.parents.values()
             for _ in range(calls_made):
                 parent.running_call.child_started(loop.time())
                 await asyncio.sleep(0.01)
@@ -334,6 +339,6 @@
                 status=500, headers=[], body=b"", seconds=0.1, shed=False
             )
 
-        made = make_executor(act)
-        reply = await made.serve(call())
+        executor = make_executor(respond)
+        reply = await executor.serve(call())
         assert reply.called_below is bool(calls_made)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -14,16 +14,16 @@
 class TestRepeats:
     """The same key again, while nothing has failed."""
 
-    async def test_a_repeat_gets_the_same_whole_answer(self):
+    async def test_repeat_gets_the_same_response(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             first = await net.send(owner, key)
-            again = await net.send(owner, key)
-            assert first.body == again.body == b"slip 1"
+            repeat = await net.send(owner, key)
+            assert first.body == repeat.body == b"slip 1"
             assert net.runs == ["run"]
 
-    async def test_a_repeat_waits_for_the_run_in_flight(self):
+    async def test_repeat_waits_for_the_run_in_progress(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
@@ -33,7 +33,7 @@
             assert {reply.body for reply in replies} == {b"slip 1"}
             assert net.runs == ["run"]
 
-    async def test_a_key_with_another_body_is_refused(self):
+    async def test_key_with_another_body_is_refused(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
@@ -43,7 +43,7 @@
             assert other.reason is messages.Reason.KEY_REUSED
             assert (await net.send(owner, key)).body == b"slip 1"
 
-    async def test_a_key_older_than_the_window_never_runs(self):
+    async def test_key_older_than_the_window_never_runs(self):
         async with once_fakes.running_network(window=10.0) as net:
             key = once_fakes.new_key()
             await asyncio.sleep(11)
@@ -52,14 +52,14 @@
             assert reply.reason is messages.Reason.KEY_EXPIRED
             assert net.runs == []
 
-    async def test_another_node_than_the_owner_refuses(self):
+    async def test_node_that_is_not_the_owner_refuses(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            other = next(h for h in net.members if h != net.owner(key))
+            other = next(host for host in net.members if host != net.owner(key))
             reply = await net.send(other, key)
             assert reply.reason is messages.Reason.NOT_OWNER
 
-    async def test_a_caller_that_hangs_up_does_not_stop_a_run(self):
+    async def test_cancelled_caller_does_not_stop_a_run(self):
         """The caller hangs up while its booking runs, then asks again.
 
         The run goes on; the repeat gets its answer.  A cancelled run would
@@ -68,9 +68,9 @@
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
-            hasty = asyncio.create_task(net.send(owner, key))
+            send_task = asyncio.create_task(net.send(owner, key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
-            hasty.cancel()
+            send_task.cancel()
             assert (await net.send(owner, key)).body == b"slip 1"
             assert net.runs == ["run"]
 
@@ -85,7 +85,7 @@
         for node in net.nodes.values():
             node.ownership_of(once_fakes.SERVICE).registry.expire(now)
 
-    async def test_answers_fill_the_memory_and_new_keys_are_refused(self):
+    async def test_full_memory_refuses_new_keys(self):
         """Large answers fill what a node may use; callers go on.
 
         Keys that ran are never forgotten to make room: their repeats get
@@ -105,8 +105,8 @@
             assert reply.reason is messages.Reason.OVERLOADED
             assert 4 <= len(net.runs) == len(keys) - 1 < 40
             for key in keys[:-1]:
-                again = await net.send(net.owner(key), key)
-                assert again.body == net.response_body
+                repeat = await net.send(net.owner(key), key)
+                assert repeat.body == net.response_body
             await asyncio.sleep(40)
             self.expire(net)
             key = once_fakes.new_key()
@@ -114,7 +114,7 @@
                 await net.send(net.owner(key), key)
             ).body == net.response_body
 
-    async def test_what_the_budget_counts_goes_with_the_records(self):
+    async def test_removed_records_free_the_budget(self):
         async with once_fakes.running_network(window=20.0) as net:
             for _ in range(20):
                 key = once_fakes.new_key()
@@ -137,12 +137,12 @@
         """Kills the owner and commits the view without it."""
         owner = net.owner(key)
         net.isolate(owner)
-        rest = [host for host in net.members if host != owner]
-        net.publish_view(*rest)
+        remaining = [host for host in net.members if host != owner]
+        net.publish_view(*remaining)
         await asyncio.sleep(2)
         return owner
 
-    async def test_killed_after_the_answer(self):
+    async def test_owner_lost_after_the_response(self):
         """The owner answers, then dies; the caller's repeat finds another.
 
         The holder of the copy gives the new owner the whole answer.
@@ -152,11 +152,11 @@
             first = await net.send(net.owner(key), key)
             await asyncio.sleep(0.1)
             await self.lose_owner(net, key)
-            again = await net.send(net.owner(key), key)
-            assert again.body == first.body
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.body == first.body
             assert net.runs == ["run"]
 
-    async def test_killed_while_the_call_runs(self):
+    async def test_owner_lost_during_the_run(self):
         """The owner dies between `started` and the answer.
 
         The copy says started, its runner is gone: the repeat is told that
@@ -168,13 +168,13 @@
             task = asyncio.create_task(net.send(owner, key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             await self.lose_owner(net, key)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.UNKNOWN
-            assert again.reason is messages.Reason.OWNER_CHANGED
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
+            assert repeat.reason is messages.Reason.OWNER_CHANGED
             assert net.runs == ["run"]
             await asyncio.wait([task])
 
-    async def test_killed_while_it_runs_and_the_copy_is_elsewhere(self):
+    async def test_owner_lost_during_the_run_with_the_copy_elsewhere(self):
         """The new owner learns of the dead run from a holder's answer.
 
         The holder has not heard of the view without the dead owner, so it
@@ -187,15 +187,16 @@
                 key = once_fakes.new_key()
             task = asyncio.create_task(net.send(net.owner(key), key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
-            owner, heir = net.owner(key), self.next_owner(net, key)
+            owner, successor = net.owner(key), self.next_owner(net, key)
             net.isolate(owner)
             net.publish_view(
-                *(h for h in net.members if h != owner), recipients=[heir]
+                *(host for host in net.members if host != owner),
+                recipients=[successor],
             )
             await asyncio.sleep(2)
-            again = await net.send(heir, key)
-            assert again.outcome is messages.Outcome.UNKNOWN
-            assert again.reason is messages.Reason.OWNER_CHANGED
+            repeat = await net.send(successor, key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
+            assert repeat.reason is messages.Reason.OWNER_CHANGED
             assert net.runs == ["run"]
             await asyncio.wait([task])
 
@@ -205,13 +206,13 @@
             1
         ].host
 
-    async def test_killed_before_started(self):
+    async def test_owner_lost_before_the_start(self):
         """The owner dies before it told anybody: the repeat simply runs."""
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             await self.lose_owner(net, key)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.ANSWERED
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
 
     async def test_owner_and_holder_lost_together(self):
@@ -225,20 +226,22 @@
             await net.send(owner, key)
             net.isolate(owner)
             net.isolate(holder)
-            rest = [h for h in net.members if h not in (owner, holder)]
-            net.publish_view(*rest)
+            remaining = [
+                host for host in net.members if host not in (owner, holder)
+            ]
+            net.publish_view(*remaining)
             await asyncio.sleep(3)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.UNKNOWN
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
             await asyncio.sleep(3)
-            young = once_fakes.new_key()
-            while keyslots.slot_of(young) != keyslots.slot_of(key):
-                young = once_fakes.new_key()
-            reply = await net.send(net.owner(young), young)
+            fresh_key = once_fakes.new_key()
+            while keyslots.slot_of(fresh_key) != keyslots.slot_of(key):
+                fresh_key = once_fakes.new_key()
+            reply = await net.send(net.owner(fresh_key), fresh_key)
             assert reply.outcome is messages.Outcome.ANSWERED
 
-    async def test_a_floor_outlives_the_owner_that_set_it(self):
+    async def test_floor_survives_the_owner_that_set_it(self):
         """Owner and holder are lost, then the owner after them as well.
 
         The second owner knew nothing of the key and answered `unknown`; its
@@ -251,19 +254,21 @@
             await net.send(owner, key)
             net.isolate(owner)
             net.isolate(holder)
-            rest = [h for h in net.members if h not in (owner, holder)]
-            net.publish_view(*rest)
+            remaining = [
+                host for host in net.members if host not in (owner, holder)
+            ]
+            net.publish_view(*remaining)
             await asyncio.sleep(3)
             second = net.owner(key)
             net.isolate(second)
-            rest.remove(second)
-            net.publish_view(*rest)
+            remaining.remove(second)
+            net.publish_view(*remaining)
             await asyncio.sleep(3)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.UNKNOWN
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
 
-    async def test_a_refused_claim_does_not_wipe_out_anothers_start(self):
+    async def test_refused_claim_keeps_the_new_owners_record(self):
         """A claim waits for admission while its slot moves to another owner.
 
         The new owner starts the same key and this node holds the copy.  Then
@@ -272,36 +277,36 @@
         """
         async with once_fakes.running_network(3) as net:
             key = once_fakes.new_key()
-            newer = net.owner(key)
-            rest = [host for host in net.members if host != newer]
-            net.publish_view(*rest)
+            new_owner = net.owner(key)
+            remaining = [host for host in net.members if host != new_owner]
+            net.publish_view(*remaining)
             await asyncio.sleep(1)
-            older = net.owner(key)
+            old_owner = net.owner(key)
             admitted = asyncio.Event()
 
-            async def wait_for_a_slot(gate):
+            async def wait_for_admission(gate):
                 await admitted.wait()
                 return await net.execute(gate)
 
-            claim = net.node(older).run(net.call(key), wait_for_a_slot)
-            claimed = asyncio.create_task(claim)
+            claim = net.node(old_owner).run(net.call(key), wait_for_admission)
+            claim_task = asyncio.create_task(claim)
             await asyncio.sleep(0.1)
             net.publish_view(*net.members)
             await asyncio.sleep(1)
-            assert (net.owner(key), net.holder(key)) == (newer, older)
-            started = asyncio.create_task(net.send(newer, key))
+            assert (net.owner(key), net.holder(key)) == (new_owner, old_owner)
+            started = asyncio.create_task(net.send(new_owner, key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             admitted.set()
-            assert (await claimed).outcome is messages.Outcome.NOT_RUN
-            net.isolate(newer)
-            net.publish_view(*rest)
+            assert (await claim_task).outcome is messages.Outcome.NOT_RUN
+            net.isolate(new_owner)
+            net.publish_view(*remaining)
             await asyncio.sleep(2)
-            again = await net.send(older, key)
-            assert again.outcome is messages.Outcome.UNKNOWN
+            repeat = await net.send(old_owner, key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
             await asyncio.wait([started])
 
-    async def test_views_that_change_twice_at_once_lose_nothing(self):
+    async def test_two_view_changes_in_a_row_lose_no_response(self):
         """Two hosts of a data centre die; the views change one by one.
 
         The owner of the view between never acted.  Its holder answers for
@@ -313,20 +318,24 @@
             first = await net.send(net.owner(key), key)
             await asyncio.sleep(0.1)
             owner = net.owner(key)
-            place = net.members[owner].data_centre
-            dead = [h for h, m in net.members.items() if m.data_centre == place]
+            data_centre = net.members[owner].data_centre
+            dead = [
+                host
+                for host, member in net.members.items()
+                if member.data_centre == data_centre
+            ]
             for host in dead:
                 net.isolate(host)
-            rest = list(net.members)
+            remaining = list(net.members)
             for host in dead:
-                rest.remove(host)
-                net.publish_view(*rest)
+                remaining.remove(host)
+                net.publish_view(*remaining)
             await asyncio.sleep(2)
-            again = await net.send(net.owner(key), key)
-            assert again.body == first.body
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.body == first.body
             assert net.runs == ["run"]
 
-    async def test_a_restarted_host_does_not_vouch_for_its_former_run(self):
+    async def test_restarted_host_does_not_count_as_its_former_process(self):
         """The only owner restarts with an empty memory.
 
         Under its old address it answers the questions of the takeover, but
@@ -339,8 +348,8 @@
             net.add_node("h0", 0, incarnation="2")
             net.publish_view("h0")
             await asyncio.sleep(1)
-            again = await net.send("h0", key)
-            assert again.outcome is messages.Outcome.UNKNOWN
+            repeat = await net.send("h0", key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
 
 
@@ -348,7 +357,7 @@
 class TestFrozenOwner:
     """An owner that stops for a while and does not notice."""
 
-    async def test_its_holder_is_fenced_by_the_new_owner(self):
+    async def test_holder_fenced_by_the_new_owner_refuses_the_old_one(self):
         """The old owner wakes and believes in its view and its lease.
 
         Nobody could tell it of the new view; the new owner asked the holder
@@ -358,23 +367,25 @@
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner, holder = net.owner(key), net.holder(key)
-            rest = [h for h in net.members if h != owner]
-            for host in rest:
+            remaining = [host for host in net.members if host != owner]
+            for host in remaining:
                 if host != holder:
                     net.cut_pair(owner, host)
             net.publish_view(
-                *rest, active=False, recipients=[h for h in rest if h != holder]
+                *remaining,
+                active=False,
+                recipients=[host for host in remaining if host != holder],
             )
             await asyncio.sleep(1)
-            late = await net.send(owner, key)
-            assert late.reason is messages.Reason.COPY_FAILED
+            late_reply = await net.send(owner, key)
+            assert late_reply.reason is messages.Reason.COPY_FAILED
             net.deliver_view([holder])
             await asyncio.sleep(1)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.ANSWERED
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
 
-    async def test_woken_after_its_slots_were_taken_over(self):
+    async def test_old_owner_starts_nothing_after_the_takeover(self):
         """The new owner asked the old one itself, which thereby learns.
 
         It starts nothing more, although its lease seems fine to it.
@@ -382,16 +393,16 @@
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
-            rest = [h for h in net.members if h != owner]
-            net.publish_view(*rest)
+            remaining = [host for host in net.members if host != owner]
+            net.publish_view(*remaining)
             await asyncio.sleep(1)
-            late = await net.send(owner, key)
-            assert late.outcome is messages.Outcome.NOT_RUN
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.ANSWERED
+            late_reply = await net.send(owner, key)
+            assert late_reply.outcome is messages.Outcome.NOT_RUN
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
 
-    async def test_no_floor_before_the_old_lease_has_ended(self):
+    async def test_no_floor_before_the_view_is_active(self):
         """The owner is alive but cut off together with its holder.
 
         Nobody vouches for the slot, so the new owner waits until the view is
@@ -402,20 +413,22 @@
             owner, holder = net.owner(key), net.holder(key)
             net.isolate(owner)
             net.isolate(holder)
-            rest = [h for h in net.members if h not in (owner, holder)]
-            net.publish_view(*rest, active=False)
+            remaining = [
+                host for host in net.members if host not in (owner, holder)
+            ]
+            net.publish_view(*remaining, active=False)
             await asyncio.sleep(2)
-            early = await net.send(net.owner(key), key)
-            assert early.outcome is messages.Outcome.NOT_RUN
-            net.activate(*rest)
+            early_reply = await net.send(net.owner(key), key)
+            assert early_reply.outcome is messages.Outcome.NOT_RUN
+            net.activate(*remaining)
             await asyncio.sleep(4)
-            young = once_fakes.new_key()
-            while keyslots.slot_of(young) != keyslots.slot_of(key):
-                young = once_fakes.new_key()
-            reply = await net.send(net.owner(young), young)
+            fresh_key = once_fakes.new_key()
+            while keyslots.slot_of(fresh_key) != keyslots.slot_of(key):
+                fresh_key = once_fakes.new_key()
+            reply = await net.send(net.owner(fresh_key), fresh_key)
             assert reply.outcome is messages.Outcome.ANSWERED
 
-    async def test_without_a_lease_nothing_starts(self):
+    async def test_nothing_starts_without_a_lease(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
@@ -424,7 +437,7 @@
             assert reply.reason is messages.Reason.NO_LEASE
             assert net.runs == []
 
-    async def test_a_lease_that_ends_during_the_copy(self):
+    async def test_lease_that_ends_during_the_copy(self):
         """The lease ends while the holder's acknowledgement is on its way.
 
         The second check, after the wait and before the first byte, sees it.
@@ -441,10 +454,10 @@
 
 
 @pytest.mark.looptime
-class TestLeaving:
+class TestHandover:
     """A node that hands its slots over."""
 
-    async def test_the_new_owner_has_every_answer(self):
+    async def test_new_owner_has_every_response(self):
         """A node leaves while its keys are young.
 
         It stays until the new owners have asked, so that a repeat gets the
@@ -452,44 +465,48 @@
         """
         async with once_fakes.running_network() as net:
             keys = [once_fakes.new_key() for _ in range(40)]
-            leaver = net.owner(keys[0])
+            leaving_host = net.owner(keys[0])
             for key in keys:
                 await net.send(net.owner(key), key)
-            member = net.members[leaver]
-            net.members[leaver] = dataclasses.replace(member, leaving=True)
+            member = net.members[leaving_host]
+            net.members[leaving_host] = dataclasses.replace(
+                member, leaving=True
+            )
             net.publish_view(*net.members)
             async with asyncio.timeout(5):
-                await net.node(leaver).finish_handover()
-            net.isolate(leaver)
+                await net.node(leaving_host).finish_handover()
+            net.isolate(leaving_host)
             await asyncio.sleep(1)
             replies = [await net.send(net.owner(key), key) for key in keys]
             assert {reply.body for reply in replies} == {b"slip 1"}
             assert len(net.runs) == len(keys)
 
-    async def test_a_run_that_outlives_the_handover_reports_its_end(self):
+    async def test_run_that_outlives_the_handover_reports_its_result(self):
         """A booking still runs when its slot moves to another owner.
 
         The repeat waits at the new owner; the old one sends the answer there.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            leaver = net.owner(key)
-            first = asyncio.create_task(net.send(leaver, key))
+            leaving_host = net.owner(key)
+            first = asyncio.create_task(net.send(leaving_host, key))
             await asyncio.sleep(0.02)
-            member = net.members[leaver]
-            net.members[leaver] = dataclasses.replace(member, leaving=True)
+            member = net.members[leaving_host]
+            net.members[leaving_host] = dataclasses.replace(
+                member, leaving=True
+            )
             net.publish_view(*net.members)
             await asyncio.sleep(0.02)
-            again = await net.send(net.owner(key), key)
-            assert (await first).body == again.body == b"slip 1"
+            repeat = await net.send(net.owner(key), key)
+            assert (await first).body == repeat.body == b"slip 1"
             assert net.runs == ["run"]
 
 
 @pytest.mark.looptime
-class TestAnnouncedStart:
+class TestRefusedAfterNotify:
     """A start that holders were told of, and that was refused then."""
 
-    async def refused_late(self, net, key):
+    async def refuse_after_notify(self, net, key):
         """Has the owner refuse a call while its holder is told of the start.
 
         The slot moves to the holder while the announcement is on its way, so
@@ -506,7 +523,7 @@
         assert (await claim).outcome is messages.Outcome.NOT_RUN
         return owner, holder
 
-    async def test_a_repeat_runs_at_the_new_owner(self):
+    async def test_repeat_runs_at_the_new_owner(self):
         """A repeat is told `unknown`, though the call never ran.
 
         The holder, now the owner, was told that the former owner starts the
@@ -515,15 +532,15 @@
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            _, newer = await self.refused_late(net, key)
+            _, new_owner = await self.refuse_after_notify(net, key)
             # The repeat that was waiting already is told `not_run`.
-            replies = [await net.send(newer, key) for _ in range(2)]
+            replies = [await net.send(new_owner, key) for _ in range(2)]
             outcomes = {reply.outcome for reply in replies}
             assert messages.Outcome.UNKNOWN not in outcomes
             assert replies[-1].outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
 
-    async def test_the_former_owner_can_leave(self):
+    async def test_old_owner_can_leave(self):
         """A node that leaves waits for ever, until it is killed.
 
         The new owner gives its copies to the holders, the leaving node among
@@ -532,26 +549,26 @@
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            older, newer = await self.refused_late(net, key)
+            old_owner, new_owner = await self.refuse_after_notify(net, key)
             await asyncio.sleep(0.5)
             entry = messages.OnceEntry(
                 key=key,
                 service=once_fakes.SERVICE,
                 slot=keyslots.slot_of(key),
                 state=messages.OnceState.STARTED,
-                runner=older,
+                runner=old_owner,
                 runner_incarnation="1",
             )
-            put = messages.CopyPut(
+            message = messages.CopyPut(
                 service=once_fakes.SERVICE,
                 view_version=net.view.version,
                 entries=[entry],
             )
-            await net.node(older).handle(put)
+            await net.node(old_owner).handle(message)
             async with asyncio.timeout(5):
-                await net.node(older).finish_handover()
+                await net.node(old_owner).finish_handover()
 
-    async def test_a_run_that_is_under_way_is_not_given_up(self):
+    async def test_run_in_progress_is_not_repeated(self):
         """The new owner asks while the former one runs the call.
 
         The former owner says that it runs it: the repeat waits for that
@@ -559,14 +576,14 @@
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            older, newer = net.owner(key), net.holder(key)
-            first = asyncio.create_task(net.send(older, key))
+            old_owner, new_owner = net.owner(key), net.holder(key)
+            first = asyncio.create_task(net.send(old_owner, key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
-            member = net.members[older]
-            net.members[older] = dataclasses.replace(member, leaving=True)
+            member = net.members[old_owner]
+            net.members[old_owner] = dataclasses.replace(member, leaving=True)
             net.publish_view(*net.members)
-            again = await net.send(newer, key)
-            assert (await first).body == again.body == b"slip 1"
+            repeat = await net.send(new_owner, key)
+            assert (await first).body == repeat.body == b"slip 1"
             assert net.runs == ["run"]
 
 
@@ -574,7 +591,7 @@
 class TestInvariant:
     """The program's own assertion."""
 
-    async def test_it_is_checked_on_every_start(self):
+    async def test_invariant_is_checked_on_every_start(self):
         before = invariants.checks[invariants.Promise.AT_MOST_ONCE]
         async with once_fakes.running_network() as net:
             for _ in range(10):
--- a/tests/test_once_random.py
+++ b/tests/test_once_random.py
@@ -67,20 +67,20 @@
         self.commit(now)
 
     def renew(self, host: str, now: float) -> None:
-        seen = self.statuses.setdefault(
+        status = self.statuses.setdefault(
             self.process_id_of(host), ProcessStatus(now)
         )
-        seen.renewed_at = now
+        status.renewed_at = now
         self.net.leases[host].until = now + TTL_SECONDS
         self.net.deliver_view([host])
-        share = self.net.node(host).ownerships.get(once_fakes.SERVICE)
-        seen.version = share.view.version if share else 0
+        ownership = self.net.node(host).ownerships.get(once_fakes.SERVICE)
+        status.version = ownership.view.version if ownership else 0
 
-    def is_alive(self, identity: tuple, now: float) -> bool:
-        seen = self.statuses.get(identity)
+    def is_alive(self, process_id: tuple, now: float) -> bool:
+        status = self.statuses.get(process_id)
         return (
-            seen is not None
-            and now < seen.renewed_at + TTL_SECONDS + MARGIN_SECONDS
+            status is not None
+            and now < status.renewed_at + TTL_SECONDS + MARGIN_SECONDS
         )
 
     def commit(self, now: float) -> None:
@@ -110,31 +110,33 @@
         super().__init__()
         self.loop = looptime.new_event_loop(start=0)
         self.tasks = []
-        self.run(self.start())
+        self.run(self.set_up())
 
-    def run(self, work):
-        return self.loop.run_until_complete(work)
+    def run(self, coroutine):
+        return self.loop.run_until_complete(coroutine)
 
-    async def start(self):
+    async def set_up(self):
         self.net = once_fakes.FakeNetwork(HOSTS, window=600.0)
         self.net.leases = {host: ClockLease() for host in self.net.members}
         for host, lease in self.net.leases.items():
             self.net.node(host).lease = lease
         self.control = FakeControl(self.net)
-        self.keeper = asyncio.create_task(self.control.run())
+        self.control_task = asyncio.create_task(self.control.run())
         await asyncio.sleep(1)
-        dice = random.Random(1)
-        self.keys = [once_fakes.new_key(dice) for _ in range(KEYS)]
+        rng = random.Random(1)
+        self.keys = [once_fakes.new_key(rng) for _ in range(KEYS)]
         self.runs = collections.defaultdict(list)
         self.bodies = collections.defaultdict(set)
         self.arrivals = 0
 
-    async def arrive(self, host: str, key: str, queued: float) -> None:
+    async def send_and_check(
+        self, host: str, key: str, queue_seconds: float
+    ) -> None:
         self.arrivals += 1
         arrival = self.arrivals
 
         async def execute(gate):
-            await asyncio.sleep(queued)
+            await asyncio.sleep(queue_seconds)
             await gate()
             self.runs[key].append(arrival)
             await asyncio.sleep(1.0)
@@ -155,18 +157,20 @@
     @stateful.rule(
         host=st.integers(0, HOSTS - 1),
         key=st.integers(0, KEYS - 1),
-        queued=QUEUE_SECONDS,
+        queue_seconds=QUEUE_SECONDS,
     )
-    def send(self, host, key, queued):
-        work = self.arrive(f"h{host}", self.keys[key], queued)
-        self.tasks.append(self.loop.create_task(work))
+    def send(self, host, key, queue_seconds):
+        coroutine = self.send_and_check(
+            f"h{host}", self.keys[key], queue_seconds
+        )
+        self.tasks.append(self.loop.create_task(coroutine))
 
-    @stateful.rule(key=st.integers(0, KEYS - 1), queued=QUEUE_SECONDS)
-    def send_to_the_owner(self, key, queued):
+    @stateful.rule(key=st.integers(0, KEYS - 1), queue_seconds=QUEUE_SECONDS)
+    def send_to_the_owner(self, key, queue_seconds):
         if self.net.view.members:
             host = self.net.owner(self.keys[key])
-            work = self.arrive(host, self.keys[key], queued)
-            self.tasks.append(self.loop.create_task(work))
+            coroutine = self.send_and_check(host, self.keys[key], queue_seconds)
+            self.tasks.append(self.loop.create_task(coroutine))
 
     @stateful.rule(host=st.integers(0, HOSTS - 1))
     def cut(self, host):
@@ -193,12 +197,12 @@
     @stateful.rule(host=st.integers(0, HOSTS - 1))
     def restart(self, host):
         self.faults["restart"] += 1
-        self.run(self.restarted(f"h{host}", host))
+        self.run(self.restart_host(f"h{host}", host))
 
-    async def restarted(self, host: str, number: int):
+    async def restart_host(self, host: str, number: int):
         # The killed process never speaks again; its calls hang as they are.
-        old = self.net.node(host)
-        for task in old.tasks:
+        old_node = self.net.node(host)
+        for task in old_node.tasks:
             task.cancel()
         incarnation = str(int(self.net.members[host].incarnation) + 1)
         self.net.add_node(host, number, incarnation)
@@ -228,7 +232,7 @@
         self.net.isolated.clear()
         self.net.slow.clear()
         await asyncio.sleep(10)
-        self.keeper.cancel()
+        self.control_task.cancel()
         await self.net.close()
         for task in self.tasks:
             task.cancel()
@@ -251,18 +255,20 @@
 class TestRandomFaults:
     """Random schedules; what was injected and checked is printed."""
 
-    def test_no_key_runs_twice_and_no_refusal_lies(self, capsys):
+    def test_no_key_runs_twice_and_not_run_is_true(self, capsys):
         self.run(CI, capsys)
 
     @pytest.mark.soak
     def test_no_key_runs_twice_in_many_runs(self, capsys):
         self.run(SOAK, capsys)
 
-    def run(self, options: hypothesis.settings, capsys) -> None:
+    def run(self, test_settings: hypothesis.settings, capsys) -> None:
         promise = invariants.Promise.AT_MOST_ONCE
-        before = invariants.checks[promise]
-        stateful.run_state_machine_as_test(AtMostOnceMachine, settings=options)
-        checked = invariants.checks[promise] - before
+        checks_before = invariants.checks[promise]
+        stateful.run_state_machine_as_test(
+            AtMostOnceMachine, settings=test_settings
+        )
+        checked = invariants.checks[promise] - checks_before
         with capsys.disabled():
             faults = dict(AtMostOnceMachine.faults)
             print(f"\nonce: faults {faults}, starts checked {checked}")
--- a/tests/test_slotownership.py
+++ b/tests/test_slotownership.py
@@ -12,47 +12,52 @@
 SLOT = ids.Slot(0)
 
 
-def minted(milliseconds: int) -> str:
+def new_key_at(unix_ms: int) -> str:
     """Returns a key minted at a Unix time."""
-    number = (milliseconds << 80) | (uuid6.uuid7().int & ((1 << 80) - 1))
+    number = (unix_ms << 80) | (uuid6.uuid7().int & ((1 << 80) - 1))
     return str(uuid6.UUID(int=number))
 
 
 class TestLineage:
     """Whether the answers hold all that was started."""
 
-    @pytest.mark.parametrize("whole", [True, False])
-    async def test_a_cut_lineage_is_not_filled_in(self, whole):
+    @pytest.mark.parametrize("lineage_whole", [True, False])
+    async def test_truncated_lineage_is_not_taken_as_known(self, lineage_whole):
         """Nine views came since a process last knew everything.
 
         The view names only the newest former ones.  An owner of a view that
         is not named may have started calls that no answer tells of.
         """
         member = messages.Member(host="a", incarnation="1")
-        me = slotownership.ProcessId("b", "1")
+        process_id = slotownership.ProcessId("b", "1")
         registry = records.Registry(3600, 10, records.MemoryBudget(1_000_000))
-        place = keyslots.CopyPlace.OTHER_DATA_CENTRE
-        share = slotownership.SlotOwnership("stock", me, registry, 1, place)
-        former = messages.FormerView(version=5, members=[member])
-        share.adopt_view(
+        copy_place = keyslots.CopyPlace.OTHER_DATA_CENTRE
+        ownership = slotownership.SlotOwnership(
+            "stock", process_id, registry, 1, copy_place
+        )
+        former_view = messages.FormerView(version=5, members=[member])
+        ownership.adopt_view(
             messages.ServiceView(
                 service="stock",
                 version=6,
                 members=[messages.Member(host="b", incarnation="1")],
-                formers=[former],
-                lineage_whole=whole,
+                formers=[former_view],
+                lineage_whole=lineage_whole,
             )
         )
-        told = messages.SlotKnowledge(slot=SLOT, owned_upto=3)
-        answers = {slotownership.process_id_of(member): told}
-        assert slotownership.is_history_known(share, SLOT, answers) is whole
+        slot_knowledge = messages.SlotKnowledge(slot=SLOT, owned_upto=3)
+        knowledge = {slotownership.process_id_of(member): slot_knowledge}
+        assert (
+            slotownership.is_history_known(ownership, SLOT, knowledge)
+            is lineage_whole
+        )
 
 
 @pytest.mark.looptime
 class TestFence:
     """A former owner that has heard of a newer view, but not got it."""
 
-    async def test_without_copies_the_fetch_alone_stops_it(self):
+    async def test_fetch_alone_fences_an_owner_without_holders(self):
         """No holder could refuse to acknowledge: there is none.
 
         The new owner asked the former one what it knows.  From then on the
@@ -63,10 +68,10 @@
             owner = net.owner(key)
             net.publish_view(*(host for host in net.members if host != owner))
             await asyncio.sleep(1)
-            late = await net.send(owner, key)
-            assert late.outcome is messages.Outcome.NOT_RUN
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.ANSWERED
+            late_reply = await net.send(owner, key)
+            assert late_reply.outcome is messages.Outcome.NOT_RUN
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
 
 
@@ -74,19 +79,19 @@
 class TestClocksAhead:
     """Callers whose clock is ahead."""
 
-    def test_a_key_from_the_far_future_tells_no_age(self):
+    def test_key_from_the_far_future_is_undated(self):
         """It would count as young long after its record was dropped."""
-        assert keys.creation_time(minted(12_001), 10_000, 2000).undated
-        assert not keys.creation_time(minted(12_000), 10_000, 2000).undated
+        assert keys.creation_time(new_key_at(12_001), 10_000, 2000).undated
+        assert not keys.creation_time(new_key_at(12_000), 10_000, 2000).undated
 
-    async def test_a_record_outlives_its_key(self):
+    async def test_record_outlives_its_key(self):
         """A caller two seconds ahead resends after eleven of a window of ten.
 
         Its key still counts as young.  Its record must be there then, or the
         booking would run a second time.
         """
         async with once_fakes.running_network(window=10.0) as net:
-            key = minted(net.unix_ms() + 2000)
+            key = new_key_at(net.unix_ms() + 2000)
             owner = net.owner(key)
             await net.send(owner, key)
             await asyncio.sleep(11)
--- a/tests/test_startcheck.py
+++ b/tests/test_startcheck.py
@@ -12,7 +12,7 @@
 class TestView:
     """A view that changes while the gate waits for the holder."""
 
-    async def test_the_holder_changes_while_it_acknowledges(self):
+    async def test_holder_changes_during_its_acknowledgement(self):
         """The caller is told not run, and its resend runs once.
 
         The holder's acknowledgement is on its way when a view without that
@@ -23,14 +23,14 @@
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner, holder = net.owner(key), net.holder(key)
-            booking = asyncio.create_task(net.send(owner, key))
+            send_task = asyncio.create_task(net.send(owner, key))
             await asyncio.sleep(1.2 * once_fakes.NETWORK_DELAY_SECONDS)
             net.publish_view(*(host for host in net.members if host != holder))
             assert net.owner(key) == owner
-            reply = await booking
+            reply = await send_task
             assert reply.outcome is messages.Outcome.NOT_RUN
             assert reply.reason is messages.Reason.OWNER_CHANGED
             assert net.runs == []
-            again = await net.send(owner, key)
-            assert again.outcome is messages.Outcome.ANSWERED
+            repeat = await net.send(owner, key)
+            assert repeat.outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
