--- a/mangobay/completion.py
+++ b/mangobay/completion.py
@@ -1,4 +1,4 @@
-"""Telling others how keyed calls ended, also when this node leaves."""
+"""Results of calls with keys, and handover when a node leaves."""
 
 import asyncio
 import collections.abc
@@ -8,10 +8,10 @@
 from mangobay.generated import messages
 
 POLL_INTERVAL_SECONDS = 0.05
-"""Seconds between two looks whether another node owns everything."""
+"""Seconds between two checks whether the handover is complete."""
 LOG_AFTER_SECONDS = 2.0
-"""Seconds of waiting after which the log says what for; handing keys over takes
-some tenths of a second, and a stop that takes longer has a cause."""
+"""Seconds after which a pending handover is logged. A handover normally takes
+some tenths of a second, and a longer one has a cause worth knowing."""
 UNFINISHED_STATES = frozenset({records.State.CLAIMED, records.State.STARTED})
 
 
@@ -20,12 +20,12 @@
     sender: copies.CopySender,
     record: records.Record,
 ) -> None:
-    """Tells the slot's owner and holders how a run ended.
+    """Sends the result of a run to the slot's owner and holders.
 
-    A fenced node waits for the newer view first: under its old one it would
-    tell itself, and the new owner would wait for the end of the run for ever.
+    A fenced node waits for the newer view first. In its old view it could be
+    the owner itself, and the new owner would wait for the result forever.
 
-    The caller has its answer already.  If this process dies before the copies
+    The caller already has its reply. If this process ends before the copies
     arrive, a repeat gets `unknown`, never a second run.
     """
     while ownership.fenced:
@@ -59,11 +59,11 @@
     ],
     sender: copies.CopySender,
 ) -> None:
-    """Returns when no record here is needed by a newer owner any more.
+    """Hands records over until no new owner needs this node any more.
 
-    A leaving node stays until nothing of its own still runs and the new
-    owners of its slots have asked for what it knows.  Gone earlier, its
-    callers' repeats would get `unknown` where a copy is missing.
+    A leaving node stays until none of its calls runs and the new owners of its
+    slots have its records. If it left earlier, repeats would get `unknown`
+    where a copy is missing.
     """
     log_at = asyncio.get_running_loop().time() + LOG_AFTER_SECONDS
     while not all(
@@ -83,7 +83,7 @@
     ownership: slotownership.SlotOwnership,
     this_process: slotownership.ProcessId,
 ) -> bool:
-    """Whether this node may go without taking knowledge along."""
+    """Whether no record of the service is lost if this node leaves."""
     return not (
         unfinished_records(ownership, this_process)
         or ownership.owned_slots
@@ -95,7 +95,7 @@
     ownership: slotownership.SlotOwnership,
     this_process: slotownership.ProcessId,
 ) -> list[records.Record]:
-    """Returns the records of calls that run on this host."""
+    """Returns the records of calls that wait or run on this host."""
     return [
         record
         for record in ownership.registry.by_key.values()
@@ -108,10 +108,10 @@
     ownership: slotownership.SlotOwnership,
     this_process: slotownership.ProcessId,
 ) -> None:
-    """Logs what keeps a leaving node from going."""
+    """Logs what a leaving node waits for."""
     logs.say(
         logs.Part.ONCE,
-        "a leaving node still has keys",
+        "leaving node still has keys to hand over",
         service=ownership.service,
         view=ownership.view.version,
         seen=ownership.newest_version,
--- a/mangobay/copies.py
+++ b/mangobay/copies.py
@@ -1,4 +1,4 @@
-"""Copies of keyed calls on other nodes: sending them and keeping them."""
+"""Exchange of record copies between the members of a service."""
 
 import asyncio
 import dataclasses
@@ -11,16 +11,16 @@
     from mangobay import peers
 
 MAX_BATCH_ENTRIES = 200
-"""Entries in one message of a slot's transfer."""
+"""Most entries in one message when the records of slots are sent."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class CopySender:
-    """Sends records to the processes that hold copies.
+    """Sends records to other members and fetches records from them.
 
     Attributes:
-      transport: the way to other processes.
-      timeout: seconds that an acknowledgement may take.
+      transport: connections to other processes.
+      timeout: seconds to wait for a member's message.
     """
 
     transport: "peers.Transport"
@@ -29,14 +29,14 @@
     async def put(
         self, member: messages.Member, message: messages.CopyPut
     ) -> messages.CopyAck | None:
-        """Sends records once; None when no acknowledgement came."""
+        """Sends records once; returns None without an acknowledgement."""
         ack = await self.ask(member, message)
         return ack if isinstance(ack, messages.CopyAck) else None
 
     async def put_all(
         self, members: list[messages.Member], message: messages.CopyPut
     ) -> bool:
-        """Sends records to every member; true when each one kept them."""
+        """Sends records to all members; returns whether all stored them."""
         if len(members) == 1:
             ack = await self.put(members[0], message)
             return ack is not None and ack.kept
@@ -48,7 +48,7 @@
     async def fetch(
         self, member: messages.Member, message: messages.CopyFetch
     ) -> messages.CopyList | None:
-        """Asks a member what it knows; None when it does not answer."""
+        """Fetches the records of a member, None if it does not reply."""
         copy_list = await self.ask(member, message)
         return copy_list if isinstance(copy_list, messages.CopyList) else None
 
@@ -57,7 +57,7 @@
         member: messages.Member,
         message: messages.CopyPut | messages.CopyFetch,
     ) -> messages.EnvelopeBody | None:
-        """Returns a member's answer; None when none came in time."""
+        """Returns a member's message, None if none came in time."""
         address = options.parse_address(member.peer_address)
         try:
             return await self.transport.ask(address, message, self.timeout)
@@ -70,12 +70,12 @@
     message: messages.CopyPut,
     now: float,
 ) -> messages.CopyAck:
-    """Keeps the records that another process sends.
+    """Stores the records that another process sends.
 
-    A `started` record under an older view than the newest one seen is
-    refused: its sender may have been replaced without noticing (frozen, or
-    cut off), and an acknowledgement would let it run a call that the new
-    owner runs too.  Settled records only add knowledge and are always kept.
+    A `started` record of a view older than the newest known one is refused.
+    Its sender may have been replaced without noticing (paused, or partitioned
+    from the network), and an acknowledgement would let it run a call that the
+    new owner runs too. Records in a final state are always stored.
     """
     has_started = any(
         entry.state is messages.OnceState.STARTED for entry in message.entries
@@ -87,8 +87,9 @@
     ownership.fence(message.view_version)
     for entry in message.entries:
         ownership.merge(entry, now)
-    # A floor stands for all that its owner did not know.  A holder without it
-    # would vouch for the slot, and the next owner would run older keys again.
+    # A floor replaces records that the owner did not have. Without it the
+    # holder would claim to know the history, and the next owner would run older
+    # keys a second time.
     for floor in message.floors:
         ownership.raise_floor(floor.slot, floor.minted_before_ms)
     for slot in message.complete_slots:
@@ -104,7 +105,7 @@
     message: messages.CopyFetch,
     now: float,
 ) -> messages.CopyList:
-    """Tells a new owner what this process knows, and is fenced by it."""
+    """Returns the records that a new owner fetches; fences this process."""
     ownership.fence(message.view_version)
     slots = [ids.Slot(slot) for slot in message.slots]
     ownership.fetched_versions.update(
@@ -126,7 +127,7 @@
 def wire_floors(
     ownership: slotownership.SlotOwnership, slots: list[ids.Slot]
 ) -> list[messages.SlotFloor]:
-    """Returns the floors of some slots, as they travel."""
+    """Returns the floors of some slots as messages."""
     return [
         messages.SlotFloor(slot=slot, minted_before_ms=ownership.floors[slot])
         for slot in slots
@@ -137,10 +138,10 @@
 async def sync_holders(
     ownership: slotownership.SlotOwnership, sender: CopySender, now: float
 ) -> bool:
-    """Gives each holder all that this owner knows of the slots it holds.
+    """Sends each holder all records of the owned slots that it holds.
 
     Returns:
-      Whether every holder now has everything.
+      Whether every holder stored all of them.
     """
     version = ownership.view.version
     slots_by_host: dict[str, list[ids.Slot]] = {}
@@ -161,10 +162,11 @@
 async def hand_over(
     ownership: slotownership.SlotOwnership, sender: CopySender, now: float
 ) -> None:
-    """Gives the new owners what they did not ask this process for.
+    """Sends new owners the records that they did not fetch.
 
-    A new owner that held the slot's copies never asks.  Its copy of the last
-    answers may still be on the way, so a leaving process sends them again.
+    A new owner that already holds the slot's copies never fetches. Its copies
+    of the last results may still be in flight, so a leaving process sends them
+    again.
     """
     version = ownership.view.version
     slots_by_host: dict[str, list[ids.Slot]] = {}
@@ -185,7 +187,7 @@
     slots: list[ids.Slot],
     now: float,
 ) -> bool:
-    """Sends all records of some slots; true when every part was kept."""
+    """Sends all records of some slots; returns whether all were stored."""
     entries = [
         records.to_entry(record, now)
         for slot in slots
@@ -212,7 +214,7 @@
     version: ids.ViewVersion,
     now: float,
 ) -> bool:
-    """Gives one holder all of some slots; true when it has all."""
+    """Sends a holder all records and floors; returns whether it has them."""
     if not await send_entries(ownership, sender, holder, slots, now):
         return False
     if ownership.view.version != version:
--- a/mangobay/execution.py
+++ b/mangobay/execution.py
@@ -1,4 +1,4 @@
-"""The serving side: runs calls at the backend server on this host."""
+"""Execution of calls at the backend server on this host."""
 
 import asyncio
 import collections.abc
@@ -24,33 +24,34 @@
 from mangobay.generated import messages
 
 MAX_OVERRUN_SECONDS = 30.0
-"""How long a started non-idempotent call may run past its deadline.
+"""How long a started non-idempotent call may run past its deadline, in seconds.
 
-Cut at the deadline its fate would stay unknown for ever; finished, the answer
-waits for the caller's repeat with the same key.
+If it were aborted at the deadline, its outcome would stay unknown. Once it
+completes, its response is kept for a repeat with the same key.
 """
 FIRST_SERVER_ERROR_STATUS = 500
 
 Outcome = messages.Outcome
 Reason = messages.Reason
 PENDING_REPLY = calls.unknown_reply(Reason.CANCELLED)
-"""What is known of a call until its reply comes; never handed out."""
+"""Stands for the reply of a call in progress; never returned."""
 Execute = collections.abc.Callable[
     [backend.BeforeSend | None], collections.abc.Awaitable[messages.Reply]
 ]
+"""Admits a call and runs it; awaits the argument before the first byte."""
 
 
 class AtMostOnce(typing.Protocol):
-    """What is needed of `once.Once`."""
+    """Interface of `once.AtMostOnce` that execution needs."""
 
     async def run(
         self, call: messages.Call, execute: Execute
     ) -> messages.Reply:
-        """Runs a keyed call unless it ran or may have run before."""
+        """Runs a call with a key unless it ran or may have run before."""
 
 
 class BackendClient(typing.Protocol):
-    """What is needed of the connections to a backend server."""
+    """Interface of the HTTP client for the backend server."""
 
     async def send(
         self,
@@ -58,20 +59,25 @@
         request: backend.Request,
         attempt: backend.Attempt,
     ) -> backend.Response:
-        """Returns the whole answer to one request."""
+        """Sends a request; returns the complete response."""
 
 
 class CallExecutor:
-    """Takes calls from nodes and from the entry side of this one.
+    """Runs the calls that this node and other nodes dispatch to this host.
 
     Attributes:
-      leaving: new calls are refused.
-      shutdown: when whatever still runs is cut; calls that may last longer
-        are refused.
-      parents: calls that run at the backend server, by id.
+      process: this node's process.
+      local_services: services of the backend server on this host.
+      backend_client: sends requests to the backend server.
+      once: runs calls with a key.
+      leaving: whether new calls are refused.
+      shutdown: when running calls are aborted; calls with a later deadline are
+        refused.
+      parents: calls that run at the backend server, by id. They may make child
+        calls.
       unkeyed_tasks: tasks of non-idempotent calls without a key.
-      open_calls: calls that have not been replied to.
-      remote_traffic: what the calls of runs here carry to other data centres.
+      open_calls: number of calls without a reply yet.
+      remote_traffic: bytes that child calls transfer to other data centres.
     """
 
     def __init__(
@@ -94,14 +100,15 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no call is in flight."""
+        """Whether no call is in progress."""
         return not (self.open_calls or self.unkeyed_tasks or self.parents)
 
     async def serve(self, call: messages.Call) -> messages.Reply:
-        """Returns the reply to a call; cancelling ends only what may end.
+        """Runs a call; returns its reply.
 
-        An idempotent call is given up, down to the backend server. Another
-        one is given up only before its first byte; afterwards it goes on.
+        Cancelling aborts an idempotent call, including its request to the
+        backend server. Any other call is aborted only before its first byte is
+        sent; after that it continues.
         """
         local_service = self.local_services.find(call.service)
         if self.leaving:
@@ -142,7 +149,7 @@
         local_service: localservices.LocalService | None,
         reply: messages.Reply,
     ) -> messages.Reply:
-        """Returns a refusal that hands every extra try back."""
+        """Returns a refusal that gives back the whole retry allowance."""
         return self.add_host_state(call, reply, local_service, call.tries)
 
     def add_host_state(
@@ -152,10 +159,10 @@
         local_service: localservices.LocalService | None,
         tries_left: int,
     ) -> messages.Reply:
-        """Returns the reply with what this host says of itself.
+        """Adds this host's load and admission state to a reply.
 
-        The reply is changed in place: one that is stored for the repeats of
-        its key has to be a copy.
+        The reply is modified in place, so a reply that is stored for repeats of
+        its key has to be copied first.
         """
         reply.tries_left = tries_left
         reply.host = self.process.host
@@ -175,9 +182,10 @@
     async def serve_non_idempotent(
         self, call: messages.Call, execute: Execute, deadline: float
     ) -> messages.Reply:
-        """Waits for a non-idempotent call up to its deadline.
+        """Runs a non-idempotent call and waits until its deadline.
 
-        The call itself is finished and recorded even when nobody waits.
+        A started call completes, and its result is recorded, even if nobody
+        waits for it.
         """
         if not call.key:
             return await self.serve_unkeyed(execute, deadline)
@@ -195,7 +203,7 @@
         return await self.reply_at_deadline(task)
 
     async def reply_at_deadline(self, task: asyncio.Task) -> messages.Reply:
-        """Returns the reply at the deadline; it may just have come."""
+        """Returns the reply of a task that was cancelled at its deadline."""
         try:
             return dataclasses.replace(await task)
         except asyncio.CancelledError:
@@ -204,7 +212,7 @@
     async def serve_unkeyed(
         self, execute: Execute, deadline: float
     ) -> messages.Reply:
-        """Waits for a call that has no key; given up only before it started."""
+        """Runs a call without a key; cancels it only if it has not started."""
         started = asyncio.Event()
 
         async def mark_started() -> None:
@@ -224,8 +232,8 @@
             return task.result()
         if started.is_set():
             return calls.unknown_reply(Reason.DEADLINE_EXCEEDED)
-        # A cancelled task does not reach its gate any more, so that what is
-        # said here stays true.
+        # A cancelled task does not reach `mark_started` any more, so the call
+        # can't start after this reply.
         task.cancel()
         return calls.not_run_reply(Reason.DEADLINE_EXCEEDED)
 
@@ -240,7 +248,7 @@
         """Admits a call and runs it at the backend server.
 
         Raises:
-          Exception: whatever the gate raises; no byte was sent.
+          Exception: whatever `before_send` raises; no byte was sent.
         """
         request = admissionrequest.AdmissionRequest(
             importance=call.importance,
@@ -297,7 +305,7 @@
         attempt: backend.Attempt,
         deadline: float,
     ) -> messages.Reply:
-        """Returns the reply that is true of what happened to the request."""
+        """Sends the request; returns a reply that states whether it ran."""
         overrun = 0.0 if call.idempotent else MAX_OVERRUN_SECONDS
         request = backend.Request(
             method=call.method,
@@ -315,7 +323,7 @@
         except errors.BackendError as error:
             return reply_for_error(error, attempt)
         except errors.InvariantError as error:
-            logs.say(logs.Part.CALL, "stopped", why=str(error))
+            logs.say(logs.Part.CALL, "invariant check failed", why=str(error))
             return calls.unknown_reply(Reason.INTERNAL)
         return self.reply_of(response, running_call)
 
@@ -324,12 +332,12 @@
         response: backend.Response,
         running_call: retryallowance.RunningCall,
     ) -> messages.Reply:
-        """Returns the reply that says what a backend server answered."""
+        """Returns the reply for a response of the backend server."""
         if response.shed and not running_call.child_attempts:
             return calls.not_run_reply(Reason.BACKEND_SHED)
-        # A backend server may pass the refusal of a deeper service on as its
-        # own. After child calls some of its work was done, so its word that
-        # nothing ran does not count, and the answer is its answer.
+        # A backend server may return the refusal of a service that it called.
+        # After child calls part of its work was done, so its claim that nothing
+        # ran is ignored, and the response counts as its own.
         return messages.Reply(
             outcome=Outcome.ANSWERED,
             status=response.status,
@@ -341,7 +349,7 @@
     def headers(
         self, call: messages.Call, local_service: localservices.LocalService
     ) -> list[messages.Header]:
-        """Returns the fields for the backend server."""
+        """Returns the headers of the request to the backend server."""
         del local_service
         other_tracestate = httpheaders.find(
             call.headers, httpheaders.TRACESTATE
@@ -365,7 +373,7 @@
     def parent_of(
         self, tracestate: str, traceparent: str
     ) -> calls.Parent | None:
-        """Returns the running call that a backend server's call belongs to."""
+        """Returns the running call that made a child call, None if unknown."""
         call_id, _ = httpheaders.split_tracestate(tracestate)
         if call_id in self.parents:
             return self.parents[call_id]
@@ -378,10 +386,11 @@
 
 
 def is_success(reply: messages.Reply) -> bool:
-    """Returns whether the backend server did its work.
+    """Returns whether the backend server completed the call successfully.
 
-    One whose child call was refused answers with an error early: its time is
-    no service time, and its answer no sign that the services below admit.
+    A backend server whose child call is refused responds early with an error.
+    The duration of such a call is no service time, and its response does not
+    mean that the services it calls admit calls.
     """
     is_answered = reply.outcome == Outcome.ANSWERED
     return is_answered and reply.status < FIRST_SERVER_ERROR_STATUS
@@ -390,7 +399,7 @@
 def reply_for_error(
     error: errors.BackendError, attempt: backend.Attempt
 ) -> messages.Reply:
-    """Returns the reply for a request that got no whole answer."""
+    """Returns the reply for a request without a complete response."""
     match error:
         case errors.BackendTimeoutError():
             reason = Reason.DEADLINE_EXCEEDED
--- a/mangobay/inbound.py
+++ b/mangobay/inbound.py
@@ -1,4 +1,4 @@
-"""What a caller's HTTP request says of the call it asks for."""
+"""Properties of a call, parsed from the caller's HTTP request."""
 
 import asyncio
 import hashlib
@@ -11,16 +11,19 @@
 Reason = messages.Reason
 
 FINGERPRINT_BYTES = 8
+"""Size of the hash of a client's credentials."""
 
 
 def split_path(raw_path: str) -> tuple[ids.ServiceName, str]:
-    """Returns the service and the target in /SERVICE/rest?query.
+    """Splits /SERVICE/rest?query into the service and the target.
 
     Raises:
-      calls.RequestError: the request names a whole URL.
+      calls.RequestError: the target is not a path, such as an absolute URL.
     """
     if not raw_path.startswith("/"):
-        raise calls.RequestError(Reason.MALFORMED, "not a path")
+        raise calls.RequestError(
+            Reason.MALFORMED, "request target is not a path"
+        )
     path, separator, query = raw_path.partition("?")
     service, _, rest = path[1:].partition("/")
     return ids.ServiceName(service), f"/{rest}{separator}{query}"
@@ -29,10 +32,10 @@
 def deadline_of(
     operation: messages.Operation, headers: httpheaders.HeaderMap
 ) -> float:
-    """Returns the loop time by which the caller must have its answer.
+    """Returns the loop time by which the caller needs its response.
 
     Raises:
-      calls.RequestError: Request-Timeout is malformed.
+      calls.RequestError: the Request-Timeout header is malformed.
     """
     seconds = operation.deadline_ms / 1000 or calls.DEFAULT_DEADLINE
     value = headers.get(httpheaders.REQUEST_TIMEOUT)
@@ -45,10 +48,10 @@
 
 
 def key_of(headers: httpheaders.HeaderMap) -> ids.IdempotencyKey:
-    """Returns the idempotency key, empty where there is none.
+    """Returns the idempotency key, empty if there is none.
 
     Raises:
-      calls.RequestError: it is malformed.
+      calls.RequestError: the Idempotency-Key header is malformed.
     """
     value = headers.get(httpheaders.IDEMPOTENCY_KEY)
     if value is None:
@@ -60,7 +63,7 @@
 
 
 def headers_of(headers: httpheaders.HeaderMap) -> list[messages.Header]:
-    """Returns the fields passed on, with the tracestate of others."""
+    """Returns the forwarded headers, with tracestate of other vendors."""
     forwarded = httpheaders.end_to_end_headers(headers)
     if httpheaders.TRACESTATE in headers:
         _, other_tracestate = httpheaders.split_tracestate(
@@ -76,10 +79,10 @@
 
 
 def client_of(request: web.BaseRequest) -> ids.ClientId:
-    """Returns who calls: the address and a fingerprint of its credentials.
+    """Returns the client: its address and a fingerprint of its credentials.
 
-    Callers behind one address are told apart by what they sign in with; the
-    credentials themselves are never kept nor passed on in this place.
+    The fingerprint distinguishes clients that share an address. The id never
+    contains the credentials themselves.
     """
     client = request.remote or ""
     credentials = request.headers.get("Authorization")
--- a/mangobay/inflight.py
+++ b/mangobay/inflight.py
@@ -1,4 +1,4 @@
-"""Calls that have no reply yet, and how they end when their node does."""
+"""Calls without a reply yet, and their end when the node stops."""
 
 import asyncio
 import collections.abc
@@ -8,16 +8,16 @@
 from mangobay.generated import messages
 
 REFUSAL_DELIVERY_SECONDS = 0.02
-"""For refusals on this host to reach their calls."""
+"""Time for refusals on this host to reach their calls."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class InFlightCall:
-    """One call.
+    """A call without a reply yet.
 
     Attributes:
-      task: waits for its reply.
-      entered_at: loop time.
+      task: task that waits for the reply.
+      entered_at: loop time at which the call entered this node.
     """
 
     task: asyncio.Task
@@ -25,11 +25,11 @@
 
 
 class InFlightCalls:
-    """The calls of one node.
+    """The calls that entered at one node.
 
     Attributes:
-      open: those that have no reply yet.
-      given_up: they were given up, since the node ends.
+      open: calls without a reply yet.
+      given_up: whether the node stops and gives up its calls.
     """
 
     def __init__(self):
@@ -39,7 +39,7 @@
     async def track(
         self, reply: collections.abc.Coroutine[None, None, messages.Reply]
     ) -> messages.Reply:
-        """Returns the reply to a call, `unknown` if it is given up."""
+        """Awaits and returns a reply; `unknown` if the call is given up."""
         call = InFlightCall(
             asyncio.current_task(), asyncio.get_running_loop().time()
         )
@@ -56,7 +56,7 @@
             self.open.discard(call)
 
     async def pause(self, seconds: float) -> bool:
-        """Waits between two attempts; returns False if the node ends."""
+        """Waits between two attempts; returns False if the node stops."""
         try:
             await asyncio.sleep(seconds)
         except asyncio.CancelledError:
@@ -66,20 +66,20 @@
         return not self.given_up
 
     async def give_up(self) -> None:
-        """Ends every call; their callers are told `unknown`.
+        """Ends every open call with the reply `unknown`.
 
-        Calls that were refused, and would go on to another host, are told so:
-        they have not run.
+        Calls that were just refused here, and would be retried at another host,
+        first get time to end with that refusal: they have not run.
         """
         self.given_up = True
         await asyncio.sleep(REFUSAL_DELIVERY_SECONDS)
         loop = asyncio.get_running_loop()
         for call in self.open:
-            # Behind the tasks to which a reply has come in this turn.
+            # Runs after the tasks whose replies came in this loop iteration.
             loop.call_soon(self.cancel, call)
         await asyncio.sleep(0)
 
     def cancel(self, call: InFlightCall) -> None:
-        """Cancels a call unless its reply has come."""
+        """Cancels a call that is still open."""
         if call in self.open:
             call.task.cancel()
--- a/mangobay/keys.py
+++ b/mangobay/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: what their age says."""
+"""Creation times of idempotency keys."""
 
 import dataclasses
 import uuid
@@ -6,29 +6,35 @@
 from mangobay import ids
 
 TIMESTAMP_SHIFT_BITS = 80
+"""Bits of a UUIDv7 below its 48-bit Unix timestamp in milliseconds."""
 UUID7_VERSION = 7
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CreationTime:
-    """When a key was minted, as far as its text tells.
+    """When a key was created, if its text contains a usable timestamp.
 
     Attributes:
-      created_ms: Unix time in milliseconds; 0 for a foreign key.
+      created_ms: Unix time in milliseconds; 0 for an undated key.
     """
 
     created_ms: int = 0
 
     @property
     def undated(self) -> bool:
-        """Whether the key tells no time that could be trusted."""
+        """Whether the key contains no timestamp that can be trusted."""
         return self.created_ms == 0
 
     def may_predate(self, floor_ms: int, window_ms: int, now_ms: int) -> bool:
-        """Whether the key may be older than the floor.
+        """Whether the key may have been created before the floor.
 
-        A foreign key may be of any age, so it counts as older until every
-        record of the time before the floor would have left the window.
+        An undated key may have any age. It counts as older until every record
+        from before the floor would have expired.
+
+        Args:
+          floor_ms: Unix time, milliseconds.
+          window_ms: how long records are kept, milliseconds.
+          now_ms: Unix time, milliseconds.
         """
         if self.undated:
             return now_ms < floor_ms + window_ms
@@ -38,11 +44,11 @@
 def creation_time(
     key: ids.IdempotencyKey, now_ms: int, skew_ms: int
 ) -> CreationTime:
-    """Reads a key's age.
+    """Returns the creation time of a key.
 
-    A UUIDv7 from further in the future than the clock skew counts as foreign:
-    its record would leave the window before the key itself grew old, and a
-    resend would then run a second time.
+    Only a UUIDv7 has one. A UUIDv7 that is further in the future than the
+    clock skew counts as undated: its record would expire before the key is
+    considered too old, and a repeat would then run a second time.
 
     Args:
       key: the key as the caller sent it.
--- a/mangobay/keyslots.py
+++ b/mangobay/keyslots.py
@@ -1,7 +1,9 @@
-"""Which node owns an idempotency key, and which nodes hold its copies.
+"""Assignment of idempotency keys to slots, and of slots to nodes.
 
-Rendezvous hashing: when a host joins or leaves, only the slots that it wins
-or loses change their owner.
+Each slot has one owner, which runs the calls, and some holders, which keep
+copies of their records. Owners and holders are chosen by rendezvous hashing:
+when a host joins or leaves, only the slots that it gains or loses change their
+owner.
 """
 
 import enum
@@ -13,29 +15,30 @@
 from mangobay.generated import messages
 
 SLOT_COUNT = 256
+"""Number of slots of each service."""
 
 
 class CopyPlace(enum.Enum):
-    """Where a copy goes when there is a choice."""
+    """Preferred data centre of a copy, relative to the owner."""
 
     OTHER_DATA_CENTRE = "other_data_centre"
     SAME_DATA_CENTRE = "same_data_centre"
 
 
 def slot_of(key: ids.IdempotencyKey) -> ids.Slot:
-    """Returns the slot of a key, the same on every node."""
+    """Returns the slot of a key; every node computes the same one."""
     return ids.Slot(xxhash.xxh3_64_intdigest(key.encode()) % SLOT_COUNT)
 
 
 def rendezvous_score(member: messages.Member, slot: ids.Slot) -> int:
-    """Returns what the hashing ranks a member by."""
+    """Returns the rendezvous hash of a member; the highest owns the slot."""
     return xxhash.xxh3_64_intdigest(f"{slot}/{member.host}".encode())
 
 
 def rank_members(
     members: list[messages.Member], slot: ids.Slot
 ) -> list[messages.Member]:
-    """Returns the members that may own the slot, the owner first."""
+    """Returns the members that are not leaving, the slot's owner first."""
     eligible = [member for member in members if not member.leaving]
     return sorted(
         eligible,
@@ -45,12 +48,13 @@
 
 
 class Placement:
-    """Owners and holders of every slot under one list of members.
+    """Owners and holders of every slot for one list of members.
 
     Attributes:
-      members: the members it was made from.
-      copies: holders wanted for each slot.
-      copy_place: which data centre a holder should stand in.
+      members: the members of the service.
+      copies: number of holders wanted for each slot.
+      copy_place: preferred data centre of the holders.
+      ranking: cached `compute_ranking`.
     """
 
     def __init__(
@@ -62,16 +66,16 @@
         self.ranking = functools.cache(self.compute_ranking)
 
     def compute_ranking(self, slot: ids.Slot) -> list[messages.Member]:
-        """Returns the members that may own the slot, the owner first."""
+        """Returns the members that are not leaving, the slot's owner first."""
         return rank_members(self.members, slot)
 
     def owner(self, slot: ids.Slot) -> messages.Member | None:
-        """Returns the slot's owner, None when no member may own it."""
+        """Returns the slot's owner, None if every member is leaving."""
         ranking = self.ranking(slot)
         return ranking[0] if ranking else None
 
     def holders(self, slot: ids.Slot) -> list[messages.Member]:
-        """Returns the members that hold copies of the slot."""
+        """Returns the members that hold copies of the slot's records."""
         ranking = self.ranking(slot)
         if not ranking:
             return []
@@ -87,7 +91,7 @@
 
 
 def owner(view: messages.ServiceView, slot: ids.Slot) -> messages.Member | None:
-    """Returns who owns the slot under the view, None when nobody may."""
+    """Returns the slot's owner, None if every member is leaving."""
     eligible = (member for member in view.members if not member.leaving)
     return max(
         eligible,
--- a/mangobay/once.py
+++ b/mangobay/once.py
@@ -1,4 +1,7 @@
-"""At most once: the owner of a key's slot runs a keyed call, or nobody."""
+"""At-most-once execution of calls with an idempotency key.
+
+Only the owner of a key's slot runs the call. Repeats get the reply of that run.
+"""
 
 import asyncio
 import collections.abc
@@ -25,21 +28,24 @@
 Execute = collections.abc.Callable[
     [startcheck.BeforeSend], collections.abc.Awaitable[messages.Reply]
 ]
+"""Admits a call and runs it; awaits the argument before the first byte."""
 
 EXPIRE_INTERVAL_SECONDS = 5.0
-"""Seconds between two looks for records that left the window."""
+"""Seconds between two removals of expired records."""
 
 
 class AtMostOnce:
-    """Every keyed call that this node runs, owns or holds a copy of.
+    """Runs calls with a key at most once, and keeps copies for other nodes.
 
     Attributes:
       options: section [once] of the settings.
-      this_process: this process.
-      lease: without it nothing new is started.
-      unix_ms: Unix time in milliseconds.
-      budget: memory for the records of every service.
-      ownerships: per service, what this node may vouch for.
+      this_process: this node's process.
+      lease: lease of this node; without it no call starts.
+      unix_ms: returns Unix time in milliseconds.
+      sender: exchanges records with other members.
+      ownerships: slots of each service at this node.
+      budget: memory for the records of all services.
+      tasks: running background tasks.
     """
 
     def __init__(
@@ -62,7 +68,7 @@
         self.tasks: set[asyncio.Task] = set()
 
     def spawn(self, coroutine: collections.abc.Coroutine) -> asyncio.Task:
-        """Starts a task and keeps it from being collected while it runs."""
+        """Starts a task and keeps a reference to it while it runs."""
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -71,7 +77,7 @@
     def ownership_of(
         self, service: ids.ServiceName
     ) -> slotownership.SlotOwnership:
-        """Returns the tenure of a service, made when first needed."""
+        """Returns the slots of a service, created at the first use."""
         if service not in self.ownerships:
             self.ownerships[service] = self.create_ownership(service)
         return self.ownerships[service]
@@ -79,9 +85,9 @@
     def create_ownership(
         self, service: ids.ServiceName
     ) -> slotownership.SlotOwnership:
-        """Makes the tenure of a service and starts its takeovers."""
-        # A record outlives its key by twice the clock skew, so that no key
-        # still counts as young after its record was dropped.
+        """Creates the slots of a service and starts their takeover task."""
+        # A record is kept for twice the clock skew longer than its key is
+        # accepted, so that no key is accepted after its record has expired.
         window = self.options.window + 2 * self.options.clock_skew
         ownership = slotownership.SlotOwnership(
             service,
@@ -104,7 +110,7 @@
     def update_views(
         self, views: dict[ids.ServiceName, messages.ServiceView]
     ) -> None:
-        """Acts by the newest views of the services this node is a member of."""
+        """Adopts newer views of known services and of those it joined."""
         for service, view in views.items():
             known = service in self.ownerships
             if not known and not self.is_member(view):
@@ -121,7 +127,7 @@
         )
 
     async def run_expiry(self) -> None:
-        """Drops old records for ever, until cancelled."""
+        """Removes expired records periodically until cancelled."""
         while True:
             await asyncio.sleep(EXPIRE_INTERVAL_SECONDS)
             now = asyncio.get_running_loop().time()
@@ -131,7 +137,7 @@
     async def handle(
         self, message: messages.CopyPut | messages.CopyFetch
     ) -> messages.CopyAck | messages.CopyList:
-        """Answers another member of a service."""
+        """Handles a message of another member of a service."""
         ownership = self.ownership_of(message.service)
         now = asyncio.get_running_loop().time()
         match message:
@@ -145,7 +151,7 @@
     def forward_results(
         self, ownership: slotownership.SlotOwnership, message: messages.CopyPut
     ) -> None:
-        """Sends the end of a run that began under a former owner onward."""
+        """Sends the results of runs at former owners to the holders."""
         for entry in message.entries:
             is_final = entry.state is not messages.OnceState.STARTED
             if is_final and ownership.owns(entry.slot):
@@ -157,15 +163,15 @@
     async def run(
         self, call: messages.Call, execute: Execute
     ) -> messages.Reply:
-        """Runs a keyed call unless it ran, runs, or may have run before.
+        """Runs a call with a key unless it ran, runs, or may have run before.
 
         Args:
-          call: a call with a key.
-          execute: admits and runs it; awaits the gate it is given after the
-            admission and before the first byte goes to a backend server.
+          call: call with a key.
+          execute: admits the call and runs it; awaits its argument after the
+            admission and before the first byte is sent to a backend server.
 
         Returns:
-          The reply, the same whole one for every repeat.
+          The reply; each repeat gets the same one.
         """
         ownership = self.ownership_of(call.service)
         slot = keyslots.slot_of(call.key)
@@ -186,7 +192,7 @@
         return await self.wait_for_run(task, record)
 
     def deadline_of(self, call: messages.Call) -> float:
-        """Returns the loop time at which the caller gives up."""
+        """Returns the loop time at which the caller stops waiting."""
         return asyncio.get_running_loop().time() + call.deadline_ms / 1000
 
     async def wait_until_ready(
@@ -195,7 +201,7 @@
         slot: ids.Slot,
         deadline: float,
     ) -> messages.Reply | None:
-        """Waits a moment for a takeover; says why this node can't run it."""
+        """Waits briefly for a takeover; returns a refusal if not ready."""
         wait_until = min(
             deadline,
             asyncio.get_running_loop().time() + self.options.copy_timeout,
@@ -219,7 +225,7 @@
         slot: ids.Slot,
         key: ids.IdempotencyKey,
     ) -> messages.Reply | None:
-        """Answers keys that may have run before this node can remember."""
+        """Returns `unknown` for a key that may have run without a record."""
         now_ms = self.unix_ms()
         window_ms = int(self.options.window * 1000)
         created = keys.creation_time(key, now_ms, self.skew_ms)
@@ -236,7 +242,7 @@
         slot: ids.Slot,
         call: messages.Call,
     ) -> records.Record:
-        """Makes the record of a key that nothing is known of."""
+        """Adds and returns the record of a new key."""
         record = records.Record(
             key=call.key,
             service=call.service,
@@ -252,10 +258,10 @@
     async def wait_for_run(
         self, task: asyncio.Task, record: records.Record
     ) -> messages.Reply:
-        """Waits for the run; a caller that hangs up ends only a claim.
+        """Waits for the run; cancelling cancels only a call not yet started.
 
-        Cancelling a run that has started would leave its fate unknown for
-        nothing: it goes on, and its answer waits for the caller's repeat.
+        A started run continues when its caller is cancelled, and its response
+        is kept for a repeat. Cancelling it would make its outcome unknown.
         """
         try:
             return await asyncio.shield(task)
@@ -267,7 +273,7 @@
     async def reply_to_repeat(
         self, record: records.Record, call: messages.Call, deadline: float
     ) -> messages.Reply:
-        """Returns the reply of the run that the key had."""
+        """Waits for the reply of the first run of the key."""
         if record.digest != records.digest_of(call):
             return calls.not_run_reply(messages.Reason.KEY_REUSED)
         try:
@@ -283,7 +289,7 @@
         record: records.Record,
         execute: Execute,
     ) -> messages.Reply:
-        """Runs the call and settles its record."""
+        """Runs the call and resolves its record."""
         start_check = startcheck.StartCheck(
             lease=self.lease,
             sender=self.sender,
@@ -301,7 +307,7 @@
         return reply
 
     def reply_after_error(self, record: records.Record) -> messages.Reply:
-        """Returns the reply of a run that ended with an error."""
+        """Returns the reply for a run that ended with an exception."""
         if record.state is records.State.CLAIMED:
             return calls.not_run_reply(messages.Reason.CANCELLED)
         return calls.unknown_reply(messages.Reason.INTERNAL)
@@ -312,11 +318,11 @@
         record: records.Record,
         reply: messages.Reply,
     ) -> None:
-        """Settles a record that was claimed here, by its reply.
+        """Resolves a record that was claimed here, or removes it if not run.
 
-        While the claim waited, a newer owner may have started the key and
-        told this node as its holder.  Then the record is that owner's:
-        forgotten here, the key would run again once that owner is lost.
+        While the claim waited for admission, a new owner may have started the
+        call and sent this node, as a holder, its record. That record is kept:
+        without it the key would run again once the new owner is lost.
         """
         is_claimed = record.state is records.State.CLAIMED
         is_started = record.state is records.State.STARTED
@@ -335,13 +341,13 @@
         self.spawn(completion.publish_result(ownership, self.sender, record))
 
     async def finish_handover(self) -> None:
-        """Returns when no record here is needed by a newer owner any more."""
+        """Hands records over until no new owner needs this node any more."""
         await completion.finish_handover(
             self.this_process, self.ownerships, self.sender
         )
 
     async def close(self) -> None:
-        """Ends every task of this part."""
+        """Cancels all background tasks."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
--- a/mangobay/records.py
+++ b/mangobay/records.py
@@ -1,4 +1,4 @@
-"""What a node remembers of each idempotency key."""
+"""Records of calls with an idempotency key."""
 
 import asyncio
 import collections
@@ -13,13 +13,16 @@
 
 
 class State(enum.Enum):
-    """How far a keyed call has come."""
+    """State of a call with a key."""
 
     CLAIMED = "claimed"
-    """Being admitted here; not a byte has gone to a backend server."""
+    """Waits for admission here; nothing was sent to a backend server."""
     STARTED = "started"
+    """May run; its result is not known yet."""
     ANSWERED = "answered"
+    """Ran; the record has the response."""
     UNKNOWN = "unknown"
+    """May have run; no response will come."""
 
 
 FINAL_STATES = frozenset({State.ANSWERED, State.UNKNOWN})
@@ -29,6 +32,7 @@
     State.ANSWERED: messages.OnceState.ANSWERED,
     State.UNKNOWN: messages.OnceState.UNKNOWN,
 }
+"""States that other nodes are told; claims are local."""
 LOCAL_STATES = {wire: local for local, wire in WIRE_STATES.items()}
 STATE_RANKS = {
     State.CLAIMED: 0,
@@ -36,26 +40,26 @@
     State.UNKNOWN: 2,
     State.ANSWERED: 3,
 }
-
+"""When records are merged, a state only replaces one of a lower rank."""
 
 RECORD_OVERHEAD_BYTES = 1600
-"""Memory of a record besides its answer; `make slopes` tells it."""
+"""Memory of a record without its response."""
 HEADER_OVERHEAD_BYTES = 200
-"""Memory of a header besides its characters."""
+"""Memory of a header without the characters of its name and value."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Record:
-    """One key.
+    """The call of one key.
 
     Attributes:
-      digest: fingerprint of the request, to tell a reused key.
+      digest: hash of the request, to detect a key reused for another request.
       created_at: loop time of the first arrival, seconds.
-      runner: the host that runs or ran it.
-      runner_incarnation: the run of that host's process.
-      reply: what every repeat is answered; set once settled or refused.
-      resolved: set when `reply` is.
-      counted_bytes: bytes that the budget counts for it; 0 while not remembered.
+      runner: host that runs or ran the call.
+      runner_incarnation: incarnation of that host's process.
+      reply: reply to every repeat; set when the call has ended or was refused.
+      resolved: set together with `reply`.
+      counted_bytes: bytes counted in the budget; 0 while not registered.
     """
 
     key: ids.IdempotencyKey
@@ -71,14 +75,14 @@
     counted_bytes: int = 0
 
     def resolve(self, state: State, reply: messages.Reply) -> None:
-        """Gives the record its reply and wakes the repeats that wait."""
+        """Sets the final state and the reply, and wakes waiting repeats."""
         self.state = state
         self.reply = reply
         self.resolved.set()
 
 
 def digest_of(call: messages.Call) -> bytes:
-    """Returns the fingerprint of a request, the same on every node."""
+    """Returns the hash of a request; every node computes the same one."""
     digest = xxhash.xxh3_128()
     for part in (call.method.encode(), call.target.encode(), call.body):
         digest.update(len(part).to_bytes(8, "little"))
@@ -87,7 +91,7 @@
 
 
 def to_entry(record: Record, now: float) -> messages.OnceEntry:
-    """Returns what travels of a record; `now` is loop time, seconds."""
+    """Returns a record as a message; `now` is loop time, seconds."""
     reply = record.reply or messages.Reply()
     return messages.OnceEntry(
         key=record.key,
@@ -105,12 +109,12 @@
 
 
 def started_entry(record: Record, now: float) -> messages.OnceEntry:
-    """Returns what holders are told before a claimed record starts."""
+    """Returns the message by which holders learn that a claim will start."""
     return to_entry(dataclasses.replace(record, state=State.STARTED), now)
 
 
 def entry_reply(entry: messages.OnceEntry) -> messages.Reply:
-    """Returns the reply that a settled entry holds."""
+    """Returns the reply of an entry in a final state."""
     if entry.state is messages.OnceState.UNKNOWN:
         return calls.unknown_reply(messages.Reason.OWNER_CHANGED)
     return messages.Reply(
@@ -123,7 +127,7 @@
 
 
 def estimate_bytes(record: Record) -> int:
-    """Returns about how many bytes a record keeps."""
+    """Returns the approximate memory of a record."""
     if record.reply is None:
         return RECORD_OVERHEAD_BYTES
     header_bytes = sum(
@@ -137,13 +141,13 @@
 class MemoryBudget:
     """Memory for the records of all services at one node.
 
-    A node that ran out of memory would be ended by its host and forget every
-    key. Refusing new keys before that keeps the promise for the old ones;
-    the answers still to come of the calls that run go on top.
+    A node that runs out of memory is killed by its host and loses every
+    record. New keys are refused before that, so that calls of known keys still
+    run at most once. Responses of calls in progress may exceed the limit.
 
     Attributes:
-      limit_bytes: bytes; from there on no new key is taken.
-      used_bytes: bytes.
+      limit_bytes: new keys that would exceed it are refused.
+      used_bytes: estimated memory of all records.
     """
 
     limit_bytes: int
@@ -154,9 +158,11 @@
     """The records of one service at one node, bounded in number and age.
 
     Attributes:
-      window: seconds that a record is kept after it was made.
-      max_records: most records.
-      budget: the memory, shared with the node's other services.
+      window: seconds for which a record is kept after its creation.
+      max_records: records at which new keys are refused.
+      budget: memory budget, shared by all services of the node.
+      by_key: records in the order in which they were added.
+      by_slot: the same records by slot.
     """
 
     def __init__(self, window: float, max_records: int, budget: MemoryBudget):
@@ -173,7 +179,7 @@
 
     @property
     def full(self) -> bool:
-        """Whether a new key has no room."""
+        """Whether a new key has to be refused."""
         if len(self.by_key) >= self.max_records:
             return True
         return (
@@ -182,17 +188,17 @@
         )
 
     def get(self, key: ids.IdempotencyKey) -> Record | None:
-        """Returns the record of a key."""
+        """Returns the record of a key, None if there is none."""
         return self.by_key.get(key)
 
     def add(self, record: Record) -> None:
-        """Remembers a record."""
+        """Adds a record and counts its memory."""
         self.by_key[record.key] = record
         self.by_slot[record.slot][record.key] = record
         self.update_size(record)
 
     def update_size(self, record: Record) -> None:
-        """Counts what a record keeps, after it got its answer."""
+        """Updates the memory counted for a record that got its response."""
         if self.by_key.get(record.key) is not record:
             return
         size = estimate_bytes(record)
@@ -200,20 +206,20 @@
         record.counted_bytes = size
 
     def remove(self, record: Record) -> None:
-        """Drops a record: its key was not run, or left the window."""
+        """Removes a record that did not run or has expired."""
         self.by_key.pop(record.key, None)
         self.by_slot[record.slot].pop(record.key, None)
         self.budget.used_bytes -= record.counted_bytes
         record.counted_bytes = 0
 
     def remove_as_not_run(self, record: Record) -> None:
-        """Drops a call that its runner did not start; tells who waits."""
+        """Removes a call that did not start; waiting repeats get `not_run`."""
         self.remove(record)
         record.reply = calls.not_run_reply(messages.Reason.OWNER_CHANGED)
         record.resolved.set()
 
     def expire(self, now: float) -> None:
-        """Drops the records that left the window, oldest first."""
+        """Removes expired records, oldest first; `now` is loop time."""
         while self.by_key:
             oldest = next(iter(self.by_key.values()))
             if oldest.created_at + self.window > now:
@@ -223,18 +229,17 @@
     def copyable_records(
         self, slot: ids.Slot
     ) -> collections.abc.Iterator[Record]:
-        """Yields what other nodes may learn of a slot."""
+        """Yields the records of a slot that other nodes may get a copy of."""
         for record in self.by_slot[slot].values():
             if record.state is not State.CLAIMED:
                 yield record
 
     def merge(self, entry: messages.OnceEntry, now: float) -> Record:
-        """Takes in what another node knows; knowledge only ever grows.
+        """Merges what another node knows of a key; returns the record.
 
-        A late `started` must not undo an answer: its symptom would be a
-        repeat that waits for a run long finished.  States are ranked and
-        only a higher one replaces a lower, so the order of arrival is
-        indifferent.
+        A delayed `started` must not replace a response, or a repeat would wait
+        for a run that has ended. Only a state of a higher rank replaces
+        another, so the order of arrival does not matter.
         """
         state = LOCAL_STATES[entry.state]
         record = self.by_key.get(entry.key)
--- a/mangobay/slotownership.py
+++ b/mangobay/slotownership.py
@@ -1,7 +1,7 @@
-"""What a node may vouch for in the slots of one service.
+"""Ownership of the key slots of one service.
 
-A tenure answers two questions: may this node start a keyed call now, and does
-it know everything that earlier owners of a slot may have started.
+It answers two questions: may this node start a call with a key now, and does
+it know every call that earlier owners of the slot may have started.
 """
 
 import asyncio
@@ -14,38 +14,49 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProcessId:
-    """One run of a host's process."""
+    """A process of a host; it has a new incarnation after each restart."""
 
     host: ids.HostId
     incarnation: ids.Incarnation
 
 
 def process_id_of(member: messages.Member) -> ProcessId:
-    """Returns the process behind a member of a view."""
+    """Returns the process of a member of a view."""
     return ProcessId(member.host, member.incarnation)
 
 
 def runner_of(record: records.Record) -> ProcessId:
-    """Returns the process that runs or ran a record's call."""
+    """Returns the process that runs or ran the call of a record."""
     return ProcessId(record.runner, record.runner_incarnation)
 
 
 class SlotOwnership:
-    """One service at one node.
+    """The slots of one service, as one node knows them.
+
+    A slot's history is known to a node that has a record of every call that
+    was ever started in the slot. Versions are versions of the service's view.
 
     Attributes:
-      view: the newest view this node acts by.
-      newest_version: the newest version it heard of; above view.version it starts
-        nothing, because another node may have taken its slots over.
-      placement: owners and holders under the view.
-      owned_slots: the slots that this node owns under the view.
-      owned_upto: per slot, the newest version under which this node was the
-        owner and knew everything.
-      held_at: per slot, the newest version whose owner gave this node all.
-      floors: per slot, Unix time in milliseconds; keys that may have been
-        minted before get `unknown`.
-      fetched_versions: per slot, the newest version under which another node asked.
-      change_event: set and replaced whenever one of these changes.
+      service: the service.
+      this_process: this node's process.
+      registry: records of the service at this node.
+      copies: number of holders wanted for each slot.
+      copy_place: preferred data centre of the holders.
+      view: newest view that this node has adopted.
+      newest_version: newest version that this node has heard of. While it is
+        above `view.version`, the node starts nothing, because another node may
+        have taken over its slots.
+      placement: owners and holders in the view.
+      owned_slots: slots that this node owns in the view.
+      owned_upto: per slot, newest version in which this node was the owner and
+        knew the history.
+      held_at: per slot, newest version whose owner sent this node all records
+        of the slot.
+      floors: per slot, Unix time in milliseconds; calls with keys that may have
+        been created before it get `unknown`.
+      fetched_versions: per slot, newest version in which another node fetched
+        its records.
+      change_event: set and replaced when the view or a known history changes.
     """
 
     def __init__(
@@ -74,16 +85,16 @@
     def make_placement(
         self, members: list[messages.Member]
     ) -> keyslots.Placement:
-        """Returns owners and holders under a list of members."""
+        """Returns owners and holders for a list of members."""
         return keyslots.Placement(members, self.copies, self.copy_place)
 
     def notify_change(self) -> None:
-        """Wakes whoever waits for a slot."""
+        """Wakes the tasks that wait for `change_event`."""
         self.change_event.set()
         self.change_event = asyncio.Event()
 
     def adopt_view(self, view: messages.ServiceView) -> None:
-        """Acts by a newer view from now on."""
+        """Replaces the view by a newer one."""
         invariants.check(
             invariants.Promise.REVISION_NEVER_DOWN,
             view.version >= self.view.version,
@@ -97,10 +108,10 @@
         self.notify_change()
 
     def resolve_orphans(self) -> None:
-        """Settles records whose runner is gone: their fate stays unknown.
+        """Resolves started records whose runner is gone as unknown.
 
-        Nobody would ever settle them, and a repeat would wait for its whole
-        deadline to be told the same.
+        No result would ever arrive for them, and a repeat would wait until its
+        deadline to get the same reply.
         """
         alive = {process_id_of(member) for member in self.view.members} | {
             self.this_process
@@ -114,11 +125,12 @@
                 )
 
     def merge(self, entry: messages.OnceEntry, now: float) -> None:
-        """Takes in what another process knows of a key.
+        """Merges what another process knows of a key.
 
-        A start of this very process comes back from a holder that was told of
-        it before the call was refused here.  It never began, or this process
-        would know: kept, a leaving node would wait for its end for ever.
+        A holder may return a start of this process, of which it was notified
+        before the call was refused here. If the call had started, this process
+        would have the record. The entry is ignored, or a leaving node would
+        wait for the call's end forever.
         """
         runner = ProcessId(entry.runner, entry.runner_incarnation)
         if (
@@ -129,7 +141,7 @@
         self.registry.merge(entry, now)
 
     def records_started_by(self, runner: ProcessId) -> list[records.Record]:
-        """Returns the calls of this node's slots that a process is to run."""
+        """Returns the started records of owned slots that a process runs."""
         return [
             record
             for record in self.registry.by_key.values()
@@ -139,12 +151,12 @@
         ]
 
     def fence(self, version: ids.ViewVersion) -> None:
-        """Promises to start and acknowledge nothing under an older view."""
+        """Stops starting and acknowledging calls of views older than this."""
         self.newest_version = max(self.newest_version, version)
 
     @property
     def fenced(self) -> bool:
-        """Whether a newer view than the one acted by is known to exist."""
+        """Whether a view newer than the adopted one exists."""
         return self.newest_version > self.view.version
 
     def is_this_process(self, member: messages.Member | None) -> bool:
@@ -152,19 +164,19 @@
         return member is not None and process_id_of(member) == self.this_process
 
     def owns(self, slot: ids.Slot) -> bool:
-        """Whether this node is the slot's owner and may act as such."""
+        """Whether this node owns the slot and is not fenced."""
         return not self.fenced and self.is_this_process(
             self.placement.owner(slot)
         )
 
     def ready(self, slot: ids.Slot) -> bool:
-        """Whether the owner also knows all that was started before."""
+        """Whether this node owns the slot and knows its history."""
         return self.owns(slot) and (
             self.owned_upto.get(slot, 0) == self.view.version
         )
 
     def compute_owned_slots(self) -> list[ids.Slot]:
-        """Returns the slots that this node owns under the view."""
+        """Returns the slots that this node owns in the view."""
         slots = map(ids.Slot, range(keyslots.SLOT_COUNT))
         return [
             slot
@@ -173,7 +185,7 @@
         ]
 
     def incomplete_slots(self) -> list[ids.Slot]:
-        """Returns the slots that this node owns without knowing everything."""
+        """Returns the owned slots whose history is not known."""
         version = self.view.version
         return [
             slot
@@ -182,7 +194,7 @@
         ]
 
     def unfetched_slots(self) -> list[ids.Slot]:
-        """Returns the slots with records that no new owner has asked for."""
+        """Returns formerly owned slots with records no new owner fetched."""
         return [
             slot
             for slot, version in self.owned_upto.items()
@@ -193,11 +205,11 @@
         ]
 
     def mark_complete(self, slot: ids.Slot) -> None:
-        """Notes that this owner knows everything started under older views."""
+        """Marks the history of an owned slot as known."""
         self.owned_upto[slot] = self.view.version
 
     def knowledge(self, slot: ids.Slot) -> messages.SlotKnowledge:
-        """Returns what this node can vouch for in the slot."""
+        """Returns up to which versions this node knows the slot's history."""
         return messages.SlotKnowledge(
             slot=slot,
             owned_upto=self.owned_upto.get(slot, ids.ViewVersion(0)),
@@ -205,7 +217,7 @@
         )
 
     def raise_floor(self, slot: ids.Slot, floor_ms: int) -> None:
-        """Answers `unknown` to keys that may have been minted before."""
+        """Raises the creation time below which keys get `unknown`."""
         current_ms = self.floors.get(slot, 0)
         self.floors[slot] = max(current_ms, floor_ms)
 
@@ -216,19 +228,18 @@
 def is_history_known(
     ownership: SlotOwnership, slot: ids.Slot, knowledge: KnowledgeByProcess
 ) -> bool:
-    """Whether the answers together hold all that was ever started in a slot.
+    """Whether the processes that replied together know a slot's history.
 
-    Some process vouches for the slot up to a version.  Under each later view
-    the owner may have started more, but only after every holder of that view
-    acknowledged it, and a process that answered acknowledges nothing under an
-    older view any more.  So one answer from the owner or from a holder of
-    each later view is enough, whatever the clock of a silent owner says.
+    Some process knows the history up to a version. In each later view the owner
+    may have started more calls, but only after every holder of that view
+    acknowledged them, and a process that has replied no longer acknowledges
+    calls of older views. So one reply from the owner or from a holder of each
+    later view is enough, whatever the clock of an unreachable owner says.
 
     Args:
-      ownership: the new owner's.
-      slot: the slot in question.
-      knowledge: what each process that answered can vouch for, this node's own
-        knowledge included.
+      ownership: ownership at the new owner.
+      slot: slot that the new owner takes over.
+      knowledge: what each process that replied knows, including this one.
     """
     known_version = max(
         (max(item.owned_upto, item.held_at) for item in knowledge.values()),
@@ -257,7 +268,7 @@
     slot: ids.Slot,
     knowledge: KnowledgeByProcess,
 ) -> bool:
-    """Whether the owner or a holder of the view answered."""
+    """Whether the owner or a holder of a former view replied."""
     placement = ownership.make_placement(former_view.members)
     owner = placement.owner(slot)
     if owner is None:
--- a/mangobay/startcheck.py
+++ b/mangobay/startcheck.py
@@ -1,6 +1,7 @@
-"""The gate before the first byte of a keyed call.
+"""Check before the first byte of a call with a key is sent.
 
-Every holder of copies knows that the call will start before it starts.
+A call starts only after every holder has stored a copy of its record as
+started.
 """
 
 import asyncio
@@ -15,29 +16,30 @@
     from mangobay import lease
 
 BeforeSend = collections.abc.Callable[[], collections.abc.Awaitable[None]]
+"""Awaited before the first byte; raises if the call must not start."""
 
 
 class StartRefusedError(errors.MangobayError):
-    """The gate stays shut: nothing was sent, nothing may be.
+    """The call must not start here; nothing was sent.
 
     Attributes:
-      reason: why.
+      reason: reason of the `not_run` reply.
     """
 
     def __init__(self, reason: messages.Reason):
-        super().__init__(f"not started: {reason.name.lower()}")
+        super().__init__(f"call was not started: {reason.name.lower()}")
         self.reason = reason
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class StartCheck:
-    """Lets one claimed record start, or refuses for good.
+    """Decides whether the call of one claimed record may start.
 
     Attributes:
-      lease: without it nothing new is started.
-      sender: the way to the holders.
-      ownership: what this node may vouch for.
-      record: claimed here.
+      lease: lease of this node; without it nothing starts.
+      sender: sends the record to its holders.
+      ownership: this node's slots of the service.
+      record: record that was claimed at this node.
     """
 
     lease: "lease.Lease"
@@ -46,18 +48,18 @@
     record: records.Record
 
     async def permit_start(self) -> None:
-        """Lets the call start after every holder knows that it will.
+        """Marks the record as started once every holder has a copy.
 
         Raises:
-          RefusedError: it must not start here.
+          StartRefusedError: it must not start here.
         """
         self.check_may_start()
         version = self.ownership.view.version
         holders = self.ownership.placement.holders(self.record.slot)
         if holders:
             await self.notify_holders(holders)
-        # Between here and the first byte nothing is awaited: a node that
-        # froze while it waited for the holders wakes up at this check.
+        # Nothing is awaited between this check and the first byte: a node that
+        # was paused while it waited for the holders resumes before the check.
         self.check_may_start()
         if self.ownership.view.version != version:
             raise StartRefusedError(messages.Reason.OWNER_CHANGED)
@@ -69,7 +71,11 @@
         self.record.state = records.State.STARTED
 
     async def notify_holders(self, holders: list[messages.Member]) -> None:
-        """Tells every holder that the call will start."""
+        """Sends every holder the record as started.
+
+        Raises:
+          StartRefusedError: a holder did not store it.
+        """
         now = asyncio.get_running_loop().time()
         message = messages.CopyPut(
             service=self.ownership.service,
@@ -80,7 +86,11 @@
             raise StartRefusedError(messages.Reason.COPY_FAILED)
 
     def check_may_start(self) -> None:
-        """Raises RefusedError unless this node may start the call."""
+        """Checks the lease, the ownership and the record's state.
+
+        Raises:
+          StartRefusedError: one of them forbids the start.
+        """
         if not self.lease.holds():
             raise StartRefusedError(messages.Reason.NO_LEASE)
         if not self.ownership.ready(self.record.slot):
--- a/mangobay/takeover.py
+++ b/mangobay/takeover.py
@@ -1,4 +1,8 @@
-"""Taking slots over: from former owners, from holders, or with a floor."""
+"""Takeover of slots by a new owner.
+
+It learns their history from former owners or holders. Where nobody knows the
+history, a floor makes older keys get `unknown`.
+"""
 
 import asyncio
 import collections.abc
@@ -7,17 +11,18 @@
 from mangobay.generated import messages
 
 ROUND_INTERVAL_SECONDS = 0.1
-"""Seconds between two rounds of questions."""
+"""Seconds between two rounds of fetching."""
 
 
 class Takeover:
-    """One service at one node: learns what its new slots' past was.
+    """Learns the history of the slots of one service that a node takes over.
 
     Attributes:
-      ownership: what this node may vouch for.
-      sender: the way to other members.
-      unix_ms: Unix time in milliseconds.
+      ownership: this node's slots of the service.
+      sender: exchanges records with other members.
+      unix_ms: returns Unix time in milliseconds.
       skew_ms: how far callers' clocks may be ahead, milliseconds.
+      synced_version: newest view version in which all holders were synced.
     """
 
     def __init__(
@@ -34,7 +39,7 @@
         self.synced_version = ids.ViewVersion(0)
 
     async def run(self) -> None:
-        """Follows the views, one after the other, until cancelled."""
+        """Runs rounds for each new view until cancelled."""
         while True:
             change_event = self.ownership.change_event
             done = await self.run_round()
@@ -44,7 +49,7 @@
             await asyncio.sleep(ROUND_INTERVAL_SECONDS)
 
     async def run_round(self) -> bool:
-        """Asks everybody once; true when nothing is left to do."""
+        """Asks each member once; returns whether nothing is left to do."""
         ownership = self.ownership
         if ownership.fenced:
             return False
@@ -64,15 +69,15 @@
         return await self.sync_holders(version) and runners_answered
 
     async def ask_runners(self, version: ids.ViewVersion) -> bool:
-        """Asks the processes that are to run calls of this node's slots.
+        """Asks the runners of started calls in owned slots whether they run.
 
-        A holder is told of a start before it happens; where it is refused
-        after that, nobody reports an end: repeats would wait for it and be
-        told `unknown`.  Who answers is fenced by the question, so that what
-        it has not started by then it starts no more under an older view.
+        Holders are notified of a start before it happens. If the start is
+        refused after that, no result follows: repeats would wait for one and
+        get `unknown`. The fetch fences the process that replies, so it will not
+        start such a call under an older view later.
 
         Returns:
-          Whether everybody asked has answered under this view.
+          Whether every runner replied while the view was in force.
         """
         ownership = self.ownership
         for member in ownership.view.members:
@@ -86,7 +91,7 @@
                 slots=sorted({int(record.slot) for record in started}),
             )
             copy_list = await self.sender.fetch(member, message)
-            # A newer view may have let the runner start them after all.
+            # In a newer view the runner may have started them after all.
             if ownership.view.version != version or ownership.fenced:
                 return False
             if copy_list is None or copy_list.incarnation != runner.incarnation:
@@ -98,7 +103,7 @@
     def remove_unstarted(
         self, started: list[records.Record], copy_list: messages.CopyList
     ) -> None:
-        """Drops the calls that their runner knows nothing of."""
+        """Removes started records that their runner does not know."""
         known_keys = {entry.key for entry in copy_list.entries}
         for record in started:
             still_started = record.state is records.State.STARTED
@@ -106,7 +111,7 @@
                 self.ownership.registry.remove_as_not_run(record)
 
     async def sync_holders(self, version: ids.ViewVersion) -> bool:
-        """Gives the holders what they lack; true when they have all."""
+        """Syncs the holders once per view; returns whether it succeeded."""
         if self.synced_version == version:
             return True
         now = asyncio.get_running_loop().time()
@@ -116,7 +121,7 @@
         return False
 
     def own_knowledge(self) -> dict[slotownership.ProcessId, dict]:
-        """Returns what this node itself can vouch for."""
+        """Returns what this node knows of the incomplete slots."""
         ownership = self.ownership
         by_slot = {
             slot: ownership.knowledge(slot)
@@ -127,7 +132,7 @@
     def mark_known_slots(
         self, knowledge: dict[slotownership.ProcessId, dict]
     ) -> None:
-        """Takes the slots whose whole past the answers hold."""
+        """Marks the slots whose history the processes together know."""
         changed = False
         for slot in self.ownership.incomplete_slots():
             slot_knowledge = {
@@ -146,7 +151,7 @@
     async def ask_members(
         self, knowledge: dict[slotownership.ProcessId, dict]
     ) -> None:
-        """Asks every other witness and adds what they answer."""
+        """Fetches from every other member and adds what it knows."""
         ownership = self.ownership
         message = messages.CopyFetch(
             service=ownership.service,
@@ -164,7 +169,7 @@
         ownership.resolve_orphans()
 
     def other_members(self) -> list[messages.Member]:
-        """Returns the other members of this and of the former views."""
+        """Returns the other members of the view and of former views."""
         ownership = self.ownership
         members = {
             slotownership.process_id_of(member): member
@@ -182,23 +187,23 @@
         knowledge: dict[slotownership.ProcessId, dict],
         now: float,
     ) -> None:
-        """Merges what one process told."""
+        """Merges the records and floors of one process."""
         for entry in copy_list.entries:
             self.ownership.merge(entry, now)
         for floor in copy_list.floors:
             self.ownership.raise_floor(floor.slot, floor.minted_before_ms)
-        # The process that answers says which run it is: a restarted host
-        # under the old address knows nothing and must not vouch for the run
-        # that died.
+        # The message names the incarnation that replies: a host restarted under
+        # the same address knows nothing and must not count as the process that
+        # ended.
         process = slotownership.ProcessId(copy_list.host, copy_list.incarnation)
         knowledge[process] = {item.slot: item for item in copy_list.knowledge}
 
     def set_floors(self) -> None:
-        """Gives up on the past of the slots that nobody vouches for.
+        """Sets floors for the slots whose history nobody knows.
 
-        Every witness is gone, so a key minted before now may have run.  The
-        view is active: no former member can start anything under its own
-        lease any more.  Keys minted from now on cannot have run.
+        Every process that knew it is gone, so a key created before now may
+        have run. The view is active: no former member can start anything under
+        its own lease any more. Keys created from now on cannot have run.
         """
         floor_ms = self.unix_ms() + self.skew_ms
         lost_slots = self.ownership.incomplete_slots()
