--- a/tests/once_fakes.py
+++ b/tests/once_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes for the tests of at most once: network, lease, wall clock."""
+"""Fakes for the tests of at-most-once execution: network, lease, clock."""
 
 import asyncio
 import contextlib
@@ -14,6 +14,7 @@
 NETWORK_DELAY_SECONDS = 0.003
 SLOW_DELAY_SECONDS = 6.0
 LOST_DELAY_SECONDS = 3600.0
+"""Delay of a message that never arrives."""
 RUN_SECONDS = 0.05
 RNG = random.Random(7)
 UUID7_BITS = (7 << 76) | (2 << 62)
@@ -31,7 +32,7 @@
 
 @dataclasses.dataclass
 class FakeLease:
-    """A lease that the test takes away."""
+    """A lease whose state the test sets."""
 
     held: bool = True
 
@@ -40,7 +41,16 @@
 
 
 class FakeNetwork:
-    """Nodes that reach each other but for the cut ones."""
+    """Nodes that reach each other unless the test cuts connections.
+
+    Attributes:
+      nodes: nodes by peer address.
+      isolated: addresses that nobody reaches.
+      slow: addresses whose messages are delayed.
+      cut_pairs: pairs of addresses that do not reach each other.
+      runs: one item for each call that ran.
+      response_body: body of every response.
+    """
 
     def __init__(self, hosts: int, **changes):
         self.nodes: dict[str, once.AtMostOnce] = {}
@@ -97,12 +107,12 @@
     def publish_view(
         self, *hosts: str, active: bool = True, recipients=()
     ) -> None:
-        """Commits a view of these hosts and hands it to `to`, or to all."""
+        """Commits a view; delivers it to `recipients`, or to all its hosts."""
         self.publish_members([self.members[host] for host in hosts], active)
         self.deliver_view(recipients or hosts)
 
     def publish_members(self, members, active: bool = False) -> None:
-        """Commits a view of these members."""
+        """Commits a view of these members without delivering it."""
         if self.view.version:
             former = messages.FormerView(
                 version=self.view.version, members=self.view.members
@@ -126,7 +136,7 @@
         self.deliver_view(hosts)
 
     def cut_pair(self, first: str, second: str) -> None:
-        """Cuts the way between two hosts only."""
+        """Cuts the connection between two hosts."""
         addresses = (
             self.members[first].peer_address,
             self.members[second].peer_address,
@@ -134,6 +144,7 @@
         self.cut_pairs.add(frozenset(addresses))
 
     def isolate(self, host: str) -> None:
+        """Cuts all connections of a host; to others it looks dead."""
         self.isolated.add(self.members[host].peer_address)
 
     def owner(self, key: str) -> str:
@@ -176,13 +187,13 @@
 
 @dataclasses.dataclass
 class FakeTransport:
-    """One node's transport."""
+    """The transport of one node."""
 
     network: FakeNetwork
     address: str
 
     async def ask(self, address, body, timeout):
-        # The request goes on when the sender gives up: it may arrive late.
+        # The request is still delivered, late, after the sender timed out.
         delivery = asyncio.create_task(self.deliver(str(address), body))
         self.network.deliveries.add(delivery)
         delivery.add_done_callback(self.network.deliveries.discard)
@@ -204,7 +215,7 @@
 
 @contextlib.asynccontextmanager
 async def running_network(hosts: int = 4, **changes):
-    """A settled network of nodes that serve one service."""
+    """Yields a network of nodes whose first takeover has completed."""
     fake_network = FakeNetwork(hosts, **changes)
     fake_network.publish_view(*fake_network.members)
     await asyncio.sleep(1)
@@ -215,7 +226,7 @@
 
 
 def new_key(rng: random.Random = RNG) -> str:
-    """A key minted at the fake wall clock's present."""
+    """Returns a key created at the current time of the fake clock."""
     now = START_UNIX_MS + int(asyncio.get_running_loop().time() * 1000)
     value = (now << 80) | (UUID7_BITS | rng.getrandbits(62))
     return str(uuid6.UUID(int=value))
--- a/tests/test_execution.py
+++ b/tests/test_execution.py
@@ -1,4 +1,4 @@
-"""Calls at the backend server's node, with a backend server that is scripted."""
+"""Execution of calls, with a scripted client for the backend server."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 class FakePermit:
-    """Notes how a slot was given back."""
+    """Records how permits were released."""
 
     def __init__(self):
         self.released_ok: list[bool] = []
@@ -41,7 +41,7 @@
 
 
 class FakeAdmission:
-    """An admission that admits at once."""
+    """An admission controller that admits every call at once."""
 
     threshold = 300
     reported_threshold = 400
@@ -63,7 +63,7 @@
 
 
 class FakeBackendClient:
-    """Opens the gate, then does what the test says."""
+    """Awaits `before_send`, then responds as the test says."""
 
     def __init__(self, respond):
         self.respond = respond
@@ -124,7 +124,7 @@
 
 @pytest.mark.looptime
 class TestOutcome:
-    """What is said of a call is true."""
+    """The outcome in a reply is true."""
 
     @pytest.mark.parametrize(
         ("error", "sent", "outcome", "reason"),
@@ -179,10 +179,10 @@
         assert executor.idle
 
     async def test_shed_call_is_not_run_unless_it_made_child_calls(self):
-        """A backend server hands on the refusal of a service below it.
+        """A backend server returns the refusal of a service that it called.
 
-        It had already booked elsewhere, so "not run" would be false.  Only
-        where it made no child call its word is taken.
+        With child calls, part of its work was done, so `not_run` would be
+        false. Its claim counts only if it made no child call.
         """
         executor = make_executor(shed())
         assert (await executor.serve(call())).reason == Reason.BACKEND_SHED
@@ -197,10 +197,10 @@
         assert (reply.outcome, reply.status) == (Outcome.ANSWERED, 503)
 
     async def test_admission_learns_of_a_refused_child_call(self):
-        """A child call is refused, and the backend server answers 502.
+        """A child call is refused, and the backend server responds with 502.
 
-        Its slot and its work were wasted.  Admission is told the threshold
-        that refused it, and that no whole answer came of it.
+        Admission must learn the threshold that refused the child call, and
+        that the call did not succeed.
         """
 
         async def respond_after_refusal(attempt):
@@ -230,7 +230,7 @@
 
 @pytest.mark.looptime
 class TestNonIdempotent:
-    """A booking that has started is finished."""
+    """Started non-idempotent calls complete."""
 
     async def serve_for(self, executor, seconds):
         serve_task = asyncio.create_task(executor.serve(call(idempotent=False)))
@@ -238,10 +238,10 @@
         return serve_task
 
     async def test_cancelled_booking_runs_to_its_end(self):
-        """The caller hangs up while its booking runs.
+        """The caller disconnects while its booking runs.
 
-        Its slot stays taken and the backend server is not disturbed; once it
-        has answered, nothing is left behind.
+        The call must keep its slot and its request must not be cancelled. Once
+        the backend server has responded, nothing remains in progress.
         """
         done = asyncio.Event()
 
@@ -295,10 +295,10 @@
         assert executor.backend_client.cancelled == 1
 
     async def test_booking_that_never_started_is_not_run(self):
-        """A caller whose booking got no slot in time may send it again.
+        """A booking gets no slot before its deadline.
 
-        Every slot is taken until the deadline; told 504 the caller would have
-        to take the booking for one that may have run.
+        The caller must get `not_run`. With `unknown` it would have to assume
+        that the booking may have run.
         """
         executor = make_executor(shed())
         local_service = executor.local_services.find("stock")
@@ -318,13 +318,13 @@
 
 @pytest.mark.looptime
 class TestChildCalls:
-    """What a reply says of the calls that its run made."""
+    """What a reply says about child calls."""
 
     @pytest.mark.parametrize("calls_made", [0, 2])
     async def test_reply_says_whether_child_calls_were_made(self, calls_made):
-        """A run fails; whether another attempt may help depends on why.
+        """A run fails; whether a retry may help depends on its cause.
 
-        One that made calls of its own mostly failed for one of those.
+        A run with child calls mostly failed because of one of them.
         """
 
         async def respond(attempt):
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""At most once across nodes, with fakes for the network and the lease."""
+"""At-most-once execution across nodes, with fake network and leases."""
 
 import asyncio
 import dataclasses
@@ -12,7 +12,7 @@
 
 @pytest.mark.looptime
 class TestRepeats:
-    """The same key again, while nothing has failed."""
+    """Repeats of a key without failures."""
 
     async def test_repeat_gets_the_same_response(self):
         async with once_fakes.running_network() as net:
@@ -60,10 +60,10 @@
             assert reply.reason is messages.Reason.NOT_OWNER
 
     async def test_cancelled_caller_does_not_stop_a_run(self):
-        """The caller hangs up while its booking runs, then asks again.
+        """A caller disconnects while its booking runs, then repeats it.
 
-        The run goes on; the repeat gets its answer.  A cancelled run would
-        leave the booking's fate unknown for nothing.
+        The run must continue and the repeat get its response. Cancelling the
+        run would make the booking's outcome unknown.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -77,20 +77,20 @@
 
 @pytest.mark.looptime
 class TestBounds:
-    """More keys and larger answers than a node may remember."""
+    """Limits on the number and memory of records."""
 
     def expire(self, net):
-        """Drops what left the window, as every node does from time to time."""
+        """Removes expired records, as each node does periodically."""
         now = asyncio.get_running_loop().time()
         for node in net.nodes.values():
             node.ownership_of(once_fakes.SERVICE).registry.expire(now)
 
     async def test_full_memory_refuses_new_keys(self):
-        """Large answers fill what a node may use; callers go on.
+        """Large responses fill the memory budget while calls keep coming.
 
-        Keys that ran are never forgotten to make room: their repeats get
-        the same answer, and a new key is told `not run`, which is true. Once
-        the old ones leave the window, new keys run again.
+        Records of keys that ran are not removed to make room: their repeats
+        get the same response, and new keys get `not_run`. New keys run again
+        once the old records have expired.
         """
         async with once_fakes.running_network(
             window=20.0, memory_bytes=40_000
@@ -131,10 +131,10 @@
 
 @pytest.mark.looptime
 class TestTakeover:
-    """The owner is lost, alone or with its copies."""
+    """The owner is lost, alone or together with its holders."""
 
     async def lose_owner(self, net: once_fakes.FakeNetwork, key: str) -> str:
-        """Kills the owner and commits the view without it."""
+        """Isolates the owner and commits a view without it."""
         owner = net.owner(key)
         net.isolate(owner)
         remaining = [host for host in net.members if host != owner]
@@ -143,9 +143,9 @@
         return owner
 
     async def test_owner_lost_after_the_response(self):
-        """The owner answers, then dies; the caller's repeat finds another.
+        """The owner is lost after it replied; the caller repeats the call.
 
-        The holder of the copy gives the new owner the whole answer.
+        The new owner must get the response from the holder of the copy.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -157,10 +157,10 @@
             assert net.runs == ["run"]
 
     async def test_owner_lost_during_the_run(self):
-        """The owner dies between `started` and the answer.
+        """The owner is lost between the start and the response.
 
-        The copy says started, its runner is gone: the repeat is told that
-        the fate is unknown, at once, and the booking does not run again.
+        The copy is `started` and its runner is gone: the repeat must get
+        `unknown` at once, and the booking must not run again.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -175,11 +175,11 @@
             await asyncio.wait([task])
 
     async def test_owner_lost_during_the_run_with_the_copy_elsewhere(self):
-        """The new owner learns of the dead run from a holder's answer.
+        """The new owner fetches the lost run from a holder with an old view.
 
-        The holder has not heard of the view without the dead owner, so it
-        says that the run goes on.  The repeat is told at once all the same
-        that its fate is unknown, and does not wait for its deadline.
+        The holder does not have the view without the lost owner, so its record
+        is still `started`. The repeat must get `unknown` at once and not wait
+        until its deadline.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -201,13 +201,13 @@
             await asyncio.wait([task])
 
     def next_owner(self, net: once_fakes.FakeNetwork, key: str) -> str:
-        """Returns who owns the key when its owner is gone."""
+        """Returns the owner of the key once its current owner is gone."""
         return keyslots.rank_members(net.view.members, keyslots.slot_of(key))[
             1
         ].host
 
     async def test_owner_lost_before_the_start(self):
-        """The owner dies before it told anybody: the repeat simply runs."""
+        """The owner is lost before it notified the holders: the repeat runs."""
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             await self.lose_owner(net, key)
@@ -216,9 +216,9 @@
             assert net.runs == ["run"]
 
     async def test_owner_and_holder_lost_together(self):
-        """Both processes that knew the key die at once.
+        """Both processes with a record of the key are lost at once.
 
-        Older keys get `unknown`; a key minted after the takeover runs.
+        Older keys get `unknown`; a key created after the takeover runs.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -242,11 +242,11 @@
             assert reply.outcome is messages.Outcome.ANSWERED
 
     async def test_floor_survives_the_owner_that_set_it(self):
-        """Owner and holder are lost, then the owner after them as well.
+        """Owner and holder are lost, then the next owner as well.
 
-        The second owner knew nothing of the key and answered `unknown`; its
-        holder got everything it had, so the third owner must learn from the
-        holder that older keys may have run.
+        The second owner has a floor and no record of the key. The third owner
+        must get that floor from the second one's holder, or it would run the
+        key again.
         """
         async with once_fakes.running_network(6) as net:
             key = once_fakes.new_key()
@@ -271,9 +271,9 @@
     async def test_refused_claim_keeps_the_new_owners_record(self):
         """A claim waits for admission while its slot moves to another owner.
 
-        The new owner starts the same key and this node holds the copy.  Then
-        the claim is refused here, and the new owner dies: the copy must still
-        be there, or the key would run again.
+        The new owner starts the same key, and the node with the claim holds
+        the copy. The claim is refused, then the new owner is lost: without the
+        copy the key would run again.
         """
         async with once_fakes.running_network(3) as net:
             key = once_fakes.new_key()
@@ -307,11 +307,11 @@
             await asyncio.wait([started])
 
     async def test_two_view_changes_in_a_row_lose_no_response(self):
-        """Two hosts of a data centre die; the views change one by one.
+        """Two hosts of a data centre are lost; the view changes twice.
 
-        The owner of the view between never acted.  Its holder answers for
-        it, so the newest owner still finds the first owner's copy and does
-        not fall back to `unknown`.
+        The owner in the view between them did nothing. Its holder replies in
+        its place, so the newest owner must find the first owner's copy and not
+        reply `unknown`.
         """
         async with once_fakes.running_network(6) as net:
             key = once_fakes.new_key()
@@ -336,10 +336,10 @@
             assert net.runs == ["run"]
 
     async def test_restarted_host_does_not_count_as_its_former_process(self):
-        """The only owner restarts with an empty memory.
+        """The only owner restarts and loses its records.
 
-        Under its old address it answers the questions of the takeover, but
-        as another process: keys from before get `unknown`.
+        It replies to fetches under its old address, but as another process:
+        keys from before the restart must get `unknown`.
         """
         async with once_fakes.running_network(1) as net:
             key = once_fakes.new_key()
@@ -355,14 +355,14 @@
 
 @pytest.mark.looptime
 class TestFrozenOwner:
-    """An owner that stops for a while and does not notice."""
+    """An owner that is paused or cut off and does not notice."""
 
     async def test_holder_fenced_by_the_new_owner_refuses_the_old_one(self):
-        """The old owner wakes and believes in its view and its lease.
+        """The old owner resumes with its old view and a lease that seems valid.
 
-        Nobody could tell it of the new view; the new owner asked the holder
-        instead, which from then on acknowledges no start under the old view.
-        So the old owner starts nothing and the booking runs once.
+        It did not get the new view. The new owner fetched from the holder,
+        which from then on must acknowledge no start of the old view, so the
+        old owner starts nothing and the booking runs once.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -386,9 +386,9 @@
             assert net.runs == ["run"]
 
     async def test_old_owner_starts_nothing_after_the_takeover(self):
-        """The new owner asked the old one itself, which thereby learns.
+        """The new owner fetched from the old one, which fences it.
 
-        It starts nothing more, although its lease seems fine to it.
+        The old owner must start nothing more, although its lease seems valid.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -405,8 +405,9 @@
     async def test_no_floor_before_the_view_is_active(self):
         """The owner is alive but cut off together with its holder.
 
-        Nobody vouches for the slot, so the new owner waits until the view is
-        active before it starts anything: until then the old owner may.
+        No reachable process knows the slot's history. The new owner must start
+        nothing until the view is active, because the old owner may start calls
+        until then.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -438,9 +439,9 @@
             assert net.runs == []
 
     async def test_lease_that_ends_during_the_copy(self):
-        """The lease ends while the holder's acknowledgement is on its way.
+        """The lease ends while the holder's acknowledgement is in flight.
 
-        The second check, after the wait and before the first byte, sees it.
+        The second check, before the first byte, must detect it.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -455,13 +456,13 @@
 
 @pytest.mark.looptime
 class TestHandover:
-    """A node that hands its slots over."""
+    """A leaving node hands its slots over."""
 
     async def test_new_owner_has_every_response(self):
-        """A node leaves while its keys are young.
+        """A node leaves shortly after it ran calls.
 
-        It stays until the new owners have asked, so that a repeat gets the
-        same answer from the new owner.
+        It must stay until the new owners have its records, so that repeats get
+        the same responses from them.
         """
         async with once_fakes.running_network() as net:
             keys = [once_fakes.new_key() for _ in range(40)]
@@ -484,7 +485,8 @@
     async def test_run_that_outlives_the_handover_reports_its_result(self):
         """A booking still runs when its slot moves to another owner.
 
-        The repeat waits at the new owner; the old one sends the answer there.
+        The repeat waits at the new owner, to which the old one must send the
+        response.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -504,13 +506,13 @@
 
 @pytest.mark.looptime
 class TestRefusedAfterNotify:
-    """A start that holders were told of, and that was refused then."""
+    """A start that is refused after its holders were notified."""
 
     async def refuse_after_notify(self, net, key):
-        """Has the owner refuse a call while its holder is told of the start.
+        """Makes the owner refuse a call after it notified the holder.
 
-        The slot moves to the holder while the announcement is on its way, so
-        that the gate of the former owner stays shut behind it.
+        The slot moves to the holder while the acknowledgement is in flight, so
+        the second check of the former owner refuses the start.
         """
         owner, holder = net.owner(key), net.holder(key)
         claim = asyncio.create_task(net.send(owner, key))
@@ -524,16 +526,16 @@
         return owner, holder
 
     async def test_repeat_runs_at_the_new_owner(self):
-        """A repeat is told `unknown`, though the call never ran.
+        """A repeat must not get `unknown` for a call that never ran.
 
-        The holder, now the owner, was told that the former owner starts the
-        call, and waits for an end that nobody will report.  The former owner
-        is there and can say that it does not run it.
+        The holder, now the owner, has the call as started and would wait for a
+        result that never comes. The former owner is reachable and can tell that
+        it does not run the call.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             _, new_owner = await self.refuse_after_notify(net, key)
-            # The repeat that was waiting already is told `not_run`.
+            # A repeat that already waits gets `not_run`.
             replies = [await net.send(new_owner, key) for _ in range(2)]
             outcomes = {reply.outcome for reply in replies}
             assert messages.Outcome.UNKNOWN not in outcomes
@@ -541,11 +543,10 @@
             assert net.runs == ["run"]
 
     async def test_old_owner_can_leave(self):
-        """A node that leaves waits for ever, until it is killed.
+        """A leaving node must not wait forever for a call it never started.
 
-        The new owner gives its copies to the holders, the leaving node among
-        them: it learns of a run of its own that it never began, and waits
-        for its end.
+        The new owner sends its copies to the holders, the leaving node among
+        them, which thereby gets a started record of its own that it refused.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -569,10 +570,10 @@
                 await net.node(old_owner).finish_handover()
 
     async def test_run_in_progress_is_not_repeated(self):
-        """The new owner asks while the former one runs the call.
+        """The new owner fetches while the former one runs the call.
 
-        The former owner says that it runs it: the repeat waits for that
-        answer and does not run the call again.
+        The former owner reports the run as started: the repeat must wait for
+        its response and not run the call again.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -589,7 +590,7 @@
 
 @pytest.mark.looptime
 class TestInvariant:
-    """The program's own assertion."""
+    """The run-time check of the at-most-once invariant."""
 
     async def test_invariant_is_checked_on_every_start(self):
         before = invariants.checks[invariants.Promise.AT_MOST_ONCE]
--- a/tests/test_once_random.py
+++ b/tests/test_once_random.py
@@ -1,4 +1,4 @@
-"""At most once under random kills, cuts, late messages and restarts."""
+"""At-most-once execution under random partitions, delays and restarts."""
 
 import asyncio
 import collections
@@ -19,13 +19,14 @@
 KEYS = 6
 TTL_SECONDS = 2.0
 MARGIN_SECONDS = 0.5
+"""Time after a lease's end at which the control group removes its node."""
 TICK_SECONDS = 0.2
 QUEUE_SECONDS = st.sampled_from([0.01, 1.5])
 """Seconds that a claim waits for admission."""
 
 
 class ClockLease:
-    """A lease on the loop's clock, as a node counts it."""
+    """A lease that ends by the loop's clock, as at a node."""
 
     def __init__(self):
         self.until = 0.0
@@ -102,7 +103,7 @@
 
 
 class AtMostOnceMachine(stateful.RuleBasedStateMachine):
-    """Random faults against real Once objects on a virtual-time loop."""
+    """Random faults against real `AtMostOnce` objects in virtual time."""
 
     faults: collections.Counter = collections.Counter()
 
@@ -150,7 +151,9 @@
         reply = await node.run(self.net.call(key), execute)
         match reply.outcome:
             case messages.Outcome.NOT_RUN:
-                assert arrival not in self.runs[key], "a false not_run"
+                assert arrival not in self.runs[key], (
+                    "not_run for a call that ran"
+                )
             case messages.Outcome.ANSWERED:
                 self.bodies[key].add(reply.body)
 
@@ -200,7 +203,7 @@
         self.run(self.restart_host(f"h{host}", host))
 
     async def restart_host(self, host: str, number: int):
-        # The killed process never speaks again; its calls hang as they are.
+        # The old process sends nothing any more; its calls never end.
         old_node = self.net.node(host)
         for task in old_node.tasks:
             task.cancel()
@@ -217,7 +220,7 @@
     def check_runs(self):
         for key in self.keys:
             assert len(self.runs[key]) <= 1, f"{key} ran twice"
-            assert len(self.bodies[key]) <= 1, f"{key} has two answers"
+            assert len(self.bodies[key]) <= 1, f"{key} has two responses"
         for task in [task for task in self.tasks if task.done()]:
             self.tasks.remove(task)
             if not task.cancelled() and task.exception():
@@ -253,7 +256,7 @@
 
 
 class TestRandomFaults:
-    """Random schedules; what was injected and checked is printed."""
+    """Random schedules; prints the faults injected and checks made."""
 
     def test_no_key_runs_twice_and_not_run_is_true(self, capsys):
         self.run(CI, capsys)
--- a/tests/test_slotownership.py
+++ b/tests/test_slotownership.py
@@ -1,4 +1,4 @@
-"""What a node may vouch for, and the age of keys behind it."""
+"""Slot ownership, and creation times of keys."""
 
 import asyncio
 
@@ -13,20 +13,20 @@
 
 
 def new_key_at(unix_ms: int) -> str:
-    """Returns a key minted at a Unix time."""
+    """Returns a key created at a Unix time in milliseconds."""
     number = (unix_ms << 80) | (uuid6.uuid7().int & ((1 << 80) - 1))
     return str(uuid6.UUID(int=number))
 
 
 class TestLineage:
-    """Whether the answers hold all that was started."""
+    """Whether the history of a slot is known."""
 
     @pytest.mark.parametrize("lineage_whole", [True, False])
     async def test_truncated_lineage_is_not_taken_as_known(self, lineage_whole):
-        """Nine views came since a process last knew everything.
+        """More views have passed than a view lists as its former ones.
 
-        The view names only the newest former ones.  An owner of a view that
-        is not named may have started calls that no answer tells of.
+        The owner of a view that is not listed may have started calls that no
+        process that replied knows.
         """
         member = messages.Member(host="a", incarnation="1")
         process_id = slotownership.ProcessId("b", "1")
@@ -55,13 +55,13 @@
 
 @pytest.mark.looptime
 class TestFence:
-    """A former owner that has heard of a newer view, but not got it."""
+    """A former owner that knows of a newer view without having it."""
 
     async def test_fetch_alone_fences_an_owner_without_holders(self):
-        """No holder could refuse to acknowledge: there is none.
+        """Without copies there is no holder to refuse the old owner's starts.
 
-        The new owner asked the former one what it knows.  From then on the
-        former one starts nothing, although its own view and lease are fine.
+        The new owner fetched from the former one, which from then on must
+        start nothing, although its own view and lease seem valid.
         """
         async with once_fakes.running_network(copies=0) as net:
             key = once_fakes.new_key()
@@ -80,14 +80,14 @@
     """Callers whose clock is ahead."""
 
     def test_key_from_the_far_future_is_undated(self):
-        """It would count as young long after its record was dropped."""
+        """Otherwise it would be accepted long after its record expired."""
         assert keys.creation_time(new_key_at(12_001), 10_000, 2000).undated
         assert not keys.creation_time(new_key_at(12_000), 10_000, 2000).undated
 
     async def test_record_outlives_its_key(self):
-        """A caller two seconds ahead resends after eleven of a window of ten.
+        """A caller 2 s ahead repeats after 11 s, with a window of 10 s.
 
-        Its key still counts as young.  Its record must be there then, or the
+        Its key is still accepted, so its record must still exist, or the
         booking would run a second time.
         """
         async with once_fakes.running_network(window=10.0) as net:
--- a/tests/test_startcheck.py
+++ b/tests/test_startcheck.py
@@ -1,4 +1,4 @@
-"""The gate before the first byte of a keyed call."""
+"""The check before the first byte of a call with a key."""
 
 import asyncio
 
@@ -10,15 +10,14 @@
 
 @pytest.mark.looptime
 class TestView:
-    """A view that changes while the gate waits for the holder."""
+    """A view that changes while the check waits for the holder."""
 
     async def test_holder_changes_during_its_acknowledgement(self):
-        """The caller is told not run, and its resend runs once.
+        """A view without the holder arrives before its acknowledgement.
 
-        The holder's acknowledgement is on its way when a view without that
-        holder comes.  The node still owns the key, but the new holder knows
-        nothing of this call: were it started, and its node killed, the next
-        owner would run it again.
+        The node still owns the key, but the new holder has no copy: if the
+        call started and its node were lost, the next owner would run it again.
+        The caller must get `not_run`, and its repeat must run once.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
