--- a/tests/once_fakes.py
+++ b/tests/once_fakes.py
@@ -151,8 +151,8 @@
         return keyslots.owner(self.view, keyslots.slot_of(key)).host
 
     def holder(self, key: str) -> str:
-        share = self.node(self.owner(key)).ownership_of(SERVICE)
-        return share.placement.holders(keyslots.slot_of(key))[0].host
+        ownership = self.node(self.owner(key)).ownership_of(SERVICE)
+        return ownership.placement.holders(keyslots.slot_of(key))[0].host
 
     def call(self, key: str, body: bytes = b"unit 7") -> messages.Call:
         return messages.Call(
@@ -164,8 +164,8 @@
             deadline_ms=3000,
         )
 
-    async def execute(self, gate) -> messages.Reply:
-        await gate()
+    async def execute(self, before_send) -> messages.Reply:
+        await before_send()
         self.runs.append("run")
         await asyncio.sleep(RUN_SECONDS)
         return messages.Reply(
@@ -206,11 +206,11 @@
             await asyncio.sleep(LOST_DELAY_SECONDS)
         if target not in nodes:
             raise errors.PeerUnreachableError
-        answer = await nodes[target].handle(body)
+        result = await nodes[target].handle(body)
         await asyncio.sleep(self.network.delay(self.address, target))
         if not self.network.can_reach(self.address, target):
             await asyncio.sleep(LOST_DELAY_SECONDS)
-        return answer
+        return result
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -284,9 +284,9 @@
             old_owner = net.owner(key)
             admitted = asyncio.Event()
 
-            async def wait_for_admission(gate):
+            async def wait_for_admission(before_send):
                 await admitted.wait()
-                return await net.execute(gate)
+                return await net.execute(before_send)
 
             claim = net.node(old_owner).run(net.call(key), wait_for_admission)
             claim_task = asyncio.create_task(claim)
@@ -294,7 +294,7 @@
             net.publish_view(*net.members)
             await asyncio.sleep(1)
             assert (net.owner(key), net.holder(key)) == (new_owner, old_owner)
-            started = asyncio.create_task(net.send(new_owner, key))
+            start_task = asyncio.create_task(net.send(new_owner, key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             admitted.set()
             assert (await claim_task).outcome is messages.Outcome.NOT_RUN
@@ -304,7 +304,7 @@
             repeat = await net.send(old_owner, key)
             assert repeat.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
-            await asyncio.wait([started])
+            await asyncio.wait([start_task])
 
     async def test_two_view_changes_in_a_row_lose_no_response(self):
         """Two hosts of a data centre are lost; the view changes twice.
--- a/tests/test_once_random.py
+++ b/tests/test_once_random.py
@@ -136,9 +136,9 @@
         self.arrivals += 1
         arrival = self.arrivals
 
-        async def execute(gate):
+        async def execute(before_send):
             await asyncio.sleep(queue_seconds)
-            await gate()
+            await before_send()
             self.runs[key].append(arrival)
             await asyncio.sleep(1.0)
             return messages.Reply(
