--- a/mangobay/completion.py
+++ b/mangobay/completion.py
@@ -11,7 +11,7 @@
 """Seconds between two checks whether the handover is complete."""
 LOG_AFTER_SECONDS = 2.0
 """Seconds after which a pending handover is logged. A handover normally takes
-some tenths of a second, and a longer one has a cause worth knowing."""
+some tenths of a second; if it takes longer, something blocks it."""
 UNFINISHED_STATES = frozenset({records.State.CLAIMED, records.State.STARTED})
 
 
--- a/mangobay/once.py
+++ b/mangobay/once.py
@@ -225,7 +225,7 @@
         slot: ids.Slot,
         key: ids.IdempotencyKey,
     ) -> messages.Reply | None:
-        """Returns `unknown` for a key that may have run without a record."""
+        """Returns `unknown` for a key without a record that may have run."""
         now_ms = self.unix_ms()
         window_ms = int(self.options.window * 1000)
         created = keys.creation_time(key, now_ms, self.skew_ms)
--- a/mangobay/slotownership.py
+++ b/mangobay/slotownership.py
@@ -128,9 +128,9 @@
         """Merges what another process knows of a key.
 
         A holder may return a start of this process, of which it was notified
-        before the call was refused here. If the call had started, this process
-        would have the record. The entry is ignored, or a leaving node would
-        wait for the call's end forever.
+        before the call was refused here. The call never started, or this
+        process would have the record. If the entry were stored, a leaving node
+        would wait forever for the call to end.
         """
         runner = ProcessId(entry.runner, entry.runner_incarnation)
         if (
@@ -151,7 +151,7 @@
         ]
 
     def fence(self, version: ids.ViewVersion) -> None:
-        """Stops starting and acknowledging calls of views older than this."""
+        """Stops starting and acknowledging calls of views before `version`."""
         self.newest_version = max(self.newest_version, version)
 
     @property
--- a/mangobay/takeover.py
+++ b/mangobay/takeover.py
@@ -65,8 +65,8 @@
             self.set_floors()
         if ownership.incomplete_slots():
             return False
-        runners_answered = await self.ask_runners(version)
-        return await self.sync_holders(version) and runners_answered
+        runners_replied = await self.ask_runners(version)
+        return await self.sync_holders(version) and runners_replied
 
     async def ask_runners(self, version: ids.ViewVersion) -> bool:
         """Asks the runners of started calls in owned slots whether they run.
