--- a/mangobay/inbound.py
+++ b/mangobay/inbound.py
@@ -1,4 +1,4 @@
-"""What a caller's HTTP request says of the call it asks for."""
+"""Properties of a call, parsed from the caller's HTTP request."""
 
 import asyncio
 import hashlib
@@ -11,78 +11,85 @@
 Reason = messages.Reason
 
 FINGERPRINT_BYTES = 8
+"""Size of the hash of a client's credentials."""
 
 
 def split_path(raw_path: str) -> tuple[ids.ServiceName, str]:
-    """Returns the service and the target in /SERVICE/rest?query.
+    """Splits /SERVICE/rest?query into the service and the target.
 
     Raises:
-      calls.RequestError: the request names a whole URL.
+      calls.RequestError: the target is not a path, such as an absolute URL.
     """
     if not raw_path.startswith("/"):
-        raise calls.RequestError(Reason.MALFORMED, "not a path")
-    path, mark, query = raw_path.partition("?")
+        raise calls.RequestError(
+            Reason.MALFORMED, "request target is not a path"
+        )
+    path, separator, query = raw_path.partition("?")
     service, _, rest = path[1:].partition("/")
-    return ids.ServiceName(service), f"/{rest}{mark}{query}"
+    return ids.ServiceName(service), f"/{rest}{separator}{query}"
 
 
 def deadline_of(
-    operation: messages.Operation, received: httpheaders.HeaderMap
+    operation: messages.Operation, headers: httpheaders.HeaderMap
 ) -> float:
-    """Returns the loop time by which the caller must have its answer.
+    """Returns the loop time by which the caller needs its response.
 
     Raises:
-      calls.RequestError: Request-Timeout is malformed.
+      calls.RequestError: the Request-Timeout header is malformed.
     """
     seconds = operation.deadline_ms / 1000 or calls.DEFAULT_DEADLINE
-    given = received.get(httpheaders.REQUEST_TIMEOUT)
-    if given is not None:
+    value = headers.get(httpheaders.REQUEST_TIMEOUT)
+    if value is not None:
         try:
-            seconds = min(seconds, httpheaders.parse_timeout(given))
+            seconds = min(seconds, httpheaders.parse_timeout(value))
         except ValueError as error:
             raise calls.RequestError(Reason.MALFORMED, str(error)) from None
     return asyncio.get_running_loop().time() + seconds
 
 
-def key_of(received: httpheaders.HeaderMap) -> ids.IdempotencyKey:
-    """Returns the idempotency key, empty where there is none.
+def key_of(headers: httpheaders.HeaderMap) -> ids.IdempotencyKey:
+    """Returns the idempotency key, empty if there is none.
 
     Raises:
-      calls.RequestError: it is malformed.
+      calls.RequestError: the Idempotency-Key header is malformed.
     """
-    given = received.get(httpheaders.IDEMPOTENCY_KEY)
-    if given is None:
+    value = headers.get(httpheaders.IDEMPOTENCY_KEY)
+    if value is None:
         return ids.IdempotencyKey("")
     try:
-        return httpheaders.parse_idempotency_key(given)
+        return httpheaders.parse_idempotency_key(value)
     except ValueError as error:
         raise calls.RequestError(Reason.MALFORMED, str(error)) from None
 
 
-def headers_of(received: httpheaders.HeaderMap) -> list[messages.Header]:
-    """Returns the fields passed on, with the tracestate of others."""
-    kept = httpheaders.end_to_end_headers(received)
-    if httpheaders.TRACESTATE in received:
-        _, others = httpheaders.split_tracestate(
-            received[httpheaders.TRACESTATE]
+def headers_of(headers: httpheaders.HeaderMap) -> list[messages.Header]:
+    """Returns the forwarded headers, with tracestate of other vendors."""
+    forwarded = httpheaders.end_to_end_headers(headers)
+    if httpheaders.TRACESTATE in headers:
+        _, other_tracestate = httpheaders.split_tracestate(
+            headers[httpheaders.TRACESTATE]
         )
-        if others:
-            kept.append(
-                messages.Header(name=httpheaders.TRACESTATE, value=others)
+        if other_tracestate:
+            forwarded.append(
+                messages.Header(
+                    name=httpheaders.TRACESTATE, value=other_tracestate
+                )
             )
-    return kept
+    return forwarded
 
 
 def client_of(request: web.BaseRequest) -> ids.ClientId:
-    """Returns who calls: the address and a fingerprint of its credentials.
+    """Returns the client: its address and a fingerprint of its credentials.
 
-    Callers behind one address are told apart by what they sign in with; the
-    credentials themselves are never kept nor passed on in this place.
+    The fingerprint distinguishes clients that share an address. The id never
+    contains the credentials themselves.
     """
     client = request.remote or ""
     credentials = request.headers.get("Authorization")
     if credentials:
-        data = credentials.encode("utf-8", "surrogateescape")
-        digest = hashlib.blake2b(data, digest_size=FINGERPRINT_BYTES)
+        credential_bytes = credentials.encode("utf-8", "surrogateescape")
+        digest = hashlib.blake2b(
+            credential_bytes, digest_size=FINGERPRINT_BYTES
+        )
         client = f"{client}/{digest.hexdigest()}"
     return ids.ClientId(client)
--- a/tests/once_fakes.py
+++ b/tests/once_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes for the tests of at most once: network, lease, wall clock."""
+"""Fakes for the tests of at-most-once execution: network, lease, clock."""
 
 import asyncio
 import contextlib
@@ -14,6 +14,7 @@
 NETWORK_DELAY_SECONDS = 0.003
 SLOW_DELAY_SECONDS = 6.0
 LOST_DELAY_SECONDS = 3600.0
+"""Delay of a message that never arrives."""
 RUN_SECONDS = 0.05
 RNG = random.Random(7)
 UUID7_BITS = (7 << 76) | (2 << 62)
@@ -31,7 +32,7 @@
 
 @dataclasses.dataclass
 class FakeLease:
-    """A lease that the test takes away."""
+    """A lease whose state the test sets."""
 
     held: bool = True
 
@@ -40,7 +41,16 @@
 
 
 class FakeNetwork:
-    """Nodes that reach each other but for the cut ones."""
+    """Nodes that reach each other unless the test cuts connections.
+
+    Attributes:
+      nodes: nodes by peer address.
+      isolated: addresses that nobody reaches.
+      slow: addresses whose messages are delayed.
+      cut_pairs: pairs of addresses that do not reach each other.
+      runs: one item for each call that ran.
+      response_body: body of every response.
+    """
 
     def __init__(self, hosts: int, **changes):
         self.nodes: dict[str, once.AtMostOnce] = {}
@@ -55,29 +65,29 @@
         self.options = dataclasses.replace(OPTIONS, **changes)
         self.formers: list[messages.FormerView] = []
         self.view = messages.ServiceView(service=SERVICE)
-        for number in range(hosts):
-            self.add_node(f"h{number}", number)
+        for index in range(hosts):
+            self.add_node(f"h{index}", index)
 
-    def can_reach(self, one: str, other: str) -> bool:
-        pair = frozenset((one, other))
-        return not self.isolated & pair and pair not in self.cut_pairs
+    def can_reach(self, first: str, second: str) -> bool:
+        addresses = frozenset((first, second))
+        return not self.isolated & addresses and addresses not in self.cut_pairs
 
-    def delay(self, one: str, other: str) -> float:
+    def delay(self, first: str, second: str) -> float:
         return (
             SLOW_DELAY_SECONDS
-            if self.slow & {one, other}
+            if self.slow & {first, second}
             else NETWORK_DELAY_SECONDS
         )
 
     def unix_ms(self) -> int:
         return START_UNIX_MS + int(asyncio.get_running_loop().time() * 1000)
 
-    def add_node(self, host: str, number: int, incarnation: str = "1") -> None:
-        address = f"127.0.0.1:{1000 + number}"
+    def add_node(self, host: str, index: int, incarnation: str = "1") -> None:
+        address = f"127.0.0.1:{1000 + index}"
         self.members[host] = messages.Member(
             host=host,
             incarnation=incarnation,
-            data_centre=f"dc{number % 3}",
+            data_centre=f"dc{index % 3}",
             peer_address=address,
         )
         self.leases[host] = FakeLease()
@@ -97,12 +107,12 @@
     def publish_view(
         self, *hosts: str, active: bool = True, recipients=()
     ) -> None:
-        """Commits a view of these hosts and hands it to `to`, or to all."""
+        """Commits a view; delivers it to `recipients`, or to all its hosts."""
         self.publish_members([self.members[host] for host in hosts], active)
         self.deliver_view(recipients or hosts)
 
     def publish_members(self, members, active: bool = False) -> None:
-        """Commits a view of these members."""
+        """Commits a view of these members without delivering it."""
         if self.view.version:
             former = messages.FormerView(
                 version=self.view.version, members=self.view.members
@@ -125,23 +135,24 @@
         self.view = dataclasses.replace(self.view, active=True)
         self.deliver_view(hosts)
 
-    def cut_pair(self, one: str, other: str) -> None:
-        """Cuts the way between two hosts only."""
-        pair = (
-            self.members[one].peer_address,
-            self.members[other].peer_address,
+    def cut_pair(self, first: str, second: str) -> None:
+        """Cuts the connection between two hosts."""
+        addresses = (
+            self.members[first].peer_address,
+            self.members[second].peer_address,
         )
-        self.cut_pairs.add(frozenset(pair))
+        self.cut_pairs.add(frozenset(addresses))
 
     def isolate(self, host: str) -> None:
+        """Cuts all connections of a host; to others it looks dead."""
         self.isolated.add(self.members[host].peer_address)
 
     def owner(self, key: str) -> str:
         return keyslots.owner(self.view, keyslots.slot_of(key)).host
 
     def holder(self, key: str) -> str:
-        share = self.node(self.owner(key)).ownership_of(SERVICE)
-        return share.placement.holders(keyslots.slot_of(key))[0].host
+        ownership = self.node(self.owner(key)).ownership_of(SERVICE)
+        return ownership.placement.holders(keyslots.slot_of(key))[0].host
 
     def call(self, key: str, body: bytes = b"unit 7") -> messages.Call:
         return messages.Call(
@@ -153,8 +164,8 @@
             deadline_ms=3000,
         )
 
-    async def execute(self, gate) -> messages.Reply:
-        await gate()
+    async def execute(self, before_send) -> messages.Reply:
+        await before_send()
         self.runs.append("run")
         await asyncio.sleep(RUN_SECONDS)
         return messages.Reply(
@@ -170,23 +181,23 @@
     async def close(self) -> None:
         for node in self.nodes.values():
             await node.close()
-        for travel in list(self.deliveries):
-            travel.cancel()
+        for delivery in list(self.deliveries):
+            delivery.cancel()
 
 
 @dataclasses.dataclass
 class FakeTransport:
-    """One node's transport."""
+    """The transport of one node."""
 
     network: FakeNetwork
     address: str
 
     async def ask(self, address, body, timeout):
-        # The request goes on when the sender gives up: it may arrive late.
-        travel = asyncio.create_task(self.deliver(str(address), body))
-        self.network.deliveries.add(travel)
-        travel.add_done_callback(self.network.deliveries.discard)
-        return await asyncio.wait_for(asyncio.shield(travel), timeout)
+        # The request is still delivered, late, after the sender timed out.
+        delivery = asyncio.create_task(self.deliver(str(address), body))
+        self.network.deliveries.add(delivery)
+        delivery.add_done_callback(self.network.deliveries.discard)
+        return await asyncio.wait_for(asyncio.shield(delivery), timeout)
 
     async def deliver(self, target, body):
         nodes = self.network.nodes
@@ -195,27 +206,27 @@
             await asyncio.sleep(LOST_DELAY_SECONDS)
         if target not in nodes:
             raise errors.PeerUnreachableError
-        answer = await nodes[target].handle(body)
+        result = await nodes[target].handle(body)
         await asyncio.sleep(self.network.delay(self.address, target))
         if not self.network.can_reach(self.address, target):
             await asyncio.sleep(LOST_DELAY_SECONDS)
-        return answer
+        return result
 
 
 @contextlib.asynccontextmanager
 async def running_network(hosts: int = 4, **changes):
-    """A settled network of nodes that serve one service."""
-    made = FakeNetwork(hosts, **changes)
-    made.publish_view(*made.members)
+    """Yields a network of nodes whose first takeover has completed."""
+    fake_network = FakeNetwork(hosts, **changes)
+    fake_network.publish_view(*fake_network.members)
     await asyncio.sleep(1)
     try:
-        yield made
+        yield fake_network
     finally:
-        await made.close()
+        await fake_network.close()
 
 
-def new_key(dice: random.Random = RNG) -> str:
-    """A key minted at the fake wall clock's present."""
+def new_key(rng: random.Random = RNG) -> str:
+    """Returns a key created at the current time of the fake clock."""
     now = START_UNIX_MS + int(asyncio.get_running_loop().time() * 1000)
-    number = (now << 80) | (UUID7_BITS | dice.getrandbits(62))
-    return str(uuid6.UUID(int=number))
+    value = (now << 80) | (UUID7_BITS | rng.getrandbits(62))
+    return str(uuid6.UUID(int=value))
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,4 @@
-"""At most once across nodes, with fakes for the network and the lease."""
+"""At-most-once execution across nodes, with fake network and leases."""
 
 import asyncio
 import dataclasses
@@ -12,18 +12,18 @@
 
 @pytest.mark.looptime
 class TestRepeats:
-    """The same key again, while nothing has failed."""
+    """Repeats of a key without failures."""
 
-    async def test_a_repeat_gets_the_same_whole_answer(self):
+    async def test_repeat_gets_the_same_response(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
             first = await net.send(owner, key)
-            again = await net.send(owner, key)
-            assert first.body == again.body == b"slip 1"
+            repeat = await net.send(owner, key)
+            assert first.body == repeat.body == b"slip 1"
             assert net.runs == ["run"]
 
-    async def test_a_repeat_waits_for_the_run_in_flight(self):
+    async def test_repeat_waits_for_the_run_in_progress(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
@@ -33,7 +33,7 @@
             assert {reply.body for reply in replies} == {b"slip 1"}
             assert net.runs == ["run"]
 
-    async def test_a_key_with_another_body_is_refused(self):
+    async def test_key_with_another_body_is_refused(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
@@ -43,7 +43,7 @@
             assert other.reason is messages.Reason.KEY_REUSED
             assert (await net.send(owner, key)).body == b"slip 1"
 
-    async def test_a_key_older_than_the_window_never_runs(self):
+    async def test_key_older_than_the_window_never_runs(self):
         async with once_fakes.running_network(window=10.0) as net:
             key = once_fakes.new_key()
             await asyncio.sleep(11)
@@ -52,45 +52,45 @@
             assert reply.reason is messages.Reason.KEY_EXPIRED
             assert net.runs == []
 
-    async def test_another_node_than_the_owner_refuses(self):
+    async def test_node_that_is_not_the_owner_refuses(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            other = next(h for h in net.members if h != net.owner(key))
+            other = next(host for host in net.members if host != net.owner(key))
             reply = await net.send(other, key)
             assert reply.reason is messages.Reason.NOT_OWNER
 
-    async def test_a_caller_that_hangs_up_does_not_stop_a_run(self):
-        """The caller hangs up while its booking runs, then asks again.
+    async def test_cancelled_caller_does_not_stop_a_run(self):
+        """A caller disconnects while its booking runs, then repeats it.
 
-        The run goes on; the repeat gets its answer.  A cancelled run would
-        leave the booking's fate unknown for nothing.
+        The run must continue and the repeat get its response. Cancelling the
+        run would make the booking's outcome unknown.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
-            hasty = asyncio.create_task(net.send(owner, key))
+            send_task = asyncio.create_task(net.send(owner, key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
-            hasty.cancel()
+            send_task.cancel()
             assert (await net.send(owner, key)).body == b"slip 1"
             assert net.runs == ["run"]
 
 
 @pytest.mark.looptime
 class TestBounds:
-    """More keys and larger answers than a node may remember."""
+    """Limits on the number and memory of records."""
 
     def expire(self, net):
-        """Drops what left the window, as every node does from time to time."""
+        """Removes expired records, as each node does periodically."""
         now = asyncio.get_running_loop().time()
         for node in net.nodes.values():
             node.ownership_of(once_fakes.SERVICE).registry.expire(now)
 
-    async def test_answers_fill_the_memory_and_new_keys_are_refused(self):
-        """Large answers fill what a node may use; callers go on.
+    async def test_full_memory_refuses_new_keys(self):
+        """Large responses fill the memory budget while calls keep coming.
 
-        Keys that ran are never forgotten to make room: their repeats get
-        the same answer, and a new key is told `not run`, which is true. Once
-        the old ones leave the window, new keys run again.
+        Records of keys that ran are not removed to make room: their repeats
+        get the same response, and new keys get `not_run`. New keys run again
+        once the old records have expired.
         """
         async with once_fakes.running_network(
             window=20.0, memory_bytes=40_000
@@ -105,8 +105,8 @@
             assert reply.reason is messages.Reason.OVERLOADED
             assert 4 <= len(net.runs) == len(keys) - 1 < 40
             for key in keys[:-1]:
-                again = await net.send(net.owner(key), key)
-                assert again.body == net.response_body
+                repeat = await net.send(net.owner(key), key)
+                assert repeat.body == net.response_body
             await asyncio.sleep(40)
             self.expire(net)
             key = once_fakes.new_key()
@@ -114,7 +114,7 @@
                 await net.send(net.owner(key), key)
             ).body == net.response_body
 
-    async def test_what_the_budget_counts_goes_with_the_records(self):
+    async def test_removed_records_free_the_budget(self):
         async with once_fakes.running_network(window=20.0) as net:
             for _ in range(20):
                 key = once_fakes.new_key()
@@ -131,36 +131,36 @@
 
 @pytest.mark.looptime
 class TestTakeover:
-    """The owner is lost, alone or with its copies."""
+    """The owner is lost, alone or together with its holders."""
 
     async def lose_owner(self, net: once_fakes.FakeNetwork, key: str) -> str:
-        """Kills the owner and commits the view without it."""
+        """Isolates the owner and commits a view without it."""
         owner = net.owner(key)
         net.isolate(owner)
-        rest = [host for host in net.members if host != owner]
-        net.publish_view(*rest)
+        remaining = [host for host in net.members if host != owner]
+        net.publish_view(*remaining)
         await asyncio.sleep(2)
         return owner
 
-    async def test_killed_after_the_answer(self):
-        """The owner answers, then dies; the caller's repeat finds another.
+    async def test_owner_lost_after_the_response(self):
+        """The owner is lost after it replied; the caller repeats the call.
 
-        The holder of the copy gives the new owner the whole answer.
+        The new owner must get the response from the holder of the copy.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             first = await net.send(net.owner(key), key)
             await asyncio.sleep(0.1)
             await self.lose_owner(net, key)
-            again = await net.send(net.owner(key), key)
-            assert again.body == first.body
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.body == first.body
             assert net.runs == ["run"]
 
-    async def test_killed_while_the_call_runs(self):
-        """The owner dies between `started` and the answer.
+    async def test_owner_lost_during_the_run(self):
+        """The owner is lost between the start and the response.
 
-        The copy says started, its runner is gone: the repeat is told that
-        the fate is unknown, at once, and the booking does not run again.
+        The copy is `started` and its runner is gone: the repeat must get
+        `unknown` at once, and the booking must not run again.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -168,18 +168,18 @@
             task = asyncio.create_task(net.send(owner, key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             await self.lose_owner(net, key)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.UNKNOWN
-            assert again.reason is messages.Reason.OWNER_CHANGED
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
+            assert repeat.reason is messages.Reason.OWNER_CHANGED
             assert net.runs == ["run"]
             await asyncio.wait([task])
 
-    async def test_killed_while_it_runs_and_the_copy_is_elsewhere(self):
-        """The new owner learns of the dead run from a holder's answer.
+    async def test_owner_lost_during_the_run_with_the_copy_elsewhere(self):
+        """The new owner fetches the lost run from a holder with an old view.
 
-        The holder has not heard of the view without the dead owner, so it
-        says that the run goes on.  The repeat is told at once all the same
-        that its fate is unknown, and does not wait for its deadline.
+        The holder does not have the view without the lost owner, so its record
+        is still `started`. The repeat must get `unknown` at once and not wait
+        until its deadline.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -187,37 +187,38 @@
                 key = once_fakes.new_key()
             task = asyncio.create_task(net.send(net.owner(key), key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
-            owner, heir = net.owner(key), self.next_owner(net, key)
+            owner, successor = net.owner(key), self.next_owner(net, key)
             net.isolate(owner)
             net.publish_view(
-                *(h for h in net.members if h != owner), recipients=[heir]
+                *(host for host in net.members if host != owner),
+                recipients=[successor],
             )
             await asyncio.sleep(2)
-            again = await net.send(heir, key)
-            assert again.outcome is messages.Outcome.UNKNOWN
-            assert again.reason is messages.Reason.OWNER_CHANGED
+            repeat = await net.send(successor, key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
+            assert repeat.reason is messages.Reason.OWNER_CHANGED
             assert net.runs == ["run"]
             await asyncio.wait([task])
 
     def next_owner(self, net: once_fakes.FakeNetwork, key: str) -> str:
-        """Returns who owns the key when its owner is gone."""
+        """Returns the owner of the key once its current owner is gone."""
         return keyslots.rank_members(net.view.members, keyslots.slot_of(key))[
             1
         ].host
 
-    async def test_killed_before_started(self):
-        """The owner dies before it told anybody: the repeat simply runs."""
+    async def test_owner_lost_before_the_start(self):
+        """The owner is lost before it notified the holders: the repeat runs."""
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             await self.lose_owner(net, key)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.ANSWERED
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
 
     async def test_owner_and_holder_lost_together(self):
-        """Both processes that knew the key die at once.
+        """Both processes with a record of the key are lost at once.
 
-        Older keys get `unknown`; a key minted after the takeover runs.
+        Older keys get `unknown`; a key created after the takeover runs.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -225,25 +226,27 @@
             await net.send(owner, key)
             net.isolate(owner)
             net.isolate(holder)
-            rest = [h for h in net.members if h not in (owner, holder)]
-            net.publish_view(*rest)
+            remaining = [
+                host for host in net.members if host not in (owner, holder)
+            ]
+            net.publish_view(*remaining)
             await asyncio.sleep(3)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.UNKNOWN
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
             await asyncio.sleep(3)
-            young = once_fakes.new_key()
-            while keyslots.slot_of(young) != keyslots.slot_of(key):
-                young = once_fakes.new_key()
-            reply = await net.send(net.owner(young), young)
+            fresh_key = once_fakes.new_key()
+            while keyslots.slot_of(fresh_key) != keyslots.slot_of(key):
+                fresh_key = once_fakes.new_key()
+            reply = await net.send(net.owner(fresh_key), fresh_key)
             assert reply.outcome is messages.Outcome.ANSWERED
 
-    async def test_a_floor_outlives_the_owner_that_set_it(self):
-        """Owner and holder are lost, then the owner after them as well.
+    async def test_floor_survives_the_owner_that_set_it(self):
+        """Owner and holder are lost, then the next owner as well.
 
-        The second owner knew nothing of the key and answered `unknown`; its
-        holder got everything it had, so the third owner must learn from the
-        holder that older keys may have run.
+        The second owner has a floor and no record of the key. The third owner
+        must get that floor from the second one's holder, or it would run the
+        key again.
         """
         async with once_fakes.running_network(6) as net:
             key = once_fakes.new_key()
@@ -251,86 +254,92 @@
             await net.send(owner, key)
             net.isolate(owner)
             net.isolate(holder)
-            rest = [h for h in net.members if h not in (owner, holder)]
-            net.publish_view(*rest)
+            remaining = [
+                host for host in net.members if host not in (owner, holder)
+            ]
+            net.publish_view(*remaining)
             await asyncio.sleep(3)
             second = net.owner(key)
             net.isolate(second)
-            rest.remove(second)
-            net.publish_view(*rest)
+            remaining.remove(second)
+            net.publish_view(*remaining)
             await asyncio.sleep(3)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.UNKNOWN
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
 
-    async def test_a_refused_claim_does_not_wipe_out_anothers_start(self):
+    async def test_refused_claim_keeps_the_new_owners_record(self):
         """A claim waits for admission while its slot moves to another owner.
 
-        The new owner starts the same key and this node holds the copy.  Then
-        the claim is refused here, and the new owner dies: the copy must still
-        be there, or the key would run again.
+        The new owner starts the same key, and the node with the claim holds
+        the copy. The claim is refused, then the new owner is lost: without the
+        copy the key would run again.
         """
         async with once_fakes.running_network(3) as net:
             key = once_fakes.new_key()
-            newer = net.owner(key)
-            rest = [host for host in net.members if host != newer]
-            net.publish_view(*rest)
+            new_owner = net.owner(key)
+            remaining = [host for host in net.members if host != new_owner]
+            net.publish_view(*remaining)
             await asyncio.sleep(1)
-            older = net.owner(key)
+            old_owner = net.owner(key)
             admitted = asyncio.Event()
 
-            async def wait_for_a_slot(gate):
+            async def wait_for_admission(before_send):
                 await admitted.wait()
-                return await net.execute(gate)
+                return await net.execute(before_send)
 
-            claim = net.node(older).run(net.call(key), wait_for_a_slot)
-            claimed = asyncio.create_task(claim)
+            claim = net.node(old_owner).run(net.call(key), wait_for_admission)
+            claim_task = asyncio.create_task(claim)
             await asyncio.sleep(0.1)
             net.publish_view(*net.members)
             await asyncio.sleep(1)
-            assert (net.owner(key), net.holder(key)) == (newer, older)
-            started = asyncio.create_task(net.send(newer, key))
+            assert (net.owner(key), net.holder(key)) == (new_owner, old_owner)
+            start_task = asyncio.create_task(net.send(new_owner, key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
             admitted.set()
-            assert (await claimed).outcome is messages.Outcome.NOT_RUN
-            net.isolate(newer)
-            net.publish_view(*rest)
+            assert (await claim_task).outcome is messages.Outcome.NOT_RUN
+            net.isolate(new_owner)
+            net.publish_view(*remaining)
             await asyncio.sleep(2)
-            again = await net.send(older, key)
-            assert again.outcome is messages.Outcome.UNKNOWN
+            repeat = await net.send(old_owner, key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
-            await asyncio.wait([started])
+            await asyncio.wait([start_task])
 
-    async def test_views_that_change_twice_at_once_lose_nothing(self):
-        """Two hosts of a data centre die; the views change one by one.
+    async def test_two_view_changes_in_a_row_lose_no_response(self):
+        """Two hosts of a data centre are lost; the view changes twice.
 
-        The owner of the view between never acted.  Its holder answers for
-        it, so the newest owner still finds the first owner's copy and does
-        not fall back to `unknown`.
+        The owner in the view between them did nothing. Its holder replies in
+        its place, so the newest owner must find the first owner's copy and not
+        reply `unknown`.
         """
         async with once_fakes.running_network(6) as net:
             key = once_fakes.new_key()
             first = await net.send(net.owner(key), key)
             await asyncio.sleep(0.1)
             owner = net.owner(key)
-            place = net.members[owner].data_centre
-            dead = [h for h, m in net.members.items() if m.data_centre == place]
+            data_centre = net.members[owner].data_centre
+            dead = [
+                host
+                for host, member in net.members.items()
+                if member.data_centre == data_centre
+            ]
             for host in dead:
                 net.isolate(host)
-            rest = list(net.members)
+            remaining = list(net.members)
             for host in dead:
-                rest.remove(host)
-                net.publish_view(*rest)
+                remaining.remove(host)
+                net.publish_view(*remaining)
             await asyncio.sleep(2)
-            again = await net.send(net.owner(key), key)
-            assert again.body == first.body
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.body == first.body
             assert net.runs == ["run"]
 
-    async def test_a_restarted_host_does_not_vouch_for_its_former_run(self):
-        """The only owner restarts with an empty memory.
+    async def test_restarted_host_does_not_count_as_its_former_process(self):
+        """The only owner restarts and loses its records.
 
-        Under its old address it answers the questions of the takeover, but
-        as another process: keys from before get `unknown`.
+        It replies to fetches under its old address, but as another process:
+        keys from before the restart must get `unknown`.
         """
         async with once_fakes.running_network(1) as net:
             key = once_fakes.new_key()
@@ -339,83 +348,88 @@
             net.add_node("h0", 0, incarnation="2")
             net.publish_view("h0")
             await asyncio.sleep(1)
-            again = await net.send("h0", key)
-            assert again.outcome is messages.Outcome.UNKNOWN
+            repeat = await net.send("h0", key)
+            assert repeat.outcome is messages.Outcome.UNKNOWN
             assert net.runs == ["run"]
 
 
 @pytest.mark.looptime
 class TestFrozenOwner:
-    """An owner that stops for a while and does not notice."""
+    """An owner that is paused or cut off and does not notice."""
 
-    async def test_its_holder_is_fenced_by_the_new_owner(self):
-        """The old owner wakes and believes in its view and its lease.
+    async def test_holder_fenced_by_the_new_owner_refuses_the_old_one(self):
+        """The old owner resumes with its old view and a lease that seems valid.
 
-        Nobody could tell it of the new view; the new owner asked the holder
-        instead, which from then on acknowledges no start under the old view.
-        So the old owner starts nothing and the booking runs once.
+        It did not get the new view. The new owner fetched from the holder,
+        which from then on must acknowledge no start of the old view, so the
+        old owner starts nothing and the booking runs once.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner, holder = net.owner(key), net.holder(key)
-            rest = [h for h in net.members if h != owner]
-            for host in rest:
+            remaining = [host for host in net.members if host != owner]
+            for host in remaining:
                 if host != holder:
                     net.cut_pair(owner, host)
             net.publish_view(
-                *rest, active=False, recipients=[h for h in rest if h != holder]
+                *remaining,
+                active=False,
+                recipients=[host for host in remaining if host != holder],
             )
             await asyncio.sleep(1)
-            late = await net.send(owner, key)
-            assert late.reason is messages.Reason.COPY_FAILED
+            late_reply = await net.send(owner, key)
+            assert late_reply.reason is messages.Reason.COPY_FAILED
             net.deliver_view([holder])
             await asyncio.sleep(1)
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.ANSWERED
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
 
-    async def test_woken_after_its_slots_were_taken_over(self):
-        """The new owner asked the old one itself, which thereby learns.
+    async def test_old_owner_starts_nothing_after_the_takeover(self):
+        """The new owner fetched from the old one, which fences it.
 
-        It starts nothing more, although its lease seems fine to it.
+        The old owner must start nothing more, although its lease seems valid.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
-            rest = [h for h in net.members if h != owner]
-            net.publish_view(*rest)
+            remaining = [host for host in net.members if host != owner]
+            net.publish_view(*remaining)
             await asyncio.sleep(1)
-            late = await net.send(owner, key)
-            assert late.outcome is messages.Outcome.NOT_RUN
-            again = await net.send(net.owner(key), key)
-            assert again.outcome is messages.Outcome.ANSWERED
+            late_reply = await net.send(owner, key)
+            assert late_reply.outcome is messages.Outcome.NOT_RUN
+            repeat = await net.send(net.owner(key), key)
+            assert repeat.outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
 
-    async def test_no_floor_before_the_old_lease_has_ended(self):
+    async def test_no_floor_before_the_view_is_active(self):
         """The owner is alive but cut off together with its holder.
 
-        Nobody vouches for the slot, so the new owner waits until the view is
-        active before it starts anything: until then the old owner may.
+        No reachable process knows the slot's history. The new owner must start
+        nothing until the view is active, because the old owner may start calls
+        until then.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner, holder = net.owner(key), net.holder(key)
             net.isolate(owner)
             net.isolate(holder)
-            rest = [h for h in net.members if h not in (owner, holder)]
-            net.publish_view(*rest, active=False)
+            remaining = [
+                host for host in net.members if host not in (owner, holder)
+            ]
+            net.publish_view(*remaining, active=False)
             await asyncio.sleep(2)
-            early = await net.send(net.owner(key), key)
-            assert early.outcome is messages.Outcome.NOT_RUN
-            net.activate(*rest)
+            early_reply = await net.send(net.owner(key), key)
+            assert early_reply.outcome is messages.Outcome.NOT_RUN
+            net.activate(*remaining)
             await asyncio.sleep(4)
-            young = once_fakes.new_key()
-            while keyslots.slot_of(young) != keyslots.slot_of(key):
-                young = once_fakes.new_key()
-            reply = await net.send(net.owner(young), young)
+            fresh_key = once_fakes.new_key()
+            while keyslots.slot_of(fresh_key) != keyslots.slot_of(key):
+                fresh_key = once_fakes.new_key()
+            reply = await net.send(net.owner(fresh_key), fresh_key)
             assert reply.outcome is messages.Outcome.ANSWERED
 
-    async def test_without_a_lease_nothing_starts(self):
+    async def test_nothing_starts_without_a_lease(self):
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
             owner = net.owner(key)
@@ -424,10 +438,10 @@
             assert reply.reason is messages.Reason.NO_LEASE
             assert net.runs == []
 
-    async def test_a_lease_that_ends_during_the_copy(self):
-        """The lease ends while the holder's acknowledgement is on its way.
+    async def test_lease_that_ends_during_the_copy(self):
+        """The lease ends while the holder's acknowledgement is in flight.
 
-        The second check, after the wait and before the first byte, sees it.
+        The second check, before the first byte, must detect it.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
@@ -441,59 +455,64 @@
 
 
 @pytest.mark.looptime
-class TestLeaving:
-    """A node that hands its slots over."""
+class TestHandover:
+    """A leaving node hands its slots over."""
 
-    async def test_the_new_owner_has_every_answer(self):
-        """A node leaves while its keys are young.
+    async def test_new_owner_has_every_response(self):
+        """A node leaves shortly after it ran calls.
 
-        It stays until the new owners have asked, so that a repeat gets the
-        same answer from the new owner.
+        It must stay until the new owners have its records, so that repeats get
+        the same responses from them.
         """
         async with once_fakes.running_network() as net:
             keys = [once_fakes.new_key() for _ in range(40)]
-            leaver = net.owner(keys[0])
+            leaving_host = net.owner(keys[0])
             for key in keys:
                 await net.send(net.owner(key), key)
-            member = net.members[leaver]
-            net.members[leaver] = dataclasses.replace(member, leaving=True)
+            member = net.members[leaving_host]
+            net.members[leaving_host] = dataclasses.replace(
+                member, leaving=True
+            )
             net.publish_view(*net.members)
             async with asyncio.timeout(5):
-                await net.node(leaver).finish_handover()
-            net.isolate(leaver)
+                await net.node(leaving_host).finish_handover()
+            net.isolate(leaving_host)
             await asyncio.sleep(1)
             replies = [await net.send(net.owner(key), key) for key in keys]
             assert {reply.body for reply in replies} == {b"slip 1"}
             assert len(net.runs) == len(keys)
 
-    async def test_a_run_that_outlives_the_handover_reports_its_end(self):
+    async def test_run_that_outlives_the_handover_reports_its_result(self):
         """A booking still runs when its slot moves to another owner.
 
-        The repeat waits at the new owner; the old one sends the answer there.
+        The repeat waits at the new owner, to which the old one must send the
+        response.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            leaver = net.owner(key)
-            first = asyncio.create_task(net.send(leaver, key))
+            leaving_host = net.owner(key)
+            first = asyncio.create_task(net.send(leaving_host, key))
             await asyncio.sleep(0.02)
-            member = net.members[leaver]
-            net.members[leaver] = dataclasses.replace(member, leaving=True)
+            member = net.members[leaving_host]
+            net.members[leaving_host] = dataclasses.replace(
+                member, leaving=True
+            )
             net.publish_view(*net.members)
             await asyncio.sleep(0.02)
-            again = await net.send(net.owner(key), key)
-            assert (await first).body == again.body == b"slip 1"
+            repeat = await net.send(net.owner(key), key)
+            assert (await first).body == repeat.body == b"slip 1"
             assert net.runs == ["run"]
 
 
 @pytest.mark.looptime
-class TestAnnouncedStart:
-    """A start that holders were told of, and that was refused then."""
+class TestRefusedAfterNotify:
+    """A start that is refused after its holders were notified."""
 
-    async def refused_late(self, net, key):
-        """Has the owner refuse a call while its holder is told of the start.
+    async def refuse_after_notify(self, net, key):
+        """Makes the owner refuse a call after it notified the holder.
 
-        The slot moves to the holder while the announcement is on its way, so
-        that the gate of the former owner stays shut behind it.
+        The slot moves to the holder while the acknowledgement is in flight, so
+        the second check of the former owner refuses the start.
         """
         owner, holder = net.owner(key), net.holder(key)
         claim = asyncio.create_task(net.send(owner, key))
@@ -506,75 +525,74 @@
         assert (await claim).outcome is messages.Outcome.NOT_RUN
         return owner, holder
 
-    async def test_a_repeat_runs_at_the_new_owner(self):
-        """A repeat is told `unknown`, though the call never ran.
+    async def test_repeat_runs_at_the_new_owner(self):
+        """A repeat must not get `unknown` for a call that never ran.
 
-        The holder, now the owner, was told that the former owner starts the
-        call, and waits for an end that nobody will report.  The former owner
-        is there and can say that it does not run it.
+        The holder, now the owner, has the call as started and would wait for a
+        result that never comes. The former owner is reachable and can tell that
+        it does not run the call.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            _, newer = await self.refused_late(net, key)
-            # The repeat that was waiting already is told `not_run`.
-            replies = [await net.send(newer, key) for _ in range(2)]
+            _, new_owner = await self.refuse_after_notify(net, key)
+            # A repeat that already waits gets `not_run`.
+            replies = [await net.send(new_owner, key) for _ in range(2)]
             outcomes = {reply.outcome for reply in replies}
             assert messages.Outcome.UNKNOWN not in outcomes
             assert replies[-1].outcome is messages.Outcome.ANSWERED
             assert net.runs == ["run"]
 
-    async def test_the_former_owner_can_leave(self):
-        """A node that leaves waits for ever, until it is killed.
+    async def test_old_owner_can_leave(self):
+        """A leaving node must not wait forever for a call it never started.
 
-        The new owner gives its copies to the holders, the leaving node among
-        them: it learns of a run of its own that it never began, and waits
-        for its end.
+        The new owner sends its copies to the holders, the leaving node among
+        them, which thereby gets a started record of its own that it refused.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            older, newer = await self.refused_late(net, key)
+            old_owner, new_owner = await self.refuse_after_notify(net, key)
             await asyncio.sleep(0.5)
             entry = messages.OnceEntry(
                 key=key,
                 service=once_fakes.SERVICE,
                 slot=keyslots.slot_of(key),
                 state=messages.OnceState.STARTED,
-                runner=older,
+                runner=old_owner,
                 runner_incarnation="1",
             )
-            put = messages.CopyPut(
+            message = messages.CopyPut(
                 service=once_fakes.SERVICE,
                 view_version=net.view.version,
                 entries=[entry],
             )
-            await net.node(older).handle(put)
+            await net.node(old_owner).handle(message)
             async with asyncio.timeout(5):
-                await net.node(older).finish_handover()
+                await net.node(old_owner).finish_handover()
 
-    async def test_a_run_that_is_under_way_is_not_given_up(self):
-        """The new owner asks while the former one runs the call.
+    async def test_run_in_progress_is_not_repeated(self):
+        """The new owner fetches while the former one runs the call.
 
-        The former owner says that it runs it: the repeat waits for that
-        answer and does not run the call again.
+        The former owner reports the run as started: the repeat must wait for
+        its response and not run the call again.
         """
         async with once_fakes.running_network() as net:
             key = once_fakes.new_key()
-            older, newer = net.owner(key), net.holder(key)
-            first = asyncio.create_task(net.send(older, key))
+            old_owner, new_owner = net.owner(key), net.holder(key)
+            first = asyncio.create_task(net.send(old_owner, key))
             await asyncio.sleep(once_fakes.RUN_SECONDS / 2)
-            member = net.members[older]
-            net.members[older] = dataclasses.replace(member, leaving=True)
+            member = net.members[old_owner]
+            net.members[old_owner] = dataclasses.replace(member, leaving=True)
             net.publish_view(*net.members)
-            again = await net.send(newer, key)
-            assert (await first).body == again.body == b"slip 1"
+            repeat = await net.send(new_owner, key)
+            assert (await first).body == repeat.body == b"slip 1"
             assert net.runs == ["run"]
 
 
 @pytest.mark.looptime
 class TestInvariant:
-    """The program's own assertion."""
+    """The run-time check of the at-most-once invariant."""
 
-    async def test_it_is_checked_on_every_start(self):
+    async def test_invariant_is_checked_on_every_start(self):
         before = invariants.checks[invariants.Promise.AT_MOST_ONCE]
         async with once_fakes.running_network() as net:
             for _ in range(10):
