--- a/mangobay/aiohttpbackend.py
+++ b/mangobay/aiohttpbackend.py
@@ -101,10 +101,10 @@
         except aiohttp.ClientPayloadError as error:
             raise errors.IncompleteResponseError(str(error)) from None
         except (aiohttp.ClientError, OSError) as error:
-            text = str(error) or type(error).__name__
+            message = str(error) or type(error).__name__
             if attempt.sent:
-                raise errors.BackendBrokenError(text) from None
-            raise errors.BackendUnreachableError(text) from None
+                raise errors.BackendBrokenError(message) from None
+            raise errors.BackendUnreachableError(message) from None
         finally:
             self.inflight -= 1
 
@@ -119,10 +119,10 @@
             else self.non_idempotent_session
         )
         url = yarl.URL(f"http://{address}{request.target}", encoded=True)
-        began = loop.time()
-        headers = [(each.name, each.value) for each in request.headers]
-        left = max(request.deadline - began, 0.001)
-        headers.append((httpheaders.REQUEST_TIMEOUT, f"{left:.3f}"))
+        started_at = loop.time()
+        headers = [(header.name, header.value) for header in request.headers]
+        remaining = max(request.deadline - started_at, 0.001)
+        headers.append((httpheaders.REQUEST_TIMEOUT, f"{remaining:.3f}"))
         async with session.request(
             request.method,
             url,
@@ -135,7 +135,7 @@
                 status=response.status,
                 headers=httpheaders.end_to_end_headers(response.headers),
                 body=body,
-                seconds=loop.time() - began,
+                seconds=loop.time() - started_at,
                 shed=is_shed(response),
             )
 
@@ -152,25 +152,33 @@
           errors.AnswerTooLargeError: it is above the limit.
           aiohttp.ClientPayloadError: it ended early.
         """
-        coding = response.headers.get("Transfer-Encoding", "").lower()
-        length = response.content_length
-        bodiless = method == "HEAD" or response.status in BODILESS_STATUSES
-        if length is None and "chunked" not in coding and not bodiless:
+        transfer_encoding = response.headers.get(
+            "Transfer-Encoding", ""
+        ).lower()
+        content_length = response.content_length
+        has_no_body = method == "HEAD" or response.status in BODILESS_STATUSES
+        if (
+            content_length is None
+            and "chunked" not in transfer_encoding
+            and not has_no_body
+        ):
             raise errors.IncompleteResponseError("the answer has no length")
-        if not bodiless and (length or 0) > self.max_response_bytes:
-            raise errors.ResponseTooLargeError(f"an answer of {length} bytes")
-        if length is not None:
+        if not has_no_body and (content_length or 0) > self.max_response_bytes:
+            raise errors.ResponseTooLargeError(
+                f"an answer of {content_length} bytes"
+            )
+        if content_length is not None:
             return await response.read()
-        parts = []
+        chunks = []
         size = 0
-        async for part in response.content.iter_any():
-            size += len(part)
+        async for chunk in response.content.iter_any():
+            size += len(chunk)
             if size > self.max_response_bytes:
                 raise errors.ResponseTooLargeError(
                     f"an answer above {self.max_response_bytes} bytes"
                 )
-            parts.append(part)
-        return b"".join(parts)
+            chunks.append(chunk)
+        return b"".join(chunks)
 
     async def close(self) -> None:
         """Ends every connection."""
@@ -203,6 +211,6 @@
 
 def is_shed(response: aiohttp.ClientResponse) -> bool:
     """Returns whether the backend server says it did not run the request."""
-    said = response.headers.get(httpheaders.OUTCOME, "").strip().lower()
+    outcome = response.headers.get(httpheaders.OUTCOME, "").strip().lower()
     not_run = messages.Outcome.NOT_RUN.name.lower()
-    return response.status == 503 and said == not_run
+    return response.status == 503 and outcome == not_run
--- a/mangobay/edges.py
+++ b/mangobay/edges.py
@@ -55,16 +55,16 @@
         directory: Directory,
         dispatcher: dispatch.Dispatcher,
         executor: execution.CallExecutor,
-        counts: metrics.Metrics,
-        record: ledger.Ledger,
+        call_metrics: metrics.Metrics,
+        call_ledger: ledger.Ledger,
         sample_rate: float,
     ):
         self.limits = limits
         self.directory = directory
         self.dispatcher = dispatcher
         self.executor = executor
-        self.metrics = counts
-        self.ledger = record
+        self.metrics = call_metrics
+        self.ledger = call_ledger
         self.sample_rate = sample_rate
         self.rng = random.Random()
 
@@ -103,13 +103,15 @@
     async def submit(self, request: calls.Request) -> messages.Reply:
         """Brings a call in and counts how it ended."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         # What a caller that hung up would have been told: it may have run.
         reply = calls.unknown_reply(Reason.CANCELLED)
         try:
             reply = await self.dispatcher.handle(request)
         finally:
-            self.metrics.ended(request.operation, reply, loop.time() - began)
+            self.metrics.ended(
+                request.operation, reply, loop.time() - started_at
+            )
             self.ledger.count(
                 request.operation,
                 request.importance,
@@ -132,12 +134,12 @@
         self, service: ids.ServiceName, method: str, target: str, caller
     ) -> messages.Operation | None:
         """Returns the operation if the caller may reach it."""
-        found = self.directory.tables.value.find(service, method, target)
-        if found is None or not operationtable.OperationTable.allows(
-            found, caller
+        operation = self.directory.tables.value.find(service, method, target)
+        if operation is None or not operationtable.OperationTable.allows(
+            operation, caller
         ):
             return None
-        return found
+        return operation
 
     async def fetch_services(self, *services: ids.ServiceName) -> None:
         """Waits until control told of the services.
@@ -171,9 +173,9 @@
         self.check_accepting()
         service, target = inbound.split_path(request.raw_path)
         operation = await self.resolve(service, request.method, target)
-        received = request.headers
-        deadline = inbound.deadline_of(operation, received)
-        key = inbound.key_of(received)
+        headers = request.headers
+        deadline = inbound.deadline_of(operation, headers)
+        key = inbound.key_of(headers)
         body = await self.read_body(request)
         # It may have been told to leave while the request came in.
         self.check_accepting()
@@ -182,7 +184,7 @@
                 operation=operation,
                 revision=self.directory.tables.value.revision,
                 target=target,
-                headers=inbound.headers_of(received),
+                headers=inbound.headers_of(headers),
                 body=body,
                 caller=ids.OUTSIDE,
                 client=inbound.client_of(request),
@@ -191,7 +193,7 @@
                 deadline=deadline,
                 allowance=retryallowance.RetryAllowance(operation.tries),
                 key=key,
-                trace=self.make_trace(received),
+                trace=self.make_trace(headers),
                 tree=httpheaders.new_tree_id(),
             )
         )
@@ -210,31 +212,31 @@
         Raises:
           calls.RequestError: there is none, or none that may be seen.
         """
-        found = self.find_allowed(service, method, target, ids.OUTSIDE)
-        if found is None:
+        operation = self.find_allowed(service, method, target, ids.OUTSIDE)
+        if operation is None:
             decoy = ids.ServiceName(f"{service}~{self.decoy}")
             await self.fetch_services(service, decoy)
-            found = self.find_allowed(service, method, target, ids.OUTSIDE)
-        if found is None:
+            operation = self.find_allowed(service, method, target, ids.OUTSIDE)
+        if operation is None:
             raise calls.RequestError(Reason.NO_SUCH_OPERATION, "")
-        return found
+        return operation
 
     def make_trace(
-        self, received: httpheaders.HeaderMap
+        self, headers: httpheaders.HeaderMap
     ) -> httpheaders.TraceContext:
         """Returns the caller's trace, or a new one.
 
         Whether it is sampled is decided here: callers that set the flag on
         every request would have every span recorded.
         """
-        fresh = httpheaders.new_trace(self.sample_rate)
-        theirs = httpheaders.parse_traceparent(
-            received.get(httpheaders.TRACEPARENT, "")
+        own_trace = httpheaders.new_trace(self.sample_rate)
+        caller_trace = httpheaders.parse_traceparent(
+            headers.get(httpheaders.TRACEPARENT, "")
         )
-        if theirs is None:
-            return fresh
+        if caller_trace is None:
+            return own_trace
         return httpheaders.TraceContext(
-            theirs.trace_id, theirs.parent_span, fresh.sampled
+            caller_trace.trace_id, caller_trace.parent_span, own_trace.sampled
         )
 
 
@@ -247,24 +249,24 @@
         Raises:
           calls.RequestError: it became no call.
         """
-        received = request.headers
+        headers = request.headers
         parent = self.executor.parent_of(
-            received.get(httpheaders.TRACESTATE, ""),
-            received.get(httpheaders.TRACEPARENT, ""),
+            headers.get(httpheaders.TRACESTATE, ""),
+            headers.get(httpheaders.TRACEPARENT, ""),
         )
         if parent is None:
             self.check_accepting()
-        caller = self.identify_caller(received, parent)
+        caller = self.identify_caller(headers, parent)
         service, target = inbound.split_path(request.raw_path)
         operation = await self.resolve(service, request.method, target, caller)
-        deadline = inbound.deadline_of(operation, received)
-        key = inbound.key_of(received)
+        deadline = inbound.deadline_of(operation, headers)
+        key = inbound.key_of(headers)
         body = await self.read_body(request)
         call = calls.Request(
             operation=operation,
             revision=self.directory.tables.value.revision,
             target=target,
-            headers=inbound.headers_of(received),
+            headers=inbound.headers_of(headers),
             body=body,
             caller=caller,
             client=ids.ClientId(caller),
@@ -285,28 +287,32 @@
         self, call: calls.Request, parent: calls.Parent
     ) -> messages.Reply:
         """Brings in a call that is part of a tree, with part of its tries."""
-        running = parent.running_call
-        where = f"{call.operation.service}{call.target}"
-        if not running.allow_child(call.operation.method, where, call.body):
+        running_call = parent.running_call
+        child_target = f"{call.operation.service}{call.target}"
+        if not running_call.allow_child(
+            call.operation.method, child_target, call.body
+        ):
             return calls.not_run_reply(Reason.TRIES_EXHAUSTED)
         call.client = parent.call.client
         call.inherit_from(parent.call)
         call.deadline = min(call.deadline, parent.deadline)
         call.trace = parent.trace
-        call.allowance = retryallowance.RetryAllowance(running.allowance.lend())
+        call.allowance = retryallowance.RetryAllowance(
+            running_call.allowance.lend()
+        )
         loop = asyncio.get_running_loop()
-        running.child_started(loop.time())
+        running_call.child_started(loop.time())
         try:
             reply = await self.submit(call)
             if reply.reason in calls.THRESHOLD_REFUSALS:
-                running.child_refused(max(reply.threshold, reply.below))
+                running_call.child_refused(max(reply.threshold, reply.below))
             return reply
         finally:
-            running.child_ended(loop.time())
-            running.allowance.reclaim(call.allowance.close())
+            running_call.child_ended(loop.time())
+            running_call.allowance.reclaim(call.allowance.close())
 
     def identify_caller(
-        self, received: httpheaders.HeaderMap, parent: calls.Parent | None
+        self, headers: httpheaders.HeaderMap, parent: calls.Parent | None
     ) -> ids.CallerName:
         """Returns the service that calls.
 
@@ -317,10 +323,10 @@
         if parent is not None:
             return ids.CallerName(parent.call.service)
         names = list(self.executor.local_services.by_name)
-        named = received.get(httpheaders.SERVICE, "")
-        if named in names:
-            return ids.CallerName(named)
-        if named or len(names) != 1:
+        claimed_name = headers.get(httpheaders.SERVICE, "")
+        if claimed_name in names:
+            return ids.CallerName(claimed_name)
+        if claimed_name or len(names) != 1:
             raise calls.RequestError(
                 Reason.MALFORMED,
                 f"announce the calling service first, and name it in "
@@ -340,13 +346,13 @@
         Raises:
           calls.RequestError: there is none, or the caller may not reach it.
         """
-        found = self.find_allowed(service, method, target, caller)
-        if found is None:
+        operation = self.find_allowed(service, method, target, caller)
+        if operation is None:
             await self.fetch_services(service)
-            found = self.find_allowed(service, method, target, caller)
-        if found is None:
+            operation = self.find_allowed(service, method, target, caller)
+        if operation is None:
             raise calls.RequestError(Reason.NO_SUCH_OPERATION, "")
-        return found
+        return operation
 
 
 logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
--- a/mangobay/heartbeats.py
+++ b/mangobay/heartbeats.py
@@ -102,16 +102,18 @@
             return HeartbeatResult.WRONG_SERVICE
         if not self.is_newer(heartbeat):
             return HeartbeatResult.STALE
-        former = self.current
-        replaced = former is None or not is_same_incarnation(
-            former.last_heartbeat, heartbeat
+        previous = self.current
+        is_new = previous is None or not is_same_incarnation(
+            previous.last_heartbeat, heartbeat
         )
-        gone = not replaced and former.deregistered
-        self.current = Incarnation(last_heartbeat=heartbeat, deregistered=gone)
-        if gone or heartbeat.state is not State.READY:
-            self.withdraw(heartbeat, former)
+        deregistered = not is_new and previous.deregistered
+        self.current = Incarnation(
+            last_heartbeat=heartbeat, deregistered=deregistered
+        )
+        if deregistered or heartbeat.state is not State.READY:
+            self.withdraw(heartbeat, previous)
             return HeartbeatResult.ACCEPTED
-        if replaced:
+        if is_new:
             # Another run knows nothing of the one before: its times and
             # its limit start anew.
             self.announcer.withdraw(self.service)
@@ -157,17 +159,17 @@
         )
 
     def withdraw(
-        self, heartbeat: Heartbeat, former: Incarnation | None
+        self, heartbeat: Heartbeat, previous: Incarnation | None
     ) -> None:
         """Takes the backend server out of use."""
-        if self.announcer.withdraw(self.service) and former is not None:
+        if self.announcer.withdraw(self.service) and previous is not None:
             self.log_change("backend server leaves", heartbeat)
 
-    def log_change(self, sentence: str, heartbeat: Heartbeat) -> None:
+    def log_change(self, event: str, heartbeat: Heartbeat) -> None:
         """Logs what changed and by which heartbeat."""
         logs.say(
             logs.Part.NODE,
-            sentence,
+            event,
             service=self.service,
             instance=heartbeat.instance,
             born_ms=heartbeat.start_unix_ms,
--- a/mangobay/httpheaders.py
+++ b/mangobay/httpheaders.py
@@ -67,24 +67,29 @@
     A field that a caller smuggles in (`Mangobay-Outcome`, say) would be taken
     for the word of a node; nothing with the system's prefix is passed on.
     """
-    kept = [
+    forwarded = [
         messages.Header(name=name, value=value)
         for name, value in received.items()
         if is_end_to_end(name)
     ]
     if "Connection" not in received:
-        return kept
+        return forwarded
     tokens = received["Connection"].lower().split(",")
-    named = {token.strip() for token in tokens}
-    return [header for header in kept if header.name.lower() not in named]
+    connection_options = {token.strip() for token in tokens}
+    return [
+        header
+        for header in forwarded
+        if header.name.lower() not in connection_options
+    ]
 
 
 @functools.lru_cache(maxsize=4096)
 def is_end_to_end(name: str) -> bool:
     """Returns whether a field is passed on; names repeat, so it is cached."""
-    low = name.lower()
-    return low not in NOT_FORWARDED_HEADERS and not low.startswith(
-        RESERVED_PREFIX
+    lower_name = name.lower()
+    return (
+        lower_name not in NOT_FORWARDED_HEADERS
+        and not lower_name.startswith(RESERVED_PREFIX)
     )
 
 
@@ -177,27 +182,27 @@
 
 def split_tracestate(tracestate: str) -> tuple[ids.CallId, str]:
     """Returns the system's entry of a tracestate, and the other entries."""
-    mine = ids.CallId("")
-    others = []
+    parent_id = ids.CallId("")
+    other_entries = []
     for entry in tracestate.split(","):
         key, _, value = entry.strip().partition("=")
         if key == TRACESTATE_KEY:
-            mine = ids.CallId(value)
+            parent_id = ids.CallId(value)
         elif key:
-            others.append(entry.strip())
-    return mine, ",".join(others)
+            other_entries.append(entry.strip())
+    return parent_id, ",".join(other_entries)
 
 
-def join_tracestate(call_id: ids.CallId, others: str) -> str:
+def join_tracestate(call_id: ids.CallId, other_entries: str) -> str:
     """Returns a tracestate with the system's entry in front."""
-    mine = f"{TRACESTATE_KEY}={call_id}"
-    return f"{mine},{others}" if others else mine
+    own_entry = f"{TRACESTATE_KEY}={call_id}"
+    return f"{own_entry},{other_entries}" if other_entries else own_entry
 
 
 def find(headers: list[messages.Header], name: str) -> str:
     """Returns the value of the first field of a name, or an empty text."""
-    low = name.lower()
+    lower_name = name.lower()
     for header in headers:
-        if header.name.lower() == low:
+        if header.name.lower() == lower_name:
             return header.value
     return ""
--- a/mangobay/localapi.py
+++ b/mangobay/localapi.py
@@ -44,12 +44,12 @@
         self,
         local_edge: edges.LocalEdge,
         local_services: localservices.LocalServices,
-        counts: metrics.Metrics,
+        call_metrics: metrics.Metrics,
         readiness_source: ReadinessSource,
     ):
         self.local_edge = local_edge
         self.local_services = local_services
-        self.metrics = counts
+        self.metrics = call_metrics
         self.readiness_source = readiness_source
         self.handlers = {
             ("POST", "/mangobay/announce"): self.announce,
@@ -65,10 +65,10 @@
         if not path.startswith(edges.API_PREFIX):
             return await self.local_edge.handle(request)
         try:
-            answer = self.handlers.get((request.method, path))
-            if answer is None:
+            handler = self.handlers.get((request.method, path))
+            if handler is None:
                 raise calls.RequestError(Reason.NO_SUCH_OPERATION, path)
-            return await answer(request)
+            return await handler(request)
         except calls.RequestError as error:
             reply = messages.Reply(
                 outcome=messages.Outcome.NOT_RUN, reason=error.reason
--- a/mangobay/localservices.py
+++ b/mangobay/localservices.py
@@ -19,7 +19,7 @@
 """How often within the silence the announcements are looked through."""
 
 ChangeListener = collections.abc.Callable[[list[messages.ServedService]], None]
-AdmissionFactory = collections.abc.Callable[[], "admission.Admission"]
+AdmissionFactory = collections.abc.Callable[[], "admission.AdmissionController"]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
@@ -120,32 +120,32 @@
           calls.RequestError: too many services on one host.
         """
         now = asyncio.get_running_loop().time()
-        known = self.by_name.get(announcement.service)
-        if known is None:
+        local_service = self.by_name.get(announcement.service)
+        if local_service is None:
             if len(self.by_name) >= MAX_SERVICES:
                 raise malformed_error([f"more than {MAX_SERVICES} services"])
-            known = LocalService(
+            local_service = LocalService(
                 announcement=announcement,
                 renewed_at=now,
                 admission=self.make_admission(),
             )
-            self.by_name[announcement.service] = known
-            known.admission.set_slots(announcement.slots)
+            self.by_name[announcement.service] = local_service
+            local_service.admission.set_slots(announcement.slots)
             self.report_change("announced", announcement.service)
             return
-        changed = known.announcement.slots != announcement.slots
-        known.announcement = announcement
-        known.renewed_at = now
+        changed = local_service.announcement.slots != announcement.slots
+        local_service.announcement = announcement
+        local_service.renewed_at = now
         if changed:
-            known.admission.set_slots(announcement.slots)
+            local_service.admission.set_slots(announcement.slots)
             self.report_change("slots changed", announcement.service)
 
     def withdraw(self, service: ids.ServiceName) -> bool:
         """Takes a service out; returns whether it was there."""
-        place = self.by_name.pop(service, None)
-        if place is None:
+        local_service = self.by_name.pop(service, None)
+        if local_service is None:
             return False
-        place.admission.refuse_all_waiting()
+        local_service.admission.refuse_all_waiting()
         self.report_change("left", service)
         return True
 
@@ -153,21 +153,23 @@
         """Returns a service served here, None where it is not."""
         return self.by_name.get(service)
 
-    def report_change(self, sentence: str, service: ids.ServiceName) -> None:
+    def report_change(self, event: str, service: ids.ServiceName) -> None:
         """Logs a change and passes the services on to the watcher."""
-        logs.say(logs.Part.NODE, f"backend server {sentence}", service=service)
+        logs.say(logs.Part.NODE, f"backend server {event}", service=service)
         self.on_change(
             [
-                messages.ServedService(name=name, slots=each.announcement.slots)
-                for name, each in sorted(self.by_name.items())
+                messages.ServedService(
+                    name=name, slots=local_service.announcement.slots
+                )
+                for name, local_service in sorted(self.by_name.items())
             ]
         )
 
     def remove_expired(self) -> None:
         """Takes out every service that fell silent."""
-        oldest = asyncio.get_running_loop().time() - self.timeout_seconds
-        for service, each in list(self.by_name.items()):
-            if each.renewed_at < oldest:
+        cutoff = asyncio.get_running_loop().time() - self.timeout_seconds
+        for service, local_service in list(self.by_name.items()):
+            if local_service.renewed_at < cutoff:
                 del self.by_name[service]
                 self.report_change("fell silent", service)
 
@@ -180,8 +182,12 @@
     def next_check_delay(self) -> float:
         """Returns the seconds until one of them may have fallen silent."""
         now = asyncio.get_running_loop().time()
-        first = min(
-            (each.renewed_at for each in self.by_name.values()), default=now
+        oldest_renewal = min(
+            (
+                local_service.renewed_at
+                for local_service in self.by_name.values()
+            ),
+            default=now,
         )
-        shortest = self.timeout_seconds / EXPIRY_CHECKS_PER_TIMEOUT
-        return max(first + self.timeout_seconds - now, shortest)
+        min_delay = self.timeout_seconds / EXPIRY_CHECKS_PER_TIMEOUT
+        return max(oldest_renewal + self.timeout_seconds - now, min_delay)
--- a/mangobay/operationtable.py
+++ b/mangobay/operationtable.py
@@ -193,8 +193,8 @@
     changed: dict[ids.OperationName, messages.Operation | None],
 ) -> None:
     """Puts a service's changed operations in; None takes one away."""
-    before = services.get(service)
-    merged = {**(before.operations if before else {}), **changed}
+    previous = services.get(service)
+    merged = {**(previous.operations if previous else {}), **changed}
     kept = {name: operation for name, operation in merged.items() if operation}
     services.pop(service, None)
     if kept:
--- a/mangobay/requestlog.py
+++ b/mangobay/requestlog.py
@@ -27,7 +27,7 @@
 
     def __init__(self):
         self.tokens = BURST_LINES
-        self.counted = 0.0
+        self.refilled_at = 0.0
         self.dropped = 0
 
     def log_unanswered(
@@ -82,9 +82,9 @@
     def take_token(self) -> bool:
         """Counts a line; returns whether it may be written."""
         now = asyncio.get_running_loop().time()
-        earned = (now - self.counted) * LINES_PER_SECOND
-        self.tokens = min(BURST_LINES, self.tokens + earned)
-        self.counted = now
+        new_tokens = (now - self.refilled_at) * LINES_PER_SECOND
+        self.tokens = min(BURST_LINES, self.tokens + new_tokens)
+        self.refilled_at = now
         if self.tokens < 1:
             self.dropped += 1
             return False
--- a/mangobay/shutdown.py
+++ b/mangobay/shutdown.py
@@ -63,5 +63,5 @@
 
     def write_timeout(self, now: float) -> float:
         """Returns how long callers have to take answers, once it ends."""
-        left = self.kill_at - EXIT_MARGIN_SECONDS - now
-        return max(min(left, MAX_CLOSE_SECONDS), MIN_WRITE_SECONDS)
+        remaining = self.kill_at - EXIT_MARGIN_SECONDS - now
+        return max(min(remaining, MAX_CLOSE_SECONDS), MIN_WRITE_SECONDS)
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -32,7 +32,7 @@
 
 def operation(name: str, method: str = "GET", **more) -> messages.Operation:
     """Returns a row of the sheet for service `stock`, visible from outside."""
-    given = {
+    defaults = {
         "service": "stock",
         "path": f"/{name}",
         "idempotent": method == "GET",
@@ -42,7 +42,7 @@
         "tries": 4,
         "importance": messages.Importance.HIGH,
     }
-    return messages.Operation(name=name, method=method, **(given | more))
+    return messages.Operation(name=name, method=method, **(defaults | more))
 
 
 OPERATIONS = [
@@ -132,13 +132,13 @@
 
     async def serve(self, started: node.Node, server: BackendServer) -> None:
         """Starts the backend server and announces it over HTTP."""
-        listening = await asyncio.get_running_loop().create_server(
+        listener = await asyncio.get_running_loop().create_server(
             web.Server(server.respond, handler_cancellation=True),
             "127.0.0.1",
             0,
         )
-        self.stack.callback(listening.close)
-        port = listening.sockets[0].getsockname()[1]
+        self.stack.callback(listener.close)
+        port = listener.sockets[0].getsockname()[1]
         started.backend_server = server
         status, _, body = await self.send(
             started.local_listener.address,
@@ -154,15 +154,15 @@
         """Gives every node the view of all that serve `stock`."""
         members = [
             messages.Member(
-                host=each.process.host,
-                incarnation=each.process.incarnation,
+                host=started.process.host,
+                incarnation=started.process.incarnation,
                 data_centre="centre",
-                peer_address=str(each.peer_listener.address),
+                peer_address=str(started.peer_listener.address),
                 slots=4,
-                leaving=each.executor.leaving,
+                leaving=started.executor.leaving,
             )
-            for each in self.nodes
-            if each.local_services.by_name
+            for started in self.nodes
+            if started.local_services.by_name
         ]
         view = messages.ServiceView(
             service="stock",
@@ -176,8 +176,8 @@
             active=True,
         )
         self.views.append(view)
-        for each in self.nodes:
-            each.control.views.on_next({"stock": view})
+        for started in self.nodes:
+            started.control.views.on_next({"stock": view})
 
     async def send(
         self, address: options.Address, method: str, path: str, **more
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -53,14 +53,14 @@
 @contextlib.asynccontextmanager
 async def scripted_server(*scripts):
     server = ScriptedServer(scripts)
-    listening = await asyncio.start_server(server.serve, "127.0.0.1", 0)
-    port = listening.sockets[0].getsockname()[1]
-    calling = aiohttpbackend.Backend(100, 2.0, 100)
+    listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
+    port = listener.sockets[0].getsockname()[1]
+    client = aiohttpbackend.Backend(100, 2.0, 100)
     try:
-        yield server, calling, options.Address("127.0.0.1", port)
+        yield server, client, options.Address("127.0.0.1", port)
     finally:
-        await calling.close()
-        listening.close()
+        await client.close()
+        listener.close()
 
 
 def request(method="GET", idempotent=True, seconds=WAIT_SECONDS, headers=()):
@@ -80,10 +80,10 @@
     """Exactly one request, and a true word on its fate."""
 
     async def test_a_whole_answer_comes_back_and_nothing_is_added(self):
-        async with scripted_server(OK) as (server, calling, address):
-            given = messages.Header(name="X-Sale", value="1")
-            answer = await calling.send(
-                address, request(headers=[given]), backend.Attempt()
+        async with scripted_server(OK) as (server, client, address):
+            extra_header = messages.Header(name="X-Sale", value="1")
+            answer = await client.send(
+                address, request(headers=[extra_header]), backend.Attempt()
             )
         assert (answer.status, answer.body) == (200, b"ok")
         lines = server.requests[0].split(b"\r\n")
@@ -104,17 +104,15 @@
         """
         async with scripted_server(OK, CLOSE_WITHOUT_RESPONSE, OK) as (
             server,
-            calling,
+            client,
             address,
         ):
-            await calling.send(
+            await client.send(
                 address, request(method, idempotent), backend.Attempt()
             )
             attempt = backend.Attempt()
             with pytest.raises(errors.BackendBrokenError):
-                await calling.send(
-                    address, request(method, idempotent), attempt
-                )
+                await client.send(address, request(method, idempotent), attempt)
             assert server.connections == 1
         assert attempt.sent
         assert len(server.requests) == 2
@@ -129,13 +127,13 @@
         before = invariants.broken[broken]
         async with scripted_server(OK, CLOSE_WITHOUT_RESPONSE, OK) as (
             server,
-            calling,
+            client,
             address,
         ):
-            calling.idempotent_session._retry_connection = True
-            await calling.send(address, request(), backend.Attempt())
+            client.idempotent_session._retry_connection = True
+            await client.send(address, request(), backend.Attempt())
             with pytest.raises(errors.InvariantError):
-                await calling.send(address, request(), backend.Attempt())
+                await client.send(address, request(), backend.Attempt())
         assert len(server.requests) == 2
         assert invariants.broken.pop(broken) == before + 1
 
@@ -171,35 +169,35 @@
         """
         async with scripted_server(ClosingBytes(script)) as (
             _,
-            calling,
+            client,
             address,
         ):
             attempt = backend.Attempt()
             with pytest.raises(error):
-                await calling.send(address, request(), attempt)
+                await client.send(address, request(), attempt)
             assert attempt.sent
 
     async def test_nobody_listening_means_that_nothing_was_sent(self):
-        async with scripted_server() as (_, calling, address):
+        async with scripted_server() as (_, client, address):
             nobody = options.Address(address.ip, 1)
             attempt = backend.Attempt()
             with pytest.raises(errors.BackendUnreachableError):
-                await calling.send(nobody, request(), attempt)
+                await client.send(nobody, request(), attempt)
             assert not attempt.sent
 
     async def test_a_shut_gate_sends_no_byte(self):
-        class ShutError(Exception):
+        class SendRefusedError(Exception):
             pass
 
-        async def gate():
-            raise ShutError
+        async def refuse_send():
+            raise SendRefusedError
 
-        async with scripted_server(OK) as (server, calling, address):
-            attempt = backend.Attempt(gate)
-            with pytest.raises(ShutError):
-                await calling.send(address, request(), attempt)
+        async with scripted_server(OK) as (server, client, address):
+            attempt = backend.Attempt(refuse_send)
+            with pytest.raises(SendRefusedError):
+                await client.send(address, request(), attempt)
             assert not attempt.sent
-            await calling.send(address, request(), backend.Attempt())
+            await client.send(address, request(), backend.Attempt())
             assert len(server.requests) == 1
 
     async def test_the_deadline_and_a_hang_up_close_the_connection(self):
@@ -208,30 +206,30 @@
         Both at the deadline and when the caller hangs up, the connection is
         closed, so that the backend server sees that nobody waits.
         """
-        async with scripted_server(NO_RESPONSE) as (server, calling, address):
+        async with scripted_server(NO_RESPONSE) as (server, client, address):
             with pytest.raises(errors.BackendTimeoutError):
-                await calling.send(
+                await client.send(
                     address, request(seconds=0.05), backend.Attempt()
                 )
             await asyncio.wait_for(server.closed.wait(), WAIT_SECONDS)
-        async with scripted_server(NO_RESPONSE) as (server, calling, address):
+        async with scripted_server(NO_RESPONSE) as (server, client, address):
             sending = asyncio.create_task(
-                calling.send(address, request(), backend.Attempt())
+                client.send(address, request(), backend.Attempt())
             )
             while not server.requests:
                 await asyncio.sleep(0.001)
             sending.cancel()
             await asyncio.wait_for(server.closed.wait(), WAIT_SECONDS)
-            assert calling.inflight == 0
+            assert client.inflight == 0
 
     async def test_redirects_and_cookies_are_left_to_the_caller(self):
         moved = (
             b"HTTP/1.1 302 Found\r\nLocation: /x\r\nSet-Cookie: a=1\r\n"
             b"Content-Encoding: gzip\r\nContent-Length: 3\r\n\r\nraw"
         )
-        async with scripted_server(moved, OK) as (server, calling, address):
-            answer = await calling.send(address, request(), backend.Attempt())
-            await calling.send(address, request(), backend.Attempt())
+        async with scripted_server(moved, OK) as (server, client, address):
+            answer = await client.send(address, request(), backend.Attempt())
+            await client.send(address, request(), backend.Attempt())
         assert (answer.status, answer.body) == (302, b"raw")
         assert httpheaders.find(answer.headers, "set-cookie") == "a=1"
         assert b"ookie" not in server.requests[1]
@@ -244,10 +242,10 @@
         use the old one, since it can be repeated.
         """
         monkeypatch.setattr(backend, "NON_IDEMPOTENT_REUSE_SECONDS", 0.01)
-        async with scripted_server(*[OK] * 4) as (server, calling, address):
+        async with scripted_server(*[OK] * 4) as (server, client, address):
             for idempotent in (True, False):
                 for _ in range(2):
-                    await calling.send(
+                    await client.send(
                         address,
                         request(idempotent=idempotent),
                         backend.Attempt(),
@@ -260,7 +258,7 @@
             b"HTTP/1.1 503 Busy\r\nMangobay-Outcome: not_run\r\n"
             b"Content-Length: 0\r\n\r\n"
         )
-        async with scripted_server(shed) as (_, calling, address):
-            answer = await calling.send(address, request(), backend.Attempt())
+        async with scripted_server(shed) as (_, client, address):
+            answer = await client.send(address, request(), backend.Attempt())
         assert answer.shed
         assert not httpheaders.find(answer.headers, httpheaders.OUTCOME)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -17,9 +17,9 @@
 
 
 @pytest.fixture
-async def world(tmp_path):
-    async with nodes.node_cluster(tmp_path) as made:
-        yield made
+async def cluster(tmp_path):
+    async with nodes.node_cluster(tmp_path) as started_cluster:
+        yield started_cluster
 
 
 def reason_of(body: bytes) -> str:
@@ -69,10 +69,10 @@
     """What a caller gets."""
 
     async def test_a_call_reaches_the_backend_server_and_comes_back(
-        self, world
+        self, cluster
     ):
-        one = await world.start("one", echo)
-        status, headers, body = await world.send_outside(
+        one = await cluster.start("one", echo)
+        status, headers, body = await cluster.send_outside(
             one, "GET", "/stock/price?a=%2f"
         )
         assert (status, body) == (200, b"GET /price?a=%2f")
@@ -82,26 +82,26 @@
         assert request.headers[httpheaders.TRACEPARENT].split("-")[2] in state
         assert 0 < float(request.headers[httpheaders.REQUEST_TIMEOUT]) <= 20
 
-    async def test_callers_cannot_set_what_the_system_sets(self, world):
+    async def test_callers_cannot_set_what_the_system_sets(self, cluster):
         """A caller poses as a running call of a backend server.
 
         It sends the system's own headers and a parent call's id.  None of
         them reaches the backend server, and its call stays a first call.
         """
-        one = await world.start("one", echo)
+        one = await cluster.start("one", echo)
         forged = {
             "Mangobay-Service": "stock",
             "Mangobay-Outcome": "answered",
             "tracestate": "a=1,mangobay=0123456789abcdef",
         }
-        await world.send_outside(one, "GET", "/stock/price", headers=forged)
+        await cluster.send_outside(one, "GET", "/stock/price", headers=forged)
         (request,) = one.backend_server.requests
         assert not [n for n in request.headers if n.startswith("Mangobay")]
         assert request.headers["tracestate"].endswith(",a=1")
         assert "0123456789abcdef" not in request.headers["tracestate"]
 
     async def test_a_hidden_operation_answers_as_one_that_does_not_exist(
-        self, world
+        self, cluster
     ):
         """An outsider guesses at the names of internal services.
 
@@ -109,8 +109,8 @@
         wrong method: status, headers and body are the same bytes, and each
         asks control for as much, so that the time tells nothing either.
         """
-        one = await world.start("one", echo)
-        seen = []
+        one = await cluster.start("one", echo)
+        responses = []
         for method, path in (
             ("GET", "/freight/freight"),
             ("GET", "/stock/inside"),
@@ -118,13 +118,17 @@
             ("GET", "/stock/nothing"),
             ("DELETE", "/stock/price"),
         ):
-            world.interest_requests.clear()
-            status, headers, body = await world.send_outside(one, method, path)
-            kept = {n: v for n, v in headers.items() if n != "Date"}
-            seen.append((status, kept, body, len(world.interest_requests)))
-        assert seen[0][0] == 404
-        assert all(each == seen[0] for each in seen)
-        assert seen[0][3] == 2
+            cluster.interest_requests.clear()
+            status, headers, body = await cluster.send_outside(
+                one, method, path
+            )
+            stable_headers = {n: v for n, v in headers.items() if n != "Date"}
+            responses.append(
+                (status, stable_headers, body, len(cluster.interest_requests))
+            )
+        assert responses[0][0] == 404
+        assert all(each == responses[0] for each in responses)
+        assert responses[0][3] == 2
         assert not one.backend_server.requests
 
     @pytest.mark.parametrize(
@@ -147,11 +151,13 @@
         ],
     )
     async def test_bad_requests_are_problems_that_did_not_run(
-        self, world, path, more, status, reason
+        self, cluster, path, more, status, reason
     ):
-        one = await world.start("one", echo)
-        got, headers, body = await world.send_outside(one, "POST", path, **more)
-        assert (got, reason_of(body)) == (status, reason)
+        one = await cluster.start("one", echo)
+        actual_status, headers, body = await cluster.send_outside(
+            one, "POST", path, **more
+        )
+        assert (actual_status, reason_of(body)) == (status, reason)
         assert headers[httpheaders.OUTCOME] == "not_run"
         assert headers["Content-Type"] == "application/problem+json"
         assert not one.backend_server.requests
@@ -165,39 +171,43 @@
             b"",
         ],
     )
-    async def test_slow_and_broken_senders_are_ended(self, world, sent):
+    async def test_slow_and_broken_senders_are_ended(self, cluster, sent):
         """A caller sends half a body, half a head, nothing, or no HTTP.
 
         It gets a refusal where HTTP allows one, and the connection ends
         within the settings' time, so that it holds nothing.
         """
-        one = await world.start("one", echo)
+        one = await cluster.start("one", echo)
         reader, writer = await asyncio.open_connection(
             *one.outside_listener.address
         )
         writer.write(sent)
-        got = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
+        received = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
         writer.close()
-        assert not got or b"Mangobay-Outcome: not_run" in got
+        assert not received or b"Mangobay-Outcome: not_run" in received
         assert not one.backend_server.requests
 
     async def test_a_caller_that_hangs_up_frees_idempotent_work_only(
-        self, world
+        self, cluster
     ):
         """Two callers hang up, one on a price and one on a booking.
 
         The price is cancelled down to the backend server.  The booking may
         have been made already, so it is finished.
         """
-        one = await world.start("one", self.answer_when_released)
+        one = await cluster.start("one", self.answer_when_released)
         self.release = asyncio.Event()
         for method, path in (("GET", "/stock/price"), ("POST", "/stock/book")):
-            asking = asyncio.create_task(world.send_outside(one, method, path))
-            seen = len(one.backend_server.requests) + 1
+            request_task = asyncio.create_task(
+                cluster.send_outside(one, method, path)
+            )
+            expected = len(one.backend_server.requests) + 1
             await nodes.wait_until(
-                lambda seen=seen: len(one.backend_server.requests) == seen
+                lambda expected=expected: (
+                    len(one.backend_server.requests) == expected
+                )
             )
-            asking.cancel()
+            request_task.cancel()
         await nodes.wait_until(lambda: one.backend_server.cancelled == 1)
         await nodes.wait_until(lambda: not one.dispatcher.in_flight.open)
         assert len(one.executor.parents) == 1
@@ -209,12 +219,14 @@
         await self.release.wait()
         return await echo(request)
 
-    async def test_the_deadline_ends_a_call_with_its_true_outcome(self, world):
+    async def test_the_deadline_ends_a_call_with_its_true_outcome(
+        self, cluster
+    ):
         async def never(request):
             await asyncio.Event().wait()
 
-        one = await world.start("one", never)
-        status, _, body = await world.send_outside(one, "GET", "/stock/late")
+        one = await cluster.start("one", never)
+        status, _, body = await cluster.send_outside(one, "GET", "/stock/late")
         assert (status, reason_of(body)) == (504, "deadline_exceeded")
         assert json.loads(body)["outcome"] == "unknown"
 
@@ -222,62 +234,64 @@
 class TestPeers:
     """A call that another node serves."""
 
-    async def test_a_call_goes_to_the_node_of_the_service(self, world):
-        one = await world.start("one", None)
-        two = await world.start("two", echo)
-        status, _, body = await world.send_outside(
+    async def test_a_call_goes_to_the_node_of_the_service(self, cluster):
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", echo)
+        status, _, body = await cluster.send_outside(
             one, "POST", "/stock/book", data=b"x"
         )
         assert (status, body) == (200, b"POST /book")
         assert len(two.backend_server.requests) == 1
 
-    async def test_a_leaving_node_refuses_and_another_one_serves(self, world):
+    async def test_a_leaving_node_refuses_and_another_one_serves(self, cluster):
         """A host is asked to leave while the others do not know it yet.
 
         Their calls still arrive there.  It refuses them unrun, the sender
         goes on to another host at once, and the caller sees only answers.
         """
-        one = await world.start("one", None)
-        two = await world.start("two", echo)
-        three = await world.start("three", echo)
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", echo)
+        three = await cluster.start("three", echo)
         two.executor.leaving = True
         for _ in range(6):
-            status, _, body = await world.send_outside(
+            status, _, body = await cluster.send_outside(
                 one, "POST", "/stock/book"
             )
             assert status == 200, body
         assert not two.backend_server.requests
         assert len(three.backend_server.requests) == 6
 
-    async def test_a_dead_host_costs_no_call(self, world):
-        one = await world.start("one", None)
-        two = await world.start("two", echo)
-        await world.start("three", echo)
+    async def test_a_dead_host_costs_no_call(self, cluster):
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", echo)
+        await cluster.start("three", echo)
         await two.peer_listener.close()
         for _ in range(6):
-            status, _, body = await world.send_outside(
+            status, _, body = await cluster.send_outside(
                 one, "GET", "/stock/price"
             )
             assert status == 200, body
 
-    async def test_a_keyed_call_runs_once_whichever_node_is_asked(self, world):
-        one = await world.start("one", echo)
-        two = await world.start("two", echo)
+    async def test_a_keyed_call_runs_once_whichever_node_is_asked(
+        self, cluster
+    ):
+        one = await cluster.start("one", echo)
+        two = await cluster.start("two", echo)
         headers = {"Idempotency-Key": "0190b0aa-foreign"}
         for started in (one, two, one):
-            status, _, body = await world.send_outside(
+            status, _, body = await cluster.send_outside(
                 started, "POST", "/stock/sign", headers=headers
             )
             assert (status, body) == (200, b"POST /sign")
         requests = one.backend_server.requests + two.backend_server.requests
         assert len(requests) == 1
 
-    async def test_without_a_lease_only_idempotent_calls_go(self, world):
-        one = await world.start("one", echo)
+    async def test_without_a_lease_only_idempotent_calls_go(self, cluster):
+        one = await cluster.start("one", echo)
         one.control.lease.until = 0
-        status, _, _ = await world.send_outside(one, "GET", "/stock/price")
+        status, _, _ = await cluster.send_outside(one, "GET", "/stock/price")
         assert status == 200
-        status, headers, body = await world.send_outside(
+        status, headers, body = await cluster.send_outside(
             one, "POST", "/stock/book"
         )
         assert (status, reason_of(body)) == (503, "no_lease")
@@ -287,7 +301,7 @@
 class TestLocalEdge:
     """Calls that the backend server makes, and its announcements."""
 
-    async def test_a_child_call_inherits_from_its_parent(self, world):
+    async def test_a_child_call_inherits_from_its_parent(self, cluster):
         """A price needs a freight estimate, which only services may ask for.
 
         The backend server passes on the tracestate that came with its call.
@@ -301,20 +315,20 @@
                 return web.Response(text="child")
             state = request.headers["tracestate"]
             local = one.local_listener.address
-            _, _, body = await world.send(
+            _, _, body = await cluster.send(
                 local, "GET", "/stock/inside", headers={"tracestate": state}
             )
             return web.Response(body=body)
 
-        one = await world.start("one", ask_freight)
+        one = await cluster.start("one", ask_freight)
         serve = one.executor.serve
 
-        async def note(call):
+        async def record(call):
             calls.append(call)
             return await serve(call)
 
-        one.executor.serve = note
-        _, _, body = await world.send_outside(
+        one.executor.serve = record
+        _, _, body = await cluster.send_outside(
             one, "GET", "/stock/price", headers={"Request-Timeout": "9"}
         )
         assert body == b"child"
@@ -327,33 +341,33 @@
         assert child.tree == parent.tree != ""
         assert 0 < child.tries < parent.tries
 
-    async def test_a_caller_cannot_choose_its_place_among_equals(self, world):
+    async def test_a_caller_cannot_choose_its_place_among_equals(self, cluster):
         """A caller sends the same traceparent with every call.
 
         Who of one importance is shed first goes by the name of the call
         tree. Were that the trace id, one lucky id would let all its calls
         through; so the node makes the name, while the trace stays theirs.
         """
-        seen = []
-        one = await world.start("one", echo)
+        calls = []
+        one = await cluster.start("one", echo)
         serve = one.executor.serve
 
-        async def note(call):
-            seen.append(call)
+        async def record(call):
+            calls.append(call)
             return await serve(call)
 
-        one.executor.serve = note
-        theirs = f"00-{'ab' * 16}-{'cd' * 8}-01"
+        one.executor.serve = record
+        traceparent = f"00-{'ab' * 16}-{'cd' * 8}-01"
         for _ in range(2):
-            await world.send_outside(
-                one, "GET", "/stock/price", headers={"traceparent": theirs}
+            await cluster.send_outside(
+                one, "GET", "/stock/price", headers={"traceparent": traceparent}
             )
-        first, second = seen
+        first, second = calls
         assert first.traceparent[3:35] == second.traceparent[3:35] == "ab" * 16
         assert first.tree != second.tree
 
     async def test_a_backend_server_that_repeats_spends_the_trees_tries(
-        self, world
+        self, cluster
     ):
         """A backend server repeats its child call in a loop of its own.
 
@@ -367,7 +381,7 @@
                 return web.Response(status=500)
             state = {"tracestate": request.headers["tracestate"]}
             for _ in range(9):
-                status, _, _ = await world.send(
+                status, _, _ = await cluster.send(
                     one.local_listener.address,
                     "GET",
                     "/stock/inside",
@@ -376,58 +390,58 @@
                 statuses.append(status)
             return web.Response()
 
-        one = await world.start("one", repeat)
-        await world.send_outside(one, "GET", "/stock/price")
+        one = await cluster.start("one", repeat)
+        await cluster.send_outside(one, "GET", "/stock/price")
         assert statuses.count(500) <= 1 + 4
         assert statuses[-1] == 503
         assert not one.executor.parents
 
-    async def test_who_has_not_announced_itself_may_not_call(self, world):
-        one = await world.start("one", None)
+    async def test_who_has_not_announced_itself_may_not_call(self, cluster):
+        one = await cluster.start("one", None)
         local = one.local_listener.address
-        status, _, body = await world.send(local, "GET", "/stock/price")
+        status, _, body = await cluster.send(local, "GET", "/stock/price")
         assert (status, reason_of(body)) == (400, "malformed")
 
     async def test_announcements_tell_all_faults_and_can_be_withdrawn(
-        self, world
+        self, cluster
     ):
-        one = await world.start("one", echo)
+        one = await cluster.start("one", echo)
         local = one.local_listener.address
         path = "/mangobay/announce"
         bad = json.dumps({"service": "a/b", "address": "db:1", "slots": 0})
-        status, _, body = await world.send(local, "POST", path, data=bad)
+        status, _, body = await cluster.send(local, "POST", path, data=bad)
         assert status == 400
         detail = json.loads(body)["detail"]
         assert all(word in detail for word in ("service", "address", "slots"))
-        status, _, _ = await world.send(
+        status, _, _ = await cluster.send(
             local, "DELETE", path, data='{"service": "stock"}'
         )
         assert (status, one.control.serves) == (200, [])
 
-    async def test_a_silent_backend_server_is_gone(self, world):
-        one = await world.start("one", echo, "[backend]\nsilence = 0.2\n")
+    async def test_a_silent_backend_server_is_gone(self, cluster):
+        one = await cluster.start("one", echo, "[backend]\nsilence = 0.2\n")
         assert one.control.serves
         await nodes.wait_until(lambda: not one.control.serves)
 
-    async def test_health_readiness_and_metrics_are_told(self, world):
-        one = await world.start("one", echo)
-        await world.send_outside(one, "GET", "/stock/price")
+    async def test_health_readiness_and_metrics_are_told(self, cluster):
+        one = await cluster.start("one", echo)
+        await cluster.send_outside(one, "GET", "/stock/price")
         local = one.local_listener.address
-        assert (await world.send(local, "GET", "/mangobay/health"))[0] == 200
-        assert (await world.send(local, "GET", "/mangobay/ready"))[0] == 200
-        _, _, body = await world.send(local, "GET", "/mangobay/metrics")
+        assert (await cluster.send(local, "GET", "/mangobay/health"))[0] == 200
+        assert (await cluster.send(local, "GET", "/mangobay/ready"))[0] == 200
+        _, _, body = await cluster.send(local, "GET", "/mangobay/metrics")
         text = body.decode()
         assert 'outcome="answered"' in text
         assert 'promise="not_run_is_true"' in text
         one.control.lease.until = 0
-        assert (await world.send(local, "GET", "/mangobay/ready"))[0] == 503
+        assert (await cluster.send(local, "GET", "/mangobay/ready"))[0] == 503
 
 
 class TestLeaving:
     """A planned stop."""
 
     async def test_what_is_in_flight_is_finished_and_nothing_new_taken(
-        self, world
+        self, cluster
     ):
         """An operator drains a host while a booking runs there.
 
@@ -440,23 +454,23 @@
             await release.wait()
             return await echo(request)
 
-        one = await world.start("one", wait)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", wait)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.control.draining.on_next(True)
         await nodes.wait_until(lambda: one.executor.leaving)
-        status, _, body = await world.send_outside(one, "GET", "/stock/price")
+        status, _, body = await cluster.send_outside(one, "GET", "/stock/price")
         assert (status, reason_of(body)) == (503, "leaving")
         assert one.control.leaving
         release.set()
-        assert (await asking)[0] == 200
-        world.publish_views()
+        assert (await request_task)[0] == 200
+        cluster.publish_views()
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_told_a_second_time_it_goes_on_leaving(self, world):
+    async def test_told_a_second_time_it_goes_on_leaving(self, cluster):
         """A second SIGTERM cuts what the first one waits for."""
         release = asyncio.Event()
 
@@ -464,9 +478,9 @@
             await release.wait()
             return await echo(request)
 
-        one = await world.start("one", wait)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", wait)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.control.draining.on_next(True)
@@ -475,18 +489,20 @@
         await asyncio.sleep(0.1)
         assert not one.ended.is_set()
         release.set()
-        assert (await asking)[0] == 200
-        world.publish_views()
+        assert (await request_task)[0] == 200
+        cluster.publish_views()
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_interrupted_while_leaving_it_says_what_it_cuts(self, world):
+    async def test_interrupted_while_leaving_it_says_what_it_cuts(
+        self, cluster
+    ):
         async def never(request):
             await asyncio.Event().wait()
 
-        one = await world.start("one", never)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", never)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.interrupt()
@@ -494,20 +510,20 @@
         one.interrupt()
         assert one.ended.is_set()
         assert one.cut == 2
-        asking.cancel()
+        request_task.cancel()
 
 
 class TestLargeAnswers:
     """Answers that their callers read slowly."""
 
-    async def test_a_leaving_node_waits_until_one_is_taken(self, world):
+    async def test_a_leaving_node_waits_until_one_is_taken(self, cluster):
         """The process ends, and the rest of a whole answer is lost."""
         size = 8_000_000
 
         async def large(request):
             return web.Response(body=bytes(size))
 
-        one = await world.start("one", large)
+        one = await cluster.start("one", large)
         async with RawClient(
             one.outside_listener.address, limit=1000
         ) as caller:
@@ -518,7 +534,7 @@
             await nodes.wait_until(lambda: not one.dispatcher.in_flight.open)
             one.stop()
             await nodes.wait_until(lambda: one.executor.leaving)
-            world.publish_views()
+            cluster.publish_views()
             await asyncio.sleep(0.3)
             assert not one.ended.is_set()
             _, _, body = await caller.read_response()
@@ -527,14 +543,16 @@
         assert one.cut == 0
 
     async def test_a_leaving_node_waits_until_other_nodes_took_theirs(
-        self, world
+        self, cluster
     ):
         """Calls of other nodes that ran to their end are told `unknown`."""
         slow = BlockingHandler(bytes(4_000_000))
-        one = await world.start("one", None)
-        two = await world.start("two", slow)
-        asking = [
-            asyncio.create_task(world.send_outside(one, "POST", "/stock/book"))
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", slow)
+        request_task = [
+            asyncio.create_task(
+                cluster.send_outside(one, "POST", "/stock/book")
+            )
             for _ in range(4)
         ]
         await nodes.wait_until(lambda: len(two.backend_server.requests) == 4)
@@ -542,13 +560,13 @@
         peer.connection.transport.pause_reading()
         two.stop()
         await nodes.wait_until(lambda: two.executor.leaving)
-        world.publish_views()
+        cluster.publish_views()
         slow.release.set()
         await nodes.wait_until(lambda: two.executor.idle)
         await asyncio.sleep(0.3)
         assert not two.ended.is_set()
         peer.connection.transport.resume_reading()
-        assert [(await each)[0] for each in asking] == [200] * 4
+        assert [(await each)[0] for each in request_task] == [200] * 4
         await asyncio.wait_for(two.ended.wait(), nodes.WAIT_SECONDS)
 
 
@@ -569,10 +587,12 @@
 class TestLateRequests:
     """Requests that are not whole when the node is told to leave."""
 
-    async def test_one_whose_body_ends_late_is_refused_unrun(self, world):
+    async def test_one_whose_body_ends_late_is_refused_unrun(self, cluster):
         """It is carried by a node that ends under it."""
-        one = await world.start("one", None, header_timeout=nodes.WAIT_SECONDS)
-        two = await world.start("two", echo)
+        one = await cluster.start(
+            "one", None, header_timeout=nodes.WAIT_SECONDS
+        )
+        two = await cluster.start("two", echo)
         async with RawClient(one.outside_listener.address) as caller:
             caller.send("POST", "/stock/book", b"a", length=2)
             await nodes.wait_until(lambda: one.outside_listener.busy)
@@ -585,28 +605,28 @@
         assert not two.backend_server.requests
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
 
-    async def test_one_that_waits_for_control_is_refused_unrun(self, world):
+    async def test_one_that_waits_for_control_is_refused_unrun(self, cluster):
         """It is carried by a node that ends under it."""
-        one = await world.start("one", None)
-        two = await world.start("two", echo)
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", echo)
         one.control.tables.on_next(operationtable.OperationTable())
-        told = asyncio.Event()
+        control_answered = asyncio.Event()
 
         async def interest(service):
-            world.interest_requests.append(service)
-            await told.wait()
-            one.control.tables.on_next(world.make_table())
+            cluster.interest_requests.append(service)
+            await control_answered.wait()
+            one.control.tables.on_next(cluster.make_table())
 
         one.control.interest = interest
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
-        await nodes.wait_until(lambda: world.interest_requests)
+        await nodes.wait_until(lambda: cluster.interest_requests)
         one.stop()
         await asyncio.sleep(0.2)
         assert not one.ended.is_set()
-        told.set()
-        status, _, body = await asking
+        control_answered.set()
+        status, _, body = await request_task
         assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
@@ -615,13 +635,13 @@
 class TestCallsOfBackendServers:
     """Calls that the backend server of a leaving node makes."""
 
-    async def test_those_of_no_run_here_are_refused_unrun(self, world):
+    async def test_those_of_no_run_here_are_refused_unrun(self, cluster):
         """New work is taken until the node ends under it."""
         slow = BlockingHandler()
-        one = await world.start("one", slow)
-        two = await world.start("two", echo)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", slow)
+        two = await cluster.start("two", echo)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.stop()
@@ -629,22 +649,22 @@
         local = one.local_listener.address
         ended = {"tracestate": "mangobay=0123456789abcdef"}
         for headers in ({}, ended):
-            status, _, body = await world.send(
+            status, _, body = await cluster.send(
                 local, "GET", "/stock/inside", headers=headers
             )
             assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
         slow.release.set()
-        assert (await asking)[0] == 200
+        assert (await request_task)[0] == 200
 
-    async def test_those_of_a_run_here_are_taken(self, world):
+    async def test_those_of_a_run_here_are_taken(self, cluster):
         """A run that was taken in time fails, since its calls are refused."""
         slow = BlockingHandler()
 
         async def ask_freight(request):
             await slow.release.wait()
             state = {"tracestate": request.headers["tracestate"]}
-            status, _, body = await world.send(
+            status, _, body = await cluster.send(
                 one.local_listener.address,
                 "GET",
                 "/stock/inside",
@@ -652,26 +672,28 @@
             )
             return web.Response(status=status, body=body)
 
-        one = await world.start("one", ask_freight)
-        two = await world.start("two", echo)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", ask_freight)
+        two = await cluster.start("two", echo)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.stop()
         await nodes.wait_until(lambda: one.executor.leaving)
         slow.release.set()
-        status, _, body = await asking
+        status, _, body = await request_task
         assert (status, body) == (200, b"GET /inside")
         assert len(two.backend_server.requests) == 1
-        world.publish_views()
+        cluster.publish_views()
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_one_whose_body_ends_late_is_refused_unrun(self, world):
+    async def test_one_whose_body_ends_late_is_refused_unrun(self, cluster):
         """New work is carried by a node that ends under it."""
-        one = await world.start("one", echo, header_timeout=nodes.WAIT_SECONDS)
-        two = await world.start("two", echo)
+        one = await cluster.start(
+            "one", echo, header_timeout=nodes.WAIT_SECONDS
+        )
+        two = await cluster.start("two", echo)
         async with RawClient(one.local_listener.address) as caller:
             caller.send("POST", "/stock/book", b"a", length=2)
             await nodes.wait_until(lambda: one.local_listener.busy)
@@ -686,10 +708,10 @@
 class TestKeptConnections:
     """What callers on kept connections see of a node that leaves."""
 
-    async def test_each_answer_closes_its_connection(self, world):
+    async def test_each_answer_closes_its_connection(self, cluster):
         """A caller's next request crosses the end of the process."""
         slow = BlockingHandler()
-        one = await world.start("one", slow)
+        one = await cluster.start("one", slow)
         address = one.outside_listener.address
         async with RawClient(address) as busy, RawClient(address) as idle:
             idle.send("GET", "/stock/nothing")
@@ -709,10 +731,10 @@
             assert (status, headers["connection"]) == (200, "close")
             assert await busy.is_closed()
 
-    async def test_requests_behind_one_in_flight_are_answered(self, world):
+    async def test_requests_behind_one_in_flight_are_answered(self, cluster):
         """Closed behind the first answer, a caller's others get none."""
         slow = BlockingHandler()
-        one = await world.start("one", slow)
+        one = await cluster.start("one", slow)
         async with RawClient(one.outside_listener.address) as caller:
             caller.send("POST", "/stock/book")
             caller.send("GET", "/stock/price")
@@ -721,16 +743,16 @@
             one.stop()
             await nodes.wait_until(lambda: one.executor.leaving)
             slow.release.set()
-            seen = [await caller.read_response() for _ in range(3)]
-            assert [status for status, _, _ in seen] == [200, 503, 503]
-            closes = ["connection" in headers for _, headers, _ in seen]
+            responses = [await caller.read_response() for _ in range(3)]
+            assert [status for status, _, _ in responses] == [200, 503, 503]
+            closes = ["connection" in headers for _, headers, _ in responses]
             assert closes == [False, False, True]
             assert await caller.is_closed()
         assert len(one.backend_server.requests) == 1
 
-    async def test_those_of_a_backend_server_are_closed_too(self, world):
+    async def test_those_of_a_backend_server_are_closed_too(self, cluster):
         """Its next call crosses the end of the process."""
-        one = await world.start("one", echo)
+        one = await cluster.start("one", echo)
         one.stop()
         await nodes.wait_until(lambda: one.executor.leaving)
         async with RawClient(one.local_listener.address) as caller:
@@ -743,60 +765,66 @@
 class TestEndOfGrace:
     """What callers are told of calls that outlast the grace."""
 
-    async def test_a_callers_own_is_answered_as_unknown(self, world):
+    async def test_a_callers_own_is_answered_as_unknown(self, cluster):
         """Its connection ends with no answer."""
-        one = await world.start("one", BlockingHandler(), SHORT_GRACE_SETTINGS)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start(
+            "one", BlockingHandler(), SHORT_GRACE_SETTINGS
+        )
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         await self.end(one)
-        status, headers, body = await asking
+        status, headers, body = await request_task
         assert (status, reason_of(body)) == (502, "leaving")
         assert headers[httpheaders.OUTCOME] == "unknown"
         assert headers["Connection"] == "close"
 
-    async def test_one_of_another_node_is_answered_as_unknown(self, world):
+    async def test_one_of_another_node_is_answered_as_unknown(self, cluster):
         """Its caller is told that it has not run."""
-        one = await world.start("one", None)
-        two = await world.start("two", BlockingHandler(), SHORT_GRACE_SETTINGS)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", None)
+        two = await cluster.start(
+            "two", BlockingHandler(), SHORT_GRACE_SETTINGS
+        )
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: two.backend_server.requests)
         await self.end(two)
-        _, headers, _ = await asking
+        _, headers, _ = await request_task
         assert headers[httpheaders.OUTCOME] == "unknown"
 
-    async def test_one_of_a_run_here_is_answered_as_unknown(self, world):
+    async def test_one_of_a_run_here_is_answered_as_unknown(self, cluster):
         """The run waits for an answer until its connection ends."""
-        told = []
+        child_responses = []
         leaving = asyncio.Event()
 
         async def ask_freight(request):
             await leaving.wait()
             state = {"tracestate": request.headers["tracestate"]}
             local = one.local_listener.address
-            asking = world.send(local, "GET", "/stock/inside", headers=state)
-            told.append(await asking)
+            request_task = cluster.send(
+                local, "GET", "/stock/inside", headers=state
+            )
+            child_responses.append(await request_task)
             return web.Response()
 
-        one = await world.start("one", ask_freight, SHORT_GRACE_SETTINGS)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", ask_freight, SHORT_GRACE_SETTINGS)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
-        two = await world.start("two", BlockingHandler())
+        two = await cluster.start("two", BlockingHandler())
         one.stop()
         await nodes.wait_until(lambda: one.executor.leaving)
         leaving.set()
         await nodes.wait_until(lambda: two.backend_server.requests)
         await self.end(one)
-        await nodes.wait_until(lambda: told)
-        ((status, headers, body),) = told
+        await nodes.wait_until(lambda: child_responses)
+        ((status, headers, body),) = child_responses
         assert (status, reason_of(body)) == (502, "leaving")
         assert headers[httpheaders.OUTCOME] == "unknown"
-        assert (await asking)[0] == 502
+        assert (await request_task)[0] == 502
 
     async def end(self, node):
         """Tells a node to leave, and closes it when its grace is over."""
@@ -805,27 +833,29 @@
         assert node.cut
         await node.close()
 
-    async def test_calls_that_wait_for_a_slot_are_refused_unrun(self, world):
+    async def test_calls_that_wait_for_a_slot_are_refused_unrun(self, cluster):
         """Their callers are told `unknown`, and dare not send them again."""
         slow = BlockingHandler()
-        one = await world.start("one", slow, SHORT_GRACE_SETTINGS)
-        asking = [
-            asyncio.create_task(world.send_outside(one, "POST", "/stock/book"))
+        one = await cluster.start("one", slow, SHORT_GRACE_SETTINGS)
+        request_task = [
+            asyncio.create_task(
+                cluster.send_outside(one, "POST", "/stock/book")
+            )
             for _ in range(8)
         ]
         await nodes.wait_until(lambda: len(one.dispatcher.in_flight.open) == 8)
         await asyncio.sleep(0.1)
         await self.end(one)
-        told = [
-            each[1][httpheaders.OUTCOME]
-            for each in await asyncio.gather(*asking)
+        outcomes = [
+            response[1][httpheaders.OUTCOME]
+            for response in await asyncio.gather(*request_task)
         ]
-        assert told.count("unknown") == len(one.backend_server.requests)
-        assert told.count("not_run") == 8 - len(one.backend_server.requests)
+        assert outcomes.count("unknown") == len(one.backend_server.requests)
+        assert outcomes.count("not_run") == 8 - len(one.backend_server.requests)
 
-    async def test_a_request_that_is_not_whole_is_not_run(self, world):
+    async def test_a_request_that_is_not_whole_is_not_run(self, cluster):
         """It is run by a node that is gone before the answer."""
-        one = await world.start(
+        one = await cluster.start(
             "one", echo, SHORT_GRACE_SETTINGS, header_timeout=nodes.WAIT_SECONDS
         )
         async with RawClient(one.outside_listener.address) as caller:
--- a/tests/test_httpheaders.py
+++ b/tests/test_httpheaders.py
@@ -21,11 +21,11 @@
                 ("Transfer-Encoding", "chunked"),
             ]
         )
-        kept = [
-            (each.name, each.value)
-            for each in httpheaders.end_to_end_headers(received)
+        forwarded = [
+            (header.name, header.value)
+            for header in httpheaders.end_to_end_headers(received)
         ]
-        assert kept == [
+        assert forwarded == [
             ("Accept", "*/*"),
             ("Set-Cookie", "a"),
             ("Set-Cookie", "b"),
@@ -66,7 +66,12 @@
         assert parsed.traceparent(parsed.parent_span) == text
 
     def test_tracestate_keeps_the_entries_of_others(self):
-        mine, others = httpheaders.split_tracestate("a=1, mangobay=77 ,b=2")
-        assert (mine, others) == ("77", "a=1,b=2")
-        assert httpheaders.join_tracestate("8", others) == "mangobay=8,a=1,b=2"
+        parent_id, other_entries = httpheaders.split_tracestate(
+            "a=1, mangobay=77 ,b=2"
+        )
+        assert (parent_id, other_entries) == ("77", "a=1,b=2")
+        assert (
+            httpheaders.join_tracestate("8", other_entries)
+            == "mangobay=8,a=1,b=2"
+        )
         assert httpheaders.split_tracestate("") == ("", "")
--- a/tests/test_operationtable.py
+++ b/tests/test_operationtable.py
@@ -20,7 +20,7 @@
     """Which operation a request names."""
 
     def test_literal_segments_go_first(self):
-        rows = make_table(
+        table = make_table(
             operation("any", "/a/*/*"),
             operation("end", "/a/*/c"),
             operation("start", "/a/b/*"),
@@ -29,7 +29,7 @@
         targets = {"/a/b/c?q": "plain", "/a/b/z": "start"}
         targets |= {"/a/z/c": "end", "/a/z/z": "any"}
         for target, name in targets.items():
-            assert rows.find("units", "GET", target).name == name
+            assert table.find("units", "GET", target).name == name
 
     @pytest.mark.parametrize(
         "target", ["/a/b", "/b/", "/b/..", "/b/%2E%2e", "/b/x%2Fy", "/b/c/d"]
@@ -40,10 +40,10 @@
         A backend server that resolves `..` or `%2F` would serve another path
         than the one the sheet allows, so such a segment names nothing.
         """
-        rows = make_table(operation("one", "/b/*"))
-        assert rows.find("units", "GET", target) is None
-        assert rows.find("units", "POST", "/b/c") is None
-        assert rows.find("other", "GET", "/b/c") is None
+        table = make_table(operation("one", "/b/*"))
+        assert table.find("units", "GET", target) is None
+        assert table.find("units", "POST", "/b/c") is None
+        assert table.find("other", "GET", "/b/c") is None
 
 
 class TestAllows:
@@ -66,9 +66,12 @@
     def test_leads_from_one_set_of_rows_to_another(self):
         old = [operation("a", "/a"), operation("b", "/b")]
         new = [operation("b", "/c"), operation("d", "/d", "other")]
-        step = operationtable.difference(old, new)
+        difference = operationtable.difference(old, new)
         update = messages.TableUpdate(
-            revision=2, base=1, changed=step.changed, removed=step.removed
+            revision=2,
+            base=1,
+            changed=difference.changed,
+            removed=difference.removed,
         )
         before = make_table(*old)
         after = before.updated(update)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -7,39 +7,39 @@
 
 def shutdown_after(grace, linger):
     """Returns the departure of a process that was told to stop at 100."""
-    made = shutdown.ShutdownSchedule()
-    made.start(100.0, grace, linger)
-    return made
+    schedule = shutdown.ShutdownSchedule()
+    schedule.start(100.0, grace, linger)
+    return schedule
 
 
 class TestTimes:
     """The times within the grace."""
 
     def test_a_process_that_was_not_told_takes_everything(self):
-        made = shutdown.ShutdownSchedule()
-        assert made.accepts_work(1e9)
-        assert made.allows_deadline(1e9)
+        schedule = shutdown.ShutdownSchedule()
+        assert schedule.accepts_work(1e9)
+        assert schedule.allows_deadline(1e9)
 
     def test_work_is_taken_for_the_linger_and_cut_before_the_grace_ends(self):
-        made = shutdown_after(grace=6, linger=2)
-        assert made.accepts_work(101.9)
-        assert not made.accepts_work(102)
-        assert made.abort_at == 105
-        assert made.allows_deadline(105)
-        assert not made.allows_deadline(105.1)
+        schedule = shutdown_after(grace=6, linger=2)
+        assert schedule.accepts_work(101.9)
+        assert not schedule.accepts_work(102)
+        assert schedule.abort_at == 105
+        assert schedule.allows_deadline(105)
+        assert not schedule.allows_deadline(105.1)
 
     @pytest.mark.parametrize("grace", [1.5, 3, 6, 30])
     def test_half_of_the_grace_is_left_for_what_was_taken_last(self, grace):
         """Work taken late in a short grace is cut before it is done."""
-        made = shutdown_after(grace, linger=60)
-        assert made.accept_until == 100 + grace / 2
+        schedule = shutdown_after(grace, linger=60)
+        assert schedule.accept_until == 100 + grace / 2
 
     @pytest.mark.parametrize("grace", [1.5, 3, 6, 30])
     def test_nothing_is_cut_before_the_last_sixth_of_the_grace(self, grace):
         """In a short grace, work is cut while there is time to end it."""
-        made = shutdown_after(grace, linger=2)
-        assert made.abort_at >= 100 + grace * 5 / 6
-        assert made.abort_at < 100 + grace
+        schedule = shutdown_after(grace, linger=2)
+        assert schedule.abort_at >= 100 + grace * 5 / 6
+        assert schedule.abort_at < 100 + grace
 
     @pytest.mark.parametrize(
         ("now", "seconds"), [(102, 1.0), (105, 0.6), (105.6, 0.1), (106, 0.1)]
@@ -48,5 +48,5 @@
         self, now, seconds
     ):
         """Answers are cut with time left, or by the kill."""
-        made = shutdown_after(grace=6, linger=2)
-        assert made.write_timeout(now) == pytest.approx(seconds)
+        schedule = shutdown_after(grace=6, linger=2)
+        assert schedule.write_timeout(now) == pytest.approx(seconds)
