--- a/mangobay/aiohttpbackend.py
+++ b/mangobay/aiohttpbackend.py
@@ -1,4 +1,4 @@
-"""Calls to the backend server on this host, each sent at most once."""
+"""Requests to backend servers over aiohttp, each sent at most once."""
 
 import asyncio
 import contextvars
@@ -15,28 +15,33 @@
     "Content-Type",
     "User-Agent",
 )
-"""Fields that aiohttp would add to a request that has none."""
+"""Headers that aiohttp would otherwise add to a request without them."""
 BODILESS_STATUSES = frozenset({204, 304})
 
 current_attempt: contextvars.ContextVar[backend.Attempt] = (
     contextvars.ContextVar("attempt")
 )
-"""The attempt of this task: aiohttp builds the request object itself."""
+"""The attempt of this task.
+
+A context variable passes it on, since aiohttp creates the request object.
+"""
 
 
 class SingleSendRequest(aiohttp.ClientRequest):
-    """Asks the gate when the connection stands and no byte has gone out."""
+    """A request that awaits `before_send` and is sent at most once."""
 
     async def send(self, conn):
         """Sends the request unless it was sent before.
 
-        aiohttp sends GET, PUT and DELETE a second time when a kept
-        connection breaks: a PUT that books would run twice.  Its switch is
-        set off as well; this holds whatever becomes of the switch.
+        aiohttp resends idempotent methods such as GET, PUT and DELETE when a
+        kept-alive connection breaks, so that a PUT which makes a booking
+        would run twice.  `make_session` turns this off; the check here also
+        holds if aiohttp drops that switch.
 
         Raises:
-          errors.InvariantError: a byte of this attempt went out before.
-          aiohttp.ClientConnectionError: the connection ended at the gate.
+          errors.InvariantError: The attempt was sent before.
+          aiohttp.ClientConnectionError: The connection was closed while
+            `before_send` ran.
         """
         attempt = current_attempt.get()
         invariants.check(
@@ -53,10 +58,10 @@
 
 
 class Backend:
-    """Connections to the backend servers on this host.
+    """An HTTP client for the backend servers on this host.
 
     Attributes:
-      inflight: requests that hold a connection.
+      inflight: Number of requests that hold a connection.
     """
 
     def __init__(
@@ -79,15 +84,16 @@
         request: backend.Request,
         attempt: backend.Attempt,
     ) -> backend.Response:
-        """Returns the whole answer to one request.
+        """Sends one request and returns the complete response.
 
         Cancelling the task closes the connection.
 
         Raises:
-          errors.BackendUnreachableError: no byte was sent.
-          errors.BackendBrokenError: sent, but no whole answer came.
-          errors.BackendTimeoutError: the time to give up came.
-          Exception: whatever the gate raises; no byte was sent.
+          errors.BackendUnreachableError: No byte was sent.
+          errors.BackendBrokenError: The request was sent, but no complete
+            response came.
+          errors.BackendTimeoutError: `abort_at` was reached.
+          Exception: Raised by `before_send`; no byte was sent.
         """
         if self.inflight >= self.max_connections:
             raise errors.BackendUnreachableError("every connection is in use")
@@ -97,7 +103,7 @@
             async with asyncio.timeout_at(request.abort_at):
                 return await self.round_trip(address, request)
         except TimeoutError:
-            raise errors.BackendTimeoutError("no answer in time") from None
+            raise errors.BackendTimeoutError("no response in time") from None
         except aiohttp.ClientPayloadError as error:
             raise errors.IncompleteResponseError(str(error)) from None
         except (aiohttp.ClientError, OSError) as error:
@@ -111,7 +117,7 @@
     async def round_trip(
         self, address: options.Address, request: backend.Request
     ) -> backend.Response:
-        """Sends the request and reads the whole answer."""
+        """Sends the request and reads the complete response."""
         loop = asyncio.get_running_loop()
         session = (
             self.idempotent_session
@@ -144,13 +150,15 @@
     ) -> bytes:
         """Returns the whole body.
 
-        An answer that ends with its connection looks whole wherever the
-        backend server died: only a length or chunks tell.
+        A body that ends with the connection looks complete even if the
+        backend server crashed while sending it, so a content length or
+        chunked encoding is required.
 
         Raises:
-          errors.IncompleteAnswerError: nothing says where the answer ends.
-          errors.AnswerTooLargeError: it is above the limit.
-          aiohttp.ClientPayloadError: it ended early.
+          errors.IncompleteResponseError: The response has neither a content
+            length nor chunked encoding.
+          errors.ResponseTooLargeError: The body is above the limit.
+          aiohttp.ClientPayloadError: The body ended early.
         """
         transfer_encoding = response.headers.get(
             "Transfer-Encoding", ""
@@ -162,10 +170,12 @@
             and "chunked" not in transfer_encoding
             and not has_no_body
         ):
-            raise errors.IncompleteResponseError("the answer has no length")
+            raise errors.IncompleteResponseError(
+                "the response has neither a Content-Length nor chunked encoding"
+            )
         if not has_no_body and (content_length or 0) > self.max_response_bytes:
             raise errors.ResponseTooLargeError(
-                f"an answer of {content_length} bytes"
+                f"a response of {content_length} bytes"
             )
         if content_length is not None:
             return await response.read()
@@ -175,19 +185,23 @@
             size += len(chunk)
             if size > self.max_response_bytes:
                 raise errors.ResponseTooLargeError(
-                    f"an answer above {self.max_response_bytes} bytes"
+                    f"a response above {self.max_response_bytes} bytes"
                 )
             chunks.append(chunk)
         return b"".join(chunks)
 
     async def close(self) -> None:
-        """Ends every connection."""
+        """Closes every connection."""
         await self.idempotent_session.close()
         await self.non_idempotent_session.close()
 
 
 def make_session(max_idle_seconds: float) -> aiohttp.ClientSession:
-    """Returns a session that adds, follows, keeps and repeats nothing."""
+    """Returns a session that sends requests as they are.
+
+    It adds no headers, follows no redirects, keeps no cookies and resends
+    nothing.
+    """
     connector = aiohttp.TCPConnector(
         limit=0,
         keepalive_timeout=max_idle_seconds if max_idle_seconds > 0 else None,
@@ -203,14 +217,14 @@
         max_line_size=leanhttp.MAX_LINE_BYTES,
         max_field_size=leanhttp.MAX_LINE_BYTES,
     )
-    # Off, a broken connection is told at once instead of through the check
-    # in GatedRequest, which would count it as a broken promise.
+    # With the switch off, a broken connection is reported directly.  Left on,
+    # the check in SingleSendRequest would count it as a violated invariant.
     session._retry_connection = False
     return session
 
 
 def is_shed(response: aiohttp.ClientResponse) -> bool:
-    """Returns whether the backend server says it did not run the request."""
+    """Returns whether the backend server reports that it ran nothing."""
     outcome = response.headers.get(httpheaders.OUTCOME, "").strip().lower()
     not_run = messages.Outcome.NOT_RUN.name.lower()
     return response.status == 503 and outcome == not_run
--- a/mangobay/backend.py
+++ b/mangobay/backend.py
@@ -1,4 +1,4 @@
-"""Requests to the backend server on this host and their answers."""
+"""Requests to the backend server on this host and their responses."""
 
 import collections.abc
 import dataclasses
@@ -8,21 +8,23 @@
 BeforeSend = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 
 NON_IDEMPOTENT_REUSE_SECONDS = 0.5
-"""A kept connection used within this time carries non-idempotent requests.
+"""Idle seconds up to which non-idempotent requests reuse a connection.
 
-A backend server that closes idle connections does so after seconds; on this
-host its close is seen at once.  So a request on so young a connection meets
-no idle close, whose outcome nobody could tell from a crash.
+Backend servers close idle connections after several seconds, and on the same
+host the close is seen at once.  A request on a connection this recently used
+therefore does not run into an idle close, which could not be told from a
+crash.
 """
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One request to the backend server.
+    """The progress of one request to the backend server.
 
     Attributes:
-      before_send: awaited once a connection stands, before the first byte.
-      sent: a byte may have gone out.
+      before_send: Callback awaited once the connection is open, before the
+        first byte is sent; an exception prevents the sending.
+      sent: Whether a byte may have been sent.
     """
 
     before_send: BeforeSend | None = None
@@ -31,16 +33,16 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Request:
-    """What is sent.
+    """A request to a backend server.
 
     Attributes:
-      method: in capitals.
-      target: path and query, as received.
-      headers: without those that are made for each hop.
-      body: the whole body.
-      idempotent: it may go over any kept connection.
-      deadline: loop time, told to the backend server.
-      abort_at: loop time at which the request is given up.
+      method: HTTP method in capitals.
+      target: Path and query, as received.
+      headers: Headers without those that are set for each hop.
+      body: The whole body.
+      idempotent: Whether it may use any kept-alive connection.
+      deadline: Loop time sent to the backend server as a timeout.
+      abort_at: Loop time at which the request is aborted.
     """
 
     method: str
@@ -54,11 +56,11 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Response:
-    """A whole answer.
+    """A complete response of a backend server.
 
     Attributes:
-      seconds: from the first byte of the request to the whole answer.
-      shed: the backend server says that it did not run the request.
+      seconds: Time from sending the request to the complete response.
+      shed: Whether the backend server says that it did not run the request.
     """
 
     status: int
--- a/mangobay/edges.py
+++ b/mangobay/edges.py
@@ -1,4 +1,4 @@
-"""The two HTTP edges: callers outside, and the backend server on this host."""
+"""HTTP handlers for outside callers and for backend servers on this host."""
 
 import asyncio
 import logging
@@ -32,22 +32,22 @@
 
 
 class Tables(typing.Protocol):
-    """What is needed of the subject of tables."""
+    """The part of the operation table subject that edges use."""
 
     value: operationtable.OperationTable
 
 
 class Directory(typing.Protocol):
-    """What is needed of `controlclient.ControlClient`."""
+    """The part of `controlclient.ControlClient` that edges use."""
 
     tables: Tables
 
     async def interest(self, service: ids.ServiceName) -> None:
-        """Returns once the table holds what control knows of a service."""
+        """Waits until the table has the control group's entry for a service."""
 
 
 class Edge:
-    """What both edges do with a request."""
+    """The request handling that both edges share."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self.rng = random.Random()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers one request; every answer says its outcome."""
+        """Handles one request; every response states its outcome."""
         detail = ""
         try:
             reply = await self.process_request(request)
@@ -85,26 +85,27 @@
         """Returns the reply to a request.
 
         Raises:
-          calls.RequestError: it became no call.
+          calls.RequestError: The request is refused before it becomes a call.
         """
         raise NotImplementedError
 
     def check_accepting(self) -> None:
-        """Refuses new work of a node that leaves.
+        """Checks that the node accepts new work.
 
-        A call that a run here makes belongs to work that was taken before.
+        Not for the child calls of a call that runs here: they belong to work
+        accepted before.
 
         Raises:
-          calls.RequestError: the node takes no more.
+          calls.RequestError: The node is leaving.
         """
         if self.executor.leaving:
             raise calls.RequestError(Reason.LEAVING, "")
 
     async def submit(self, request: calls.Request) -> messages.Reply:
-        """Brings a call in and counts how it ended."""
+        """Dispatches a call and counts its outcome."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        # What a caller that hung up would have been told: it may have run.
+        # Counted if the caller disconnects: the call may have run.
         reply = calls.unknown_reply(Reason.CANCELLED)
         try:
             reply = await self.dispatcher.handle(request)
@@ -124,7 +125,7 @@
         """Returns the whole body.
 
         Raises:
-          calls.RequestError: it is too long, too slow or incomplete.
+          calls.RequestError: The body is too long, too slow or incomplete.
         """
         return await httpserver.read_body(
             request, self.limits.body_bytes, self.limits.header_timeout
@@ -133,7 +134,7 @@
     def find_allowed(
         self, service: ids.ServiceName, method: str, target: str, caller
     ) -> messages.Operation | None:
-        """Returns the operation if the caller may reach it."""
+        """Returns the operation, or None if it is unknown or not allowed."""
         operation = self.directory.tables.value.find(service, method, target)
         if operation is None or not operationtable.OperationTable.allows(
             operation, caller
@@ -142,10 +143,10 @@
         return operation
 
     async def fetch_services(self, *services: ids.ServiceName) -> None:
-        """Waits until control told of the services.
+        """Waits until the table has the control group's entries for services.
 
         Raises:
-          calls.RequestError: no control host answers.
+          calls.RequestError: No control host answers.
         """
         try:
             await asyncio.gather(*map(self.directory.interest, services))
@@ -154,10 +155,10 @@
 
 
 class OutsideEdge(Edge):
-    """Takes requests from callers: /SERVICE/path.
+    """Handles requests of outside callers to /SERVICE/path.
 
     Attributes:
-      decoy: makes service names that nobody has.
+      decoy: Random suffix for service names that do not exist.
     """
 
     def __init__(self, *arguments):
@@ -165,10 +166,10 @@
         self.decoy = secrets.token_hex(8)
 
     async def process_request(self, request: web.BaseRequest) -> messages.Reply:
-        """Returns the reply to a caller's request.
+        """Returns the reply to an outside caller's request.
 
         Raises:
-          calls.RequestError: it became no call.
+          calls.RequestError: The request is refused before it becomes a call.
         """
         self.check_accepting()
         service, target = inbound.split_path(request.raw_path)
@@ -177,7 +178,7 @@
         deadline = inbound.deadline_of(operation, headers)
         key = inbound.key_of(headers)
         body = await self.read_body(request)
-        # It may have been told to leave while the request came in.
+        # The node may have started to leave while the body was read.
         self.check_accepting()
         return await self.submit(
             calls.Request(
@@ -203,14 +204,14 @@
     ) -> messages.Operation:
         """Returns an operation that is visible from outside.
 
-        A hidden service that this node knows would be refused at once, where
-        a name that it does not know costs a round trip to control: the time
-        would tell them apart.  So every refusal waits for the round trip of
-        the name and of a decoy that control never knows; both are remembered
-        equally long.
+        Response times must not reveal hidden services.  Without a decoy, a
+        hidden service that this node knows would be refused at once, while
+        an unknown name costs a round trip to the control group.  So every
+        refusal first asks for both the name and a decoy that never exists;
+        both are cached for the same time.
 
         Raises:
-          calls.RequestError: there is none, or none that may be seen.
+          calls.RequestError: There is no such operation, or it is hidden.
         """
         operation = self.find_allowed(service, method, target, ids.OUTSIDE)
         if operation is None:
@@ -224,10 +225,10 @@
     def make_trace(
         self, headers: httpheaders.HeaderMap
     ) -> httpheaders.TraceContext:
-        """Returns the caller's trace, or a new one.
+        """Returns the caller's trace context, or a new one.
 
-        Whether it is sampled is decided here: callers that set the flag on
-        every request would have every span recorded.
+        The sampling decision is made here, since callers that set the sampled
+        flag on every request would have every span recorded.
         """
         own_trace = httpheaders.new_trace(self.sample_rate)
         caller_trace = httpheaders.parse_traceparent(
@@ -241,13 +242,13 @@
 
 
 class LocalEdge(Edge):
-    """Takes the calls that the backend server on this host makes."""
+    """Handles the calls that backend servers on this host make."""
 
     async def process_request(self, request: web.BaseRequest) -> messages.Reply:
-        """Returns the reply to a call of the backend server.
+        """Returns the reply to a call of a backend server.
 
         Raises:
-          calls.RequestError: it became no call.
+          calls.RequestError: The request is refused before it becomes a call.
         """
         headers = request.headers
         parent = self.executor.parent_of(
@@ -286,7 +287,7 @@
     async def submit_child(
         self, call: calls.Request, parent: calls.Parent
     ) -> messages.Reply:
-        """Brings in a call that is part of a tree, with part of its tries."""
+        """Dispatches a child call with part of its parent's retry allowance."""
         running_call = parent.running_call
         child_target = f"{call.operation.service}{call.target}"
         if not running_call.allow_child(
@@ -314,11 +315,11 @@
     def identify_caller(
         self, headers: httpheaders.HeaderMap, parent: calls.Parent | None
     ) -> ids.CallerName:
-        """Returns the service that calls.
+        """Returns the calling service.
 
         Raises:
-          calls.RequestError: none announced itself, or it is not clear
-            which of several calls.
+          calls.RequestError: No service is announced, or several are and the
+            request names none of them.
         """
         if parent is not None:
             return ids.CallerName(parent.call.service)
@@ -330,7 +331,7 @@
             raise calls.RequestError(
                 Reason.MALFORMED,
                 f"announce the calling service first, and name it in "
-                f"{httpheaders.SERVICE} where several are announced",
+                f"{httpheaders.SERVICE} if several are announced",
             )
         return ids.CallerName(names[0])
 
@@ -344,7 +345,8 @@
         """Returns the operation that the caller asks for.
 
         Raises:
-          calls.RequestError: there is none, or the caller may not reach it.
+          calls.RequestError: There is no such operation, or the caller may
+            not call it.
         """
         operation = self.find_allowed(service, method, target, caller)
         if operation is None:
--- a/mangobay/heartbeats.py
+++ b/mangobay/heartbeats.py
@@ -1,8 +1,8 @@
-"""What the heartbeats of the backend server on this host say of it.
+"""Heartbeats of the backend server on this host.
 
-Heartbeats are late, repeated and out of order; one that a partition held back
-may come after its sender has crashed and another runs at the address.  So the
-newest incarnation counts, and of it the newest heartbeat.
+Heartbeats may be delayed, repeated or reordered.  One delayed by a network
+partition may even arrive after its sender has crashed and another process runs
+at the address.  So only the newest heartbeat of the newest incarnation counts.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 
 class State(enum.Enum):
-    """What a backend server says of itself."""
+    """The state that a backend server reports."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -21,16 +21,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Heartbeat:
-    """One message of a backend server about itself.
+    """A heartbeat of a backend server.
 
     Attributes:
-      instance: names the incarnation; may be used again by a later one.
-      start_unix_ms: when the incarnation started, Unix milliseconds.
-      sequence: increases with each heartbeat of the incarnation.
-      service: what it serves.
-      slots: requests that it runs at once.
-      state: whether it takes requests.
-      warmup_seconds: seconds for which it will still be slow after its start.
+      instance: Instance id; a later incarnation may reuse it.
+      start_unix_ms: Start of the incarnation, Unix milliseconds.
+      sequence: Number that increases with each heartbeat of the incarnation.
+      service: Service that it serves.
+      slots: Number of requests that it runs concurrently.
+      state: Whether it accepts requests.
+      warmup_seconds: Seconds for which it will still be slow after its
+        start.
     """
 
     instance: ids.InstanceId
@@ -43,32 +44,32 @@
 
 
 class HeartbeatResult(enum.Enum):
-    """What becomes of a heartbeat."""
+    """How a heartbeat is handled."""
 
     ACCEPTED = "taken"
     STALE = "older"
-    """A newer one was taken before: acknowledged, and nothing changed."""
+    """A newer one was accepted before: acknowledged, but ignored."""
     WRONG_SERVICE = "foreign"
-    """Of another service than the one on this host."""
+    """It names another service than the one on this host."""
 
 
 class Announcer(typing.Protocol):
-    """What is needed of `announcements.Announcements`."""
+    """The part of `localservices.LocalServices` that heartbeats use."""
 
     def announce(self, announcement: localservices.Announcement) -> None:
-        """Takes an announcement, new or renewed."""
+        """Adds a service or renews its announcement."""
 
     def withdraw(self, service: ids.ServiceName) -> bool:
-        """Takes a service out; returns whether it was there."""
+        """Removes a service; returns whether it was announced."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Incarnation:
-    """The newest incarnation that was heard of.
+    """The newest incarnation that sent a heartbeat.
 
     Attributes:
-      last_heartbeat: its newest heartbeat.
-      deregistered: it said that it goes; nothing brings it back.
+      last_heartbeat: Its newest heartbeat.
+      deregistered: Whether it deregistered, which is final.
     """
 
     last_heartbeat: Heartbeat
@@ -79,10 +80,10 @@
     """Turns heartbeats into announcements of one backend server.
 
     Attributes:
-      service: what it serves.
-      address: where it takes requests, by the settings: a heartbeat that
-        named another place could lead requests away.
-      current: the newest incarnation, None before the first heartbeat.
+      service: Service that it serves.
+      address: Address for its requests.  It comes from the settings, since an
+        address in a heartbeat could divert requests.
+      current: Newest incarnation, or None before the first heartbeat.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
         self.current: Incarnation | None = None
 
     def receive(self, heartbeat: Heartbeat) -> HeartbeatResult:
-        """Takes a heartbeat, or leaves it for a newer one."""
+        """Applies a heartbeat unless a newer one was applied before."""
         if heartbeat.service != self.service:
             return HeartbeatResult.WRONG_SERVICE
         if not self.is_newer(heartbeat):
@@ -114,8 +115,8 @@
             self.withdraw(heartbeat, previous)
             return HeartbeatResult.ACCEPTED
         if is_new:
-            # Another run knows nothing of the one before: its times and
-            # its limit start anew.
+            # The previous incarnation's service times and concurrency limit
+            # don't apply to a new process.
             self.announcer.withdraw(self.service)
             self.log_change("backend server starts", heartbeat)
         self.announcer.announce(
@@ -131,11 +132,11 @@
     def deregister(
         self, instance: ids.InstanceId, start_unix_ms: int | None
     ) -> None:
-        """Takes the word of a backend server that it is gone.
+        """Removes the backend server at its own request.
 
         Args:
-          instance: who says so.
-          start_unix_ms: its start, None where it does not say.
+          instance: Instance id of the sender.
+          start_unix_ms: Start of its incarnation, or None if not given.
         """
         current = self.current
         if current is None or current.last_heartbeat.instance != instance:
@@ -149,7 +150,7 @@
         self.withdraw(current.last_heartbeat, current)
 
     def is_newer(self, heartbeat: Heartbeat) -> bool:
-        """Returns whether a heartbeat says more than what is known."""
+        """Returns whether the heartbeat is newer than the last one."""
         if self.current is None:
             return True
         last = self.current.last_heartbeat
@@ -161,12 +162,12 @@
     def withdraw(
         self, heartbeat: Heartbeat, previous: Incarnation | None
     ) -> None:
-        """Takes the backend server out of use."""
+        """Stops sending requests to the backend server."""
         if self.announcer.withdraw(self.service) and previous is not None:
             self.log_change("backend server leaves", heartbeat)
 
     def log_change(self, event: str, heartbeat: Heartbeat) -> None:
-        """Logs what changed and by which heartbeat."""
+        """Logs a change and the heartbeat that caused it."""
         logs.say(
             logs.Part.NODE,
             event,
@@ -179,7 +180,7 @@
 
 
 def is_same_incarnation(first: Heartbeat, second: Heartbeat) -> bool:
-    """Returns whether two heartbeats are of one incarnation."""
+    """Returns whether two heartbeats are of the same incarnation."""
     return (first.instance, first.start_unix_ms) == (
         second.instance,
         second.start_unix_ms,
--- a/mangobay/httpheaders.py
+++ b/mangobay/httpheaders.py
@@ -1,4 +1,4 @@
-"""HTTP header fields: which are passed on, and what those of the system say."""
+"""HTTP headers: which are forwarded, and how the system's own are parsed."""
 
 import collections.abc
 import dataclasses
@@ -11,19 +11,22 @@
 from mangobay.generated import messages
 
 REQUEST_TIMEOUT = "Request-Timeout"
-"""Time left for the answer, decimal seconds."""
+"""Header with the time left for the response, in decimal seconds."""
 IDEMPOTENCY_KEY = "Idempotency-Key"
 TRACEPARENT = "traceparent"
 TRACESTATE = "tracestate"
 OUTCOME = "Mangobay-Outcome"
 REASON = "Mangobay-Reason"
 SERVICE = "Mangobay-Service"
-"""On the local listener: which of several announced services calls."""
+"""Header of the local listener that names the calling service.
+
+It is needed only where several services are announced on the host.
+"""
 RETRY_AFTER = "Retry-After"
 
 RESERVED_PREFIX = "mangobay-"
 TRACESTATE_KEY = "mangobay"
-"""The system's entry of tracestate; its value is the id of the parent call."""
+"""Key of the system's tracestate entry; the value is the parent call's id."""
 MAX_TIMEOUT_SECONDS = 3600.0
 MAX_KEY_LENGTH = 255
 
@@ -42,17 +45,17 @@
         "upgrade",
     }
 )
-"""Of one connection, never passed on (RFC 9110, 7.6.1)."""
+"""Headers of a single connection, never forwarded (RFC 9110, 7.6.1)."""
 NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
     "host",
     "request-timeout",
     "traceparent",
     "tracestate",
 }
-"""Of one connection, or made anew for each hop."""
+"""Headers that are hop-by-hop or set anew for each hop."""
 
 HeaderMap = collections.abc.Mapping[str, str]
-"""Names in any case; a name may stand several times in `items`."""
+"""Headers by name, in any case; `items` may repeat a name."""
 
 TRACEPARENT_PATTERN = re.compile(
     r"(?P<version>[0-9a-f]{2})-(?P<trace>[0-9a-f]{32})"
@@ -62,10 +65,11 @@
 
 
 def end_to_end_headers(received: HeaderMap) -> list[messages.Header]:
-    """Returns the end-to-end fields, without those only the system may set.
+    """Returns the end-to-end headers, without those reserved for the system.
 
-    A field that a caller smuggles in (`Mangobay-Outcome`, say) would be taken
-    for the word of a node; nothing with the system's prefix is passed on.
+    A reserved header set by a caller (`Mangobay-Outcome`, say) would be
+    taken for one set by a node, so no header with the reserved prefix is
+    forwarded.
     """
     forwarded = [
         messages.Header(name=name, value=value)
@@ -85,7 +89,7 @@
 
 @functools.lru_cache(maxsize=4096)
 def is_end_to_end(name: str) -> bool:
-    """Returns whether a field is passed on; names repeat, so it is cached."""
+    """Returns whether a header is forwarded; cached, since names repeat."""
     lower_name = name.lower()
     return (
         lower_name not in NOT_FORWARDED_HEADERS
@@ -94,10 +98,11 @@
 
 
 def parse_timeout(text: str) -> float:
-    """Returns the seconds of a Request-Timeout.
+    """Returns the seconds in a Request-Timeout header, capped at the maximum.
 
     Raises:
-      ValueError: with a message fit for the caller.
+      ValueError: The text is not a positive number; the message may be shown
+        to the caller.
     """
     try:
         seconds = float(text)
@@ -109,10 +114,11 @@
 
 
 def parse_idempotency_key(text: str) -> ids.IdempotencyKey:
-    """Returns an idempotency key; the quotes of a structured field go.
+    """Returns an idempotency key without the quotes of a structured field.
 
     Raises:
-      ValueError: with a message fit for the caller.
+      ValueError: The key is empty, too long or not printable; the message
+        may be shown to the caller.
     """
     key = text.strip()
     if len(key) > 1 and key[0] == key[-1] == '"':
@@ -126,12 +132,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TraceContext:
-    """Where a call stands in its trace.
+    """The trace context of a call.
 
     Attributes:
-      trace_id: 32 hex digits, the same for the whole call tree.
-      parent_span: span of the caller, 16 hex digits, or empty.
-      sampled: spans are recorded.
+      trace_id: Trace id of the whole call tree, 32 hex digits.
+      parent_span: Id of the caller's span, 16 hex digits, or empty.
+      sampled: Whether spans are recorded.
     """
 
     trace_id: str
@@ -139,12 +145,12 @@
     sampled: bool
 
     def traceparent(self, span: str) -> str:
-        """Returns the field that makes the span the parent."""
+        """Returns the traceparent header that makes the span the parent."""
         return f"00-{self.trace_id}-{span}-{'01' if self.sampled else '00'}"
 
 
 def parse_traceparent(text: str) -> TraceContext | None:
-    """Returns the trace that a traceparent names, None where it is malformed."""
+    """Returns the context in a traceparent, or None if it is malformed."""
     match = TRACEPARENT_PATTERN.fullmatch(text)
     if match is None or match["version"] == "ff":
         return None
@@ -155,33 +161,38 @@
 
 
 def child_trace(traceparent: str, call_id: ids.CallId) -> TraceContext:
-    """Returns the trace in a traceparent made by a node, unchecked."""
+    """Returns the context for calls made by a running call.
+
+    Args:
+      traceparent: Header of the running call; made by a node, so unchecked.
+      call_id: Id of the running call, which is also its span id.
+    """
     return TraceContext(traceparent[3:35], call_id, traceparent.endswith("1"))
 
 
 def new_call_id() -> ids.CallId:
-    """Returns a fresh id of a call; it is the id of its span as well."""
+    """Returns a new call id, which is also the id of the call's span."""
     return ids.CallId(f"{random.getrandbits(64) or 1:016x}")
 
 
 def new_tree_id() -> ids.TreeId:
-    """Returns a fresh name of a call tree.
+    """Returns a new call tree id.
 
-    Within an importance, its hash decides who is shed first. By the trace id
-    that a caller may send along, a caller could pick a lucky one and send all
-    its calls with it; what a node makes nobody can pick.
+    Among calls of equal importance, its hash decides which are shed first.
+    The trace id would not do: callers may send it along, so a caller could
+    choose one that is shed last and use it for all its calls.
     """
     return ids.TreeId(f"{random.getrandbits(64):016x}")
 
 
 def new_trace(sample_rate: float) -> TraceContext:
-    """Returns a trace of its own; sample is the share that is recorded."""
+    """Returns a new trace; `sample_rate` is the share of traces recorded."""
     trace_id = f"{random.getrandbits(128) or 1:032x}"
     return TraceContext(trace_id, "", random.random() < sample_rate)
 
 
 def split_tracestate(tracestate: str) -> tuple[ids.CallId, str]:
-    """Returns the system's entry of a tracestate, and the other entries."""
+    """Returns the parent call's id in a tracestate, and the other entries."""
     parent_id = ids.CallId("")
     other_entries = []
     for entry in tracestate.split(","):
@@ -194,13 +205,13 @@
 
 
 def join_tracestate(call_id: ids.CallId, other_entries: str) -> str:
-    """Returns a tracestate with the system's entry in front."""
+    """Returns a tracestate with the system's entry before the others."""
     own_entry = f"{TRACESTATE_KEY}={call_id}"
     return f"{own_entry},{other_entries}" if other_entries else own_entry
 
 
 def find(headers: list[messages.Header], name: str) -> str:
-    """Returns the value of the first field of a name, or an empty text."""
+    """Returns the value of the first header with the name, or an empty string."""
     lower_name = name.lower()
     for header in headers:
         if header.name.lower() == lower_name:
--- a/mangobay/localapi.py
+++ b/mangobay/localapi.py
@@ -21,24 +21,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Readiness:
-    """Whether callers should be sent here.
+    """Whether requests should be sent to this node.
 
     Attributes:
-      missing: what keeps the node from being ready, empty when it is.
+      missing: The conditions that are not met; empty if the node is ready.
     """
 
     missing: tuple[str, ...] = ()
 
 
 class ReadinessSource(typing.Protocol):
-    """Says how the node is."""
+    """Reports the readiness of the node."""
 
     def readiness(self) -> Readiness:
-        """Returns whether callers should be sent here."""
+        """Returns whether requests should be sent to this node."""
 
 
 class LocalApi:
-    """Answers /mangobay/... and passes all else to the local edge."""
+    """Handles /mangobay/... and passes other requests to the local edge."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         }
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers one request of the local listener."""
+        """Handles one request of the local listener."""
         path = request.raw_path.partition("?")[0]
         if not path.startswith(edges.API_PREFIX):
             return await self.local_edge.handle(request)
@@ -78,26 +78,26 @@
             )
 
     async def announce(self, request: web.BaseRequest) -> web.Response:
-        """Takes an announcement, new or renewed."""
+        """Adds an announced service or renews its announcement."""
         document = await self.read_json(request)
         self.local_services.announce(localservices.parse_announcement(document))
         return json_response({"silence": self.local_services.timeout_seconds})
 
     async def withdraw(self, request: web.BaseRequest) -> web.Response:
-        """Takes a service out: its backend server gets no new calls."""
+        """Removes a service, so that its backend server gets no new calls."""
         document = await self.read_json(request)
         service = document.get("service") if isinstance(document, dict) else ""
         if not self.local_services.withdraw(service):
             raise calls.RequestError(
-                Reason.MALFORMED, "service: not announced here"
+                Reason.MALFORMED, "service: not announced on this host"
             )
         return json_response({})
 
     async def read_json(self, request: web.BaseRequest) -> typing.Any:
-        """Returns the JSON document in the body.
+        """Returns the decoded JSON document in the body.
 
         Raises:
-          calls.RequestError: there is none.
+          calls.RequestError: The body is not JSON, or cannot be read.
         """
         body = await self.local_edge.read_body(request)
         try:
@@ -108,12 +108,12 @@
             ) from None
 
     async def health(self, request: web.BaseRequest) -> web.Response:
-        """Answers as long as the process turns."""
+        """Responds as long as the event loop runs."""
         del request
         return json_response({"status": "running"})
 
     async def ready(self, request: web.BaseRequest) -> web.Response:
-        """Says whether callers should be sent here, and what is missing."""
+        """Reports whether the node is ready, and what is missing."""
         del request
         missing = self.readiness_source.readiness().missing
         return json_response(
@@ -122,7 +122,7 @@
         )
 
     async def show_metrics(self, request: web.BaseRequest) -> web.Response:
-        """Answers with the metrics in the usual text format."""
+        """Responds with the metrics in the Prometheus text format."""
         del request
         return web.Response(
             body=self.metrics.render(),
@@ -131,5 +131,5 @@
 
 
 def json_response(document: dict, status: int = 200) -> web.Response:
-    """Returns a JSON answer."""
+    """Returns a JSON response."""
     return web.json_response(document, status=status)
--- a/mangobay/localservices.py
+++ b/mangobay/localservices.py
@@ -1,4 +1,4 @@
-"""Which backend servers on this host have announced themselves."""
+"""The services that backend servers on this host have announced."""
 
 import asyncio
 import collections.abc
@@ -16,7 +16,7 @@
 MAX_SERVICES = 64
 MAX_SLOTS = 100_000
 EXPIRY_CHECKS_PER_TIMEOUT = 4
-"""How often within the silence the announcements are looked through."""
+"""Largest number of expiry checks within the announcement timeout."""
 
 ChangeListener = collections.abc.Callable[[list[messages.ServedService]], None]
 AdmissionFactory = collections.abc.Callable[[], "admission.AdmissionController"]
@@ -24,15 +24,16 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Announcement:
-    """What a backend server says of itself.
+    """An announcement of a backend server.
 
     Attributes:
-      service: what it serves.
-      address: where it takes calls.
-      slots: calls it says it can run at once; a start, not the truth.
-      healthy: its own word; a hint that only keeps this node from preferring
-        it, since such words lag and lie.
-      instance: names its incarnation, where it told one.
+      service: Name of the service.
+      address: Address for its requests.
+      slots: Number of concurrent calls it claims to run; only the initial
+        concurrency limit, since the claim may be wrong.
+      healthy: Whether it reports itself healthy.  The report may be late or
+        wrong, so it only keeps this node from preferring its own host.
+      instance: Id of its incarnation, or empty if it sent none.
     """
 
     service: ids.ServiceName
@@ -44,12 +45,12 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class LocalService:
-    """A service that the backend server on this host serves.
+    """A service that a backend server on this host serves.
 
     Attributes:
-      announcement: the last announcement.
-      renewed_at: loop time when it came.
-      admission: of this service's calls here.
+      announcement: The last announcement.
+      renewed_at: Loop time of the last announcement.
+      admission: Admission control for the calls of the service.
     """
 
     announcement: Announcement
@@ -58,25 +59,28 @@
 
 
 def parse_announcement(document: typing.Any) -> Announcement:
-    """Returns the announcement in a JSON document.
+    """Returns the announcement in a decoded JSON document.
 
     Raises:
-      calls.RequestError: with every fault of the document.
+      calls.RequestError: The document is malformed; the message lists every
+        fault.
     """
     if not isinstance(document, dict):
-        raise malformed_error(["not a JSON object"])
+        raise malformed_error(["the announcement must be a JSON object"])
     faults = []
     service = document.get("service")
     if not isinstance(service, str) or not SERVICE_NAME_PATTERN.fullmatch(
         service
     ):
-        faults.append("service: a name of letters, digits, '.', '_' and '-'")
+        faults.append(
+            "service: expected a name of letters, digits, '.', '_' and '-'"
+        )
     slots = document.get("slots")
     if type(slots) is not int or not 1 <= slots <= MAX_SLOTS:
-        faults.append(f"slots: a whole number from 1 to {MAX_SLOTS}")
+        faults.append(f"slots: expected an integer from 1 to {MAX_SLOTS}")
     healthy = document.get("healthy", True)
     if not isinstance(healthy, bool):
-        faults.append("healthy: true or false")
+        faults.append("healthy: expected true or false")
     address = options.Address("", 0)
     try:
         address = options.parse_address(str(document.get("address")))
@@ -90,16 +94,17 @@
 
 
 def malformed_error(faults: list[str]) -> calls.RequestError:
-    """Returns the error that tells every fault at once."""
+    """Returns an error that lists every fault."""
     return calls.RequestError(messages.Reason.MALFORMED, "; ".join(faults))
 
 
 class LocalServices:
-    """The services served on this host; one goes when it falls silent.
+    """The services on this host, each removed unless its announcement is renewed.
 
     Attributes:
-      timeout_seconds: seconds without a renewal after which one is gone.
-      by_name: by service.
+      timeout_seconds: Seconds without a renewal after which a service is
+        removed.
+      by_name: Services by name.
     """
 
     def __init__(
@@ -114,16 +119,20 @@
         self.by_name: dict[ids.ServiceName, LocalService] = {}
 
     def announce(self, announcement: Announcement) -> None:
-        """Takes an announcement, new or renewed.
+        """Adds a service or renews its announcement.
 
         Raises:
-          calls.RequestError: too many services on one host.
+          calls.RequestError: There are too many services on the host.
         """
         now = asyncio.get_running_loop().time()
         local_service = self.by_name.get(announcement.service)
         if local_service is None:
             if len(self.by_name) >= MAX_SERVICES:
-                raise malformed_error([f"more than {MAX_SERVICES} services"])
+                raise malformed_error(
+                    [
+                        f"more than {MAX_SERVICES} services are announced on this host"
+                    ]
+                )
             local_service = LocalService(
                 announcement=announcement,
                 renewed_at=now,
@@ -141,7 +150,7 @@
             self.report_change("slots changed", announcement.service)
 
     def withdraw(self, service: ids.ServiceName) -> bool:
-        """Takes a service out; returns whether it was there."""
+        """Removes a service; returns whether it was announced."""
         local_service = self.by_name.pop(service, None)
         if local_service is None:
             return False
@@ -150,11 +159,11 @@
         return True
 
     def find(self, service: ids.ServiceName) -> LocalService | None:
-        """Returns a service served here, None where it is not."""
+        """Returns the service, or None if it is not announced here."""
         return self.by_name.get(service)
 
     def report_change(self, event: str, service: ids.ServiceName) -> None:
-        """Logs a change and passes the services on to the watcher."""
+        """Logs a change and calls the listener with all services."""
         logs.say(logs.Part.NODE, f"backend server {event}", service=service)
         self.on_change(
             [
@@ -166,21 +175,21 @@
         )
 
     def remove_expired(self) -> None:
-        """Takes out every service that fell silent."""
+        """Removes every service whose announcement timed out."""
         cutoff = asyncio.get_running_loop().time() - self.timeout_seconds
         for service, local_service in list(self.by_name.items()):
             if local_service.renewed_at < cutoff:
                 del self.by_name[service]
-                self.report_change("fell silent", service)
+                self.report_change("announcement expired", service)
 
     async def run_expiry(self) -> None:
-        """Looks for silent ones until cancelled."""
+        """Removes expired services until cancelled."""
         while True:
             await asyncio.sleep(self.next_check_delay())
             self.remove_expired()
 
     def next_check_delay(self) -> float:
-        """Returns the seconds until one of them may have fallen silent."""
+        """Returns the seconds until the next service may expire."""
         now = asyncio.get_running_loop().time()
         oldest_renewal = min(
             (
--- a/mangobay/metricspage.py
+++ b/mangobay/metricspage.py
@@ -1,4 +1,4 @@
-"""Metrics over the lean listener."""
+"""An HTTP handler that serves metrics."""
 
 import collections.abc
 
@@ -6,13 +6,13 @@
 from mangobay.generated import messages
 
 MEDIA_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-"""Of the Prometheus text format."""
+"""Content type of the Prometheus text format."""
 
 
 def make_handler(
     render: collections.abc.Callable[[], bytes],
 ) -> leanserver.Handler:
-    """Returns a handler that answers every request with the metrics."""
+    """Returns a handler that responds to every request with the metrics."""
 
     async def handle(
         request: leanhttp.Request, client: leanserver.Connection
--- a/mangobay/operationtable.py
+++ b/mangobay/operationtable.py
@@ -1,4 +1,4 @@
-"""The table of one revision: what each service offers, and to whom."""
+"""The operation table: the operations of each service and their callers."""
 
 import collections
 import collections.abc
@@ -10,20 +10,20 @@
 
 WILDCARD = "*"
 NO_REVISION = ids.Revision(0)
-"""Before the first accepted sheet."""
+"""The revision before the first sheet is accepted."""
 UNSAFE_SEGMENT = re.compile(r"\.|\.\.|.*(%2f|%5c|%2e|\\).*", re.IGNORECASE)
-"""A segment that a backend server may read as another path.
+"""Matches segments that a backend server may resolve to another path.
 
-Failure: `/units/..%2Fsecret` matches `/units/*` here and reaches `/secret`
-there, past the sheet.  No honest caller needs such a segment where a
-wildcard stands, so refusing it is enough.
+For example, `/units/..%2Fsecret` would match `/units/*` here and reach
+`/secret` at the backend server, bypassing the sheet's rules.  Legitimate
+callers need no such segment for a wildcard, so it matches nothing.
 """
 
 Operations = collections.abc.Iterable[messages.Operation]
 
 
 def split_segments(path: str) -> tuple[str, ...]:
-    """Returns the segments of a path; `{name}` segments become wildcards."""
+    """Returns the path segments, with `{name}` segments as wildcards."""
     return tuple(
         WILDCARD if part == WILDCARD or part.startswith("{") else part
         for part in path.split("/")[1:]
@@ -31,12 +31,12 @@
 
 
 def operation_ref(operation: messages.Operation) -> messages.OperationRef:
-    """Returns what names the operation."""
+    """Returns a reference to the operation."""
     return messages.OperationRef(service=operation.service, name=operation.name)
 
 
 def sort_key(operation: messages.Operation) -> tuple[str, str]:
-    """Orders operations by service and name."""
+    """Returns the key that sorts operations by service and name."""
     return operation.service, operation.name
 
 
@@ -44,8 +44,8 @@
     """A path with wildcards.
 
     Attributes:
-      wildcards: for each segment whether it is a wildcard; sorts literals first.
-      regex: matches the path, with a group for each wildcard.
+      wildcards: Whether each segment is a wildcard; sorts literals first.
+      regex: Pattern of the path with a group for each wildcard.
     """
 
     def __init__(self, segments: tuple[str, ...], operation):
@@ -59,7 +59,7 @@
         )
 
     def matches(self, path: str) -> bool:
-        """Returns whether a path of as many segments is meant."""
+        """Returns whether a path with the same number of segments matches."""
         match = self.regex.fullmatch(path)
         return match is not None and not any(
             map(UNSAFE_SEGMENT.fullmatch, match.groups())
@@ -67,7 +67,7 @@
 
 
 class ServiceOperations:
-    """The operations of one service, found by method and path."""
+    """The operations of one service, indexed by method and path."""
 
     def __init__(self, operations: dict[str, messages.Operation]):
         self.operations = operations
@@ -79,7 +79,7 @@
             patterns.sort(key=lambda pattern: pattern.wildcards)
 
     def add(self, operation: messages.Operation) -> None:
-        """Files an operation under its method and path."""
+        """Indexes an operation by its method and path."""
         segments = split_segments(operation.path)
         if WILDCARD not in segments:
             self.by_literal_path[operation.method, operation.path] = operation
@@ -88,7 +88,7 @@
         group.append(PathPattern(segments, operation))
 
     def find(self, method: str, path: str) -> messages.Operation | None:
-        """Returns the operation; a literal segment goes before a wildcard."""
+        """Returns the operation; literal segments precede wildcards."""
         operation = self.by_literal_path.get((method, path))
         if operation or not self.patterns:
             return operation
@@ -99,11 +99,11 @@
 
 
 class OperationTable:
-    """All operations of one revision; never changed once made.
+    """All operations of one revision; immutable.
 
     Attributes:
-      revision: the revision that the control group gave it.
-      services: what each service offers.
+      revision: Revision assigned by the control group.
+      services: Operations by service.
     """
 
     __slots__ = ("revision", "services")
@@ -119,12 +119,12 @@
     def find(
         self, service: ids.ServiceName, method: str, target: str
     ) -> messages.Operation | None:
-        """Returns the operation that a request names, or None.
+        """Returns the operation for a request, or None.
 
         Args:
-          service: the service asked for.
-          method: the HTTP method in capitals.
-          target: path below the service, with or without a query.
+          service: Requested service.
+          method: HTTP method in capitals.
+          target: Path below the service, with or without a query.
         """
         offers = self.services.get(service)
         if offers is None:
@@ -133,13 +133,13 @@
 
     @staticmethod
     def allows(operation: messages.Operation, caller: ids.CallerName) -> bool:
-        """Returns whether the caller may reach the operation."""
+        """Returns whether the caller may call the operation."""
         if caller == ids.OUTSIDE:
             return operation.outside
         return caller in operation.callers or ids.EVERYONE in operation.callers
 
     def operations(self) -> list[messages.Operation]:
-        """Returns every operation, by service and name."""
+        """Returns every operation, sorted by service and name."""
         return sorted(
             (
                 operation
@@ -152,7 +152,7 @@
     def without_services(
         self, services: collections.abc.Set[ids.ServiceName]
     ) -> "OperationTable":
-        """Returns the table of the same revision without some services."""
+        """Returns a table of the same revision without the services."""
         kept = {
             name: offers
             for name, offers in self.services.items()
@@ -161,11 +161,11 @@
         return OperationTable(self.revision, kept)
 
     def updated(self, update: messages.TableUpdate) -> "OperationTable":
-        """Returns the table after an update; only changed services are built.
+        """Returns the table after an update, sharing unchanged services.
 
         Raises:
-          errors.UpdateBaseError: the update starts from another revision.
-          errors.InvariantError: it leads to an older revision.
+          errors.UpdateBaseError: The update is based on another revision.
+          errors.InvariantError: The update leads to an older revision.
         """
         invariants.check(
             invariants.Promise.REVISION_NEVER_DOWN,
@@ -192,7 +192,7 @@
     service: ids.ServiceName,
     changed: dict[ids.OperationName, messages.Operation | None],
 ) -> None:
-    """Puts a service's changed operations in; None takes one away."""
+    """Applies a service's changed operations; None removes one."""
     previous = services.get(service)
     merged = {**(previous.operations if previous else {}), **changed}
     kept = {name: operation for name, operation in merged.items() if operation}
@@ -203,11 +203,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Difference:
-    """What leads from one set of operations to another.
+    """The difference between two sets of operations.
 
     Attributes:
-      changed: operations that are new or differ, by service and name.
-      removed: operations that are gone.
+      changed: New and changed operations, sorted by service and name.
+      removed: References to removed operations, in the same order.
     """
 
     changed: list[messages.Operation]
@@ -215,7 +215,7 @@
 
 
 def difference(old: Operations, new: Operations) -> Difference:
-    """Returns the changed and removed rows between two sets."""
+    """Returns the difference between two sets of operations."""
     before = {sort_key(operation): operation for operation in old}
     after = {sort_key(operation): operation for operation in new}
     return Difference(
--- a/mangobay/problems.py
+++ b/mangobay/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as a caller sees them: status and problem details (RFC 9457)."""
+"""HTTP responses to failed calls: status and problem details (RFC 9457)."""
 
 import dataclasses
 import json
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProblemType:
-    """How a reason is shown.
+    """How a reason is reported over HTTP.
 
     Attributes:
-      status: of the HTTP answer.
-      title: the same for every refusal of the kind.
+      status: HTTP status code.
+      title: Summary, the same for every problem of this type.
     """
 
     status: int
@@ -73,14 +73,14 @@
         Reason.CALLER_THROTTLED,
     }
 )
-"""Refusals after which another try may fare better."""
+"""Reasons after which a retry may succeed."""
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
-"""Seconds, where the refusal itself names no time."""
+"""Mean Retry-After, in seconds, if the reply names no time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One refusal, ready for HTTP."""
+    """An HTTP response with problem details."""
 
     status: int
     headers: dict[str, str]
@@ -88,10 +88,10 @@
 
 
 def retry_after_seconds(reply: messages.Reply, rng: random.Random) -> int:
-    """Returns whole seconds for Retry-After, 0 for none.
+    """Returns the whole seconds for Retry-After, or 0 for no header.
 
-    The field holds whole seconds only: rounding at random keeps the mean, so
-    that callers refused together don't come back together.
+    Retry-After holds whole seconds only.  Random rounding keeps the mean and
+    spreads the retries of callers that are refused together.
     """
     if (
         reply.reason not in RETRYABLE_REASONS
@@ -105,7 +105,7 @@
 
 
 def problem_type(outcome: Outcome, reason: Reason) -> ProblemType:
-    """Returns how a refusal is shown."""
+    """Returns the problem type for an outcome and a reason."""
     if outcome == Outcome.UNKNOWN and reason == Reason.TOO_LARGE:
         return RESPONSE_TOO_LARGE
     if outcome == Outcome.UNKNOWN and reason == Reason.LEAVING:
@@ -116,7 +116,7 @@
 def from_reply(
     reply: messages.Reply, rng: random.Random, detail: str = ""
 ) -> Problem:
-    """Returns the problem details of a reply that is not an answer."""
+    """Returns the problem response for a reply other than `answered`."""
     kind = problem_type(reply.outcome, reply.reason)
     outcome = reply.outcome.name.lower()
     reason = reply.reason.name.lower()
--- a/mangobay/refusals.py
+++ b/mangobay/refusals.py
@@ -1,7 +1,7 @@
-"""Refusals on the lean edge: a status, and when to come back.
+"""HTTP responses of the gateway to calls that were not answered.
 
-A status that says "not run" is given only for a call of which nothing ran:
-callers send those again, also what must not run twice.
+A status that means "not run" is used only if no part of the call ran, since
+callers resend such calls even if they must not run twice.
 """
 
 from mangobay import leanhttp
@@ -19,14 +19,17 @@
     Reason.TOO_LARGE: 413,
     Reason.CALLER_THROTTLED: 429,
 }
-"""Of calls that did not run, where it is not NOT_RUN."""
+"""Statuses of calls that did not run, where not NOT_RUN_STATUS."""
 DEFAULT_RETRY_AFTER_SECONDS = 0.25
-"""Seconds, where the refusal names no time: a leaving or starting backend
-server is out of the members that nodes know within about that time."""
+"""Retry-After, in seconds, if the reply names no time.
+
+Within about this time, nodes learn that a backend server that is stopping or
+starting is not a member.
+"""
 
 
 def from_reply(reply: messages.Reply) -> leanhttp.Response:
-    """Returns the answer that tells of a call that was not answered."""
+    """Returns the response for a reply other than `answered`."""
     if reply.outcome is Outcome.NOT_RUN:
         status = STATUS_BY_REASON.get(reply.reason, NOT_RUN_STATUS)
         if status != NOT_RUN_STATUS:
@@ -39,7 +42,11 @@
 
 
 def retry_later_response(seconds: float = 0.0) -> leanhttp.Response:
-    """Returns the answer to what has not run, with when to come back."""
+    """Returns a response for a call that did not run, with Retry-After.
+
+    Args:
+      seconds: Seconds for Retry-After, or 0 for the default.
+    """
     seconds = seconds or DEFAULT_RETRY_AFTER_SECONDS
     header = messages.Header(name="Retry-After", value=f"{seconds:.3f}")
     return leanhttp.Response(status=NOT_RUN_STATUS, headers=[header])
--- a/mangobay/requestlog.py
+++ b/mangobay/requestlog.py
@@ -1,9 +1,9 @@
-"""The log of decisions that touch a request: one line each, bounded.
+"""A rate-limited log of requests that were refused or failed.
 
-Answered requests have no line: their number is in the metrics, and a line for
-each would cost more than the decisions do.  Of all else, every request has
-one as long as fewer than LINES_A_SECOND come; above that the lines dropped
-are counted in the next one.
+Successful requests are not logged: the metrics count them, and a line for each
+would cost more than admission and routing do.  Every other request has a line
+while the rate stays below LINES_PER_SECOND.  Above it lines are dropped, and
+the next line written has their number.
 """
 
 import asyncio
@@ -12,17 +12,18 @@
 from mangobay.generated import messages
 
 LINES_PER_SECOND = 50.0
-"""Keeps the lines far below a hundredth of a core."""
+"""Rate at which the cost of logging stays far below 1% of a core."""
 BURST_LINES = 200.0
-"""Lines that a sudden trouble may write before the rate counts."""
+"""Lines that may be written in a burst before the rate limit applies."""
 
 
 class RequestLog:
-    """Writes the lines of one node.
+    """The request log of one node, limited by a token bucket.
 
     Attributes:
-      tokens: lines that may be written now.
-      dropped: lines left out since the last one.
+      tokens: Number of lines that may be written now.
+      refilled_at: Loop time of the last refill.
+      dropped: Number of lines dropped since the last line written.
     """
 
     def __init__(self):
@@ -37,7 +38,7 @@
         reply: messages.Reply,
         seconds: float,
     ) -> None:
-        """Notes a request that got no answer, or a failure."""
+        """Logs a call that was not answered, or answered with an error."""
         if not self.take_token():
             return
         logs.say(
@@ -66,7 +67,7 @@
         error: calls.RequestError,
         table: routes.Table | None,
     ) -> None:
-        """Notes a request that became no call."""
+        """Logs a request that was refused before it became a call."""
         if not self.take_token():
             return
         logs.say(
@@ -80,7 +81,7 @@
         )
 
     def take_token(self) -> bool:
-        """Counts a line; returns whether it may be written."""
+        """Takes a token for a line; returns False if the line is dropped."""
         now = asyncio.get_running_loop().time()
         new_tokens = (now - self.refilled_at) * LINES_PER_SECOND
         self.tokens = min(BURST_LINES, self.tokens + new_tokens)
@@ -92,6 +93,6 @@
         return True
 
     def reset_dropped(self) -> int:
-        """Returns how many lines were left out, and starts over."""
+        """Returns the number of dropped lines and resets it."""
         dropped, self.dropped = self.dropped, 0
         return dropped
--- a/mangobay/shutdown.py
+++ b/mangobay/shutdown.py
@@ -1,34 +1,38 @@
-"""When a process that was told to stop takes no more work, and when it ends."""
+"""The schedule of a graceful shutdown."""
 
 import dataclasses
 import math
 
 MAX_CLOSE_SECONDS = 1.0
-"""Longest time, in seconds, kept at the end of the grace for closing.  A process
-that still closes then is killed, and answers that it was writing are cut."""
+"""Upper bound, in seconds, of the time reserved for closing before the kill.
+
+A process that is still closing at the kill loses the responses that it is
+writing.
+"""
 MAX_CLOSE_SHARE = 1 / 6
-"""Of the grace, what is kept for closing at most."""
+"""Upper bound of the time reserved for closing, as a share of the grace."""
 MAX_LINGER_SHARE = 0.5
-"""Of the grace, the longest time for which new work is taken: the other half is
-left for the work that was taken last."""
+"""Upper bound of the time for accepting new work, as a share of the grace.
 
+The other half is left for the work that was accepted last.
+"""
 
 REPLY_MARGIN_SECONDS = 0.1
-"""Kept for the reply to work whose deadline is the end of the process."""
+"""Seconds reserved for replying to work that runs until the abort."""
 EXIT_MARGIN_SECONDS = 0.4
-"""Kept for the process to exit once everything is closed."""
+"""Seconds reserved for the process to exit once everything is closed."""
 MIN_WRITE_SECONDS = 0.1
-"""Seconds that callers have to take answers, however little is left."""
+"""Shortest time, in seconds, for callers to receive responses."""
 
 
 @dataclasses.dataclass(slots=True)
 class ShutdownSchedule:
-    """The times of one process, in seconds of the loop's clock.
+    """The times of one process's shutdown, as loop times.
 
     Attributes:
-      accept_until: no new work is taken from then on.
-      abort_at: work that is still in flight is cut.
-      kill_at: the process is killed if it has not ended.
+      accept_until: New work is refused from then on.
+      abort_at: Work still in flight is aborted.
+      kill_at: The process is killed if it has not exited.
     """
 
     accept_until: float = math.inf
@@ -39,9 +43,9 @@
         """Sets the times; called once, when the process is told to stop.
 
         Args:
-          now: loop time.
-          grace: seconds after which the process is killed.
-          linger: seconds for which it is to take new work.
+          now: Loop time.
+          grace: Seconds after which the process is killed.
+          linger: Seconds for which new work is still to be accepted.
         """
         self.accept_until = now + min(linger, grace * MAX_LINGER_SHARE)
         self.kill_at = now + grace
@@ -50,18 +54,18 @@
         )
 
     def accepts_work(self, now: float) -> bool:
-        """Returns whether new work is taken."""
+        """Returns whether new work is accepted."""
         return now < self.accept_until
 
     def allows_deadline(self, deadline: float) -> bool:
-        """Returns whether work that ends by a loop time is never cut."""
+        """Returns whether work with the deadline ends before the abort."""
         return deadline <= self.abort_at
 
     def latest_deadline(self) -> float:
-        """Returns the loop time by which work taken late has its reply."""
+        """Returns the loop time by which late work must have its reply."""
         return self.abort_at - REPLY_MARGIN_SECONDS
 
     def write_timeout(self, now: float) -> float:
-        """Returns how long callers have to take answers, once it ends."""
+        """Returns the seconds left for callers to receive responses."""
         remaining = self.kill_at - EXIT_MARGIN_SECONDS - now
         return max(min(remaining, MAX_CLOSE_SECONDS), MIN_WRITE_SECONDS)
