--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -79,7 +79,7 @@
 class TestSend:
     """Exactly one request, and a true word on its fate."""
 
-    async def test_a_whole_answer_comes_back_and_nothing_is_added(self):
+    async def test_response_is_returned_and_no_header_is_added(self):
         async with scripted_server(OK) as (server, client, address):
             extra_header = messages.Header(name="X-Sale", value="1")
             answer = await client.send(
@@ -93,7 +93,7 @@
 
     @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
     @pytest.mark.parametrize("idempotent", [True, False])
-    async def test_a_dropped_connection_is_never_repeated(
+    async def test_request_is_not_resent_after_a_dropped_connection(
         self, method, idempotent
     ):
         """The backend server reads a request on a kept connection and dies.
@@ -117,7 +117,7 @@
         assert attempt.sent
         assert len(server.requests) == 2
 
-    async def test_the_check_holds_without_the_switch_of_aiohttp(self):
+    async def test_resend_by_aiohttp_violates_the_invariant(self):
         """A new aiohttp drops the switch that stops its silent repeats.
 
         The second sending of the same attempt must be stopped by the
@@ -161,7 +161,9 @@
             (b"rubbish\r\n\r\n", errors.BackendBrokenError),
         ],
     )
-    async def test_part_of_an_answer_is_an_error(self, script, error):
+    async def test_incomplete_or_too_large_response_is_an_error(
+        self, script, error
+    ):
         """The backend server answers half a body, or one without an end.
 
         Passed on, the caller would take the part for the whole.  It gets an
@@ -177,7 +179,7 @@
                 await client.send(address, request(), attempt)
             assert attempt.sent
 
-    async def test_nobody_listening_means_that_nothing_was_sent(self):
+    async def test_refused_connection_means_nothing_was_sent(self):
         async with scripted_server() as (_, client, address):
             nobody = options.Address(address.ip, 1)
             attempt = backend.Attempt()
@@ -185,7 +187,7 @@
                 await client.send(nobody, request(), attempt)
             assert not attempt.sent
 
-    async def test_a_shut_gate_sends_no_byte(self):
+    async def test_exception_before_send_sends_no_byte(self):
         class SendRefusedError(Exception):
             pass
 
@@ -200,7 +202,7 @@
             await client.send(address, request(), backend.Attempt())
             assert len(server.requests) == 1
 
-    async def test_the_deadline_and_a_hang_up_close_the_connection(self):
+    async def test_deadline_and_cancellation_close_the_connection(self):
         """The backend server is slow, and its caller gives up.
 
         Both at the deadline and when the caller hangs up, the connection is
@@ -222,7 +224,7 @@
             await asyncio.wait_for(server.closed.wait(), WAIT_SECONDS)
             assert client.inflight == 0
 
-    async def test_redirects_and_cookies_are_left_to_the_caller(self):
+    async def test_redirects_and_cookies_are_passed_to_the_caller(self):
         moved = (
             b"HTTP/1.1 302 Found\r\nLocation: /x\r\nSet-Cookie: a=1\r\n"
             b"Content-Encoding: gzip\r\nContent-Length: 3\r\n\r\nraw"
@@ -234,7 +236,9 @@
         assert httpheaders.find(answer.headers, "set-cookie") == "a=1"
         assert b"ookie" not in server.requests[1]
 
-    async def test_an_old_connection_carries_no_booking(self, monkeypatch):
+    async def test_non_idempotent_request_avoids_an_idle_connection(
+        self, monkeypatch
+    ):
         """A kept connection has been idle for a while when a booking comes.
 
         The backend server may be closing it just now, and then nobody knows
@@ -253,7 +257,7 @@
                     await asyncio.sleep(0.05)
             assert server.connections == 3
 
-    async def test_a_backend_server_may_say_that_it_shed(self):
+    async def test_shed_response_is_recognized(self):
         shed = (
             b"HTTP/1.1 503 Busy\r\nMangobay-Outcome: not_run\r\n"
             b"Content-Length: 0\r\n\r\n"
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -68,9 +68,7 @@
 class TestOutsideEdge:
     """What a caller gets."""
 
-    async def test_a_call_reaches_the_backend_server_and_comes_back(
-        self, cluster
-    ):
+    async def test_call_reaches_backend_server_and_is_answered(self, cluster):
         one = await cluster.start("one", echo)
         status, headers, body = await cluster.send_outside(
             one, "GET", "/stock/price?a=%2f"
@@ -82,7 +80,7 @@
         assert request.headers[httpheaders.TRACEPARENT].split("-")[2] in state
         assert 0 < float(request.headers[httpheaders.REQUEST_TIMEOUT]) <= 20
 
-    async def test_callers_cannot_set_what_the_system_sets(self, cluster):
+    async def test_reserved_headers_of_callers_are_ignored(self, cluster):
         """A caller poses as a running call of a backend server.
 
         It sends the system's own headers and a parent call's id.  None of
@@ -100,9 +98,7 @@
         assert request.headers["tracestate"].endswith(",a=1")
         assert "0123456789abcdef" not in request.headers["tracestate"]
 
-    async def test_a_hidden_operation_answers_as_one_that_does_not_exist(
-        self, cluster
-    ):
+    async def test_hidden_operation_looks_like_a_missing_one(self, cluster):
         """An outsider guesses at the names of internal services.
 
         Hidden service, hidden operation, unknown service, unknown path and
@@ -150,7 +146,7 @@
             ),
         ],
     )
-    async def test_bad_requests_are_problems_that_did_not_run(
+    async def test_bad_requests_are_refused_as_not_run(
         self, cluster, path, more, status, reason
     ):
         one = await cluster.start("one", echo)
@@ -171,7 +167,9 @@
             b"",
         ],
     )
-    async def test_slow_and_broken_senders_are_ended(self, cluster, sent):
+    async def test_incomplete_or_invalid_requests_are_closed(
+        self, cluster, sent
+    ):
         """A caller sends half a body, half a head, nothing, or no HTTP.
 
         It gets a refusal where HTTP allows one, and the connection ends
@@ -187,9 +185,7 @@
         assert not received or b"Mangobay-Outcome: not_run" in received
         assert not one.backend_server.requests
 
-    async def test_a_caller_that_hangs_up_frees_idempotent_work_only(
-        self, cluster
-    ):
+    async def test_disconnect_cancels_idempotent_calls_only(self, cluster):
         """Two callers hang up, one on a price and one on a booking.
 
         The price is cancelled down to the backend server.  The booking may
@@ -219,7 +215,7 @@
         await self.release.wait()
         return await echo(request)
 
-    async def test_the_deadline_ends_a_call_with_its_true_outcome(
+    async def test_deadline_of_a_running_call_gives_outcome_unknown(
         self, cluster
     ):
         async def never(request):
@@ -234,7 +230,7 @@
 class TestPeers:
     """A call that another node serves."""
 
-    async def test_a_call_goes_to_the_node_of_the_service(self, cluster):
+    async def test_call_is_routed_to_a_node_of_the_service(self, cluster):
         one = await cluster.start("one", None)
         two = await cluster.start("two", echo)
         status, _, body = await cluster.send_outside(
@@ -243,7 +239,7 @@
         assert (status, body) == (200, b"POST /book")
         assert len(two.backend_server.requests) == 1
 
-    async def test_a_leaving_node_refuses_and_another_one_serves(self, cluster):
+    async def test_calls_to_a_leaving_node_are_served_by_another(self, cluster):
         """A host is asked to leave while the others do not know it yet.
 
         Their calls still arrive there.  It refuses them unrun, the sender
@@ -261,7 +257,7 @@
         assert not two.backend_server.requests
         assert len(three.backend_server.requests) == 6
 
-    async def test_a_dead_host_costs_no_call(self, cluster):
+    async def test_unreachable_host_fails_no_call(self, cluster):
         one = await cluster.start("one", None)
         two = await cluster.start("two", echo)
         await cluster.start("three", echo)
@@ -272,9 +268,7 @@
             )
             assert status == 200, body
 
-    async def test_a_keyed_call_runs_once_whichever_node_is_asked(
-        self, cluster
-    ):
+    async def test_keyed_call_runs_once_for_repeats_at_any_node(self, cluster):
         one = await cluster.start("one", echo)
         two = await cluster.start("two", echo)
         headers = {"Idempotency-Key": "0190b0aa-foreign"}
@@ -286,7 +280,7 @@
         requests = one.backend_server.requests + two.backend_server.requests
         assert len(requests) == 1
 
-    async def test_without_a_lease_only_idempotent_calls_go(self, cluster):
+    async def test_without_a_lease_only_idempotent_calls_run(self, cluster):
         one = await cluster.start("one", echo)
         one.control.lease.until = 0
         status, _, _ = await cluster.send_outside(one, "GET", "/stock/price")
@@ -301,7 +295,7 @@
 class TestLocalEdge:
     """Calls that the backend server makes, and its announcements."""
 
-    async def test_a_child_call_inherits_from_its_parent(self, cluster):
+    async def test_child_call_inherits_from_its_parent(self, cluster):
         """A price needs a freight estimate, which only services may ask for.
 
         The backend server passes on the tracestate that came with its call.
@@ -341,7 +335,7 @@
         assert child.tree == parent.tree != ""
         assert 0 < child.tries < parent.tries
 
-    async def test_a_caller_cannot_choose_its_place_among_equals(self, cluster):
+    async def test_caller_cannot_choose_the_tree_id(self, cluster):
         """A caller sends the same traceparent with every call.
 
         Who of one importance is shed first goes by the name of the call
@@ -366,7 +360,7 @@
         assert first.traceparent[3:35] == second.traceparent[3:35] == "ab" * 16
         assert first.tree != second.tree
 
-    async def test_a_backend_server_that_repeats_spends_the_trees_tries(
+    async def test_repeated_child_calls_use_up_the_retry_allowance(
         self, cluster
     ):
         """A backend server repeats its child call in a loop of its own.
@@ -396,13 +390,15 @@
         assert statuses[-1] == 503
         assert not one.executor.parents
 
-    async def test_who_has_not_announced_itself_may_not_call(self, cluster):
+    async def test_calls_without_an_announced_service_are_refused(
+        self, cluster
+    ):
         one = await cluster.start("one", None)
         local = one.local_listener.address
         status, _, body = await cluster.send(local, "GET", "/stock/price")
         assert (status, reason_of(body)) == (400, "malformed")
 
-    async def test_announcements_tell_all_faults_and_can_be_withdrawn(
+    async def test_bad_announcement_lists_all_faults_and_good_one_is_withdrawn(
         self, cluster
     ):
         one = await cluster.start("one", echo)
@@ -418,12 +414,12 @@
         )
         assert (status, one.control.serves) == (200, [])
 
-    async def test_a_silent_backend_server_is_gone(self, cluster):
+    async def test_announcement_expires_without_renewal(self, cluster):
         one = await cluster.start("one", echo, "[backend]\nsilence = 0.2\n")
         assert one.control.serves
         await nodes.wait_until(lambda: not one.control.serves)
 
-    async def test_health_readiness_and_metrics_are_told(self, cluster):
+    async def test_health_readiness_and_metrics_are_served(self, cluster):
         one = await cluster.start("one", echo)
         await cluster.send_outside(one, "GET", "/stock/price")
         local = one.local_listener.address
@@ -440,7 +436,7 @@
 class TestLeaving:
     """A planned stop."""
 
-    async def test_what_is_in_flight_is_finished_and_nothing_new_taken(
+    async def test_drained_node_finishes_calls_and_refuses_new_ones(
         self, cluster
     ):
         """An operator drains a host while a booking runs there.
@@ -470,7 +466,7 @@
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_told_a_second_time_it_goes_on_leaving(self, cluster):
+    async def test_repeated_stop_does_not_abort_calls(self, cluster):
         """A second SIGTERM cuts what the first one waits for."""
         release = asyncio.Event()
 
@@ -494,7 +490,7 @@
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_interrupted_while_leaving_it_says_what_it_cuts(
+    async def test_second_interrupt_ends_at_once_and_counts_aborted_calls(
         self, cluster
     ):
         async def never(request):
@@ -513,10 +509,10 @@
         request_task.cancel()
 
 
-class TestLargeAnswers:
+class TestLargeResponses:
     """Answers that their callers read slowly."""
 
-    async def test_a_leaving_node_waits_until_one_is_taken(self, cluster):
+    async def test_leaving_node_waits_until_the_response_is_sent(self, cluster):
         """The process ends, and the rest of a whole answer is lost."""
         size = 8_000_000
 
@@ -542,14 +538,14 @@
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_a_leaving_node_waits_until_other_nodes_took_theirs(
+    async def test_leaving_node_waits_until_replies_to_other_nodes_are_sent(
         self, cluster
     ):
         """Calls of other nodes that ran to their end are told `unknown`."""
-        slow = BlockingHandler(bytes(4_000_000))
+        handler = BlockingHandler(bytes(4_000_000))
         one = await cluster.start("one", None)
-        two = await cluster.start("two", slow)
-        request_task = [
+        two = await cluster.start("two", handler)
+        request_tasks = [
             asyncio.create_task(
                 cluster.send_outside(one, "POST", "/stock/book")
             )
@@ -561,12 +557,12 @@
         two.stop()
         await nodes.wait_until(lambda: two.executor.leaving)
         cluster.publish_views()
-        slow.release.set()
+        handler.release.set()
         await nodes.wait_until(lambda: two.executor.idle)
         await asyncio.sleep(0.3)
         assert not two.ended.is_set()
         peer.connection.transport.resume_reading()
-        assert [(await each)[0] for each in request_task] == [200] * 4
+        assert [(await each)[0] for each in request_tasks] == [200] * 4
         await asyncio.wait_for(two.ended.wait(), nodes.WAIT_SECONDS)
 
 
@@ -587,7 +583,9 @@
 class TestLateRequests:
     """Requests that are not whole when the node is told to leave."""
 
-    async def test_one_whose_body_ends_late_is_refused_unrun(self, cluster):
+    async def test_request_with_a_late_body_is_refused_as_not_run(
+        self, cluster
+    ):
         """It is carried by a node that ends under it."""
         one = await cluster.start(
             "one", None, header_timeout=nodes.WAIT_SECONDS
@@ -605,7 +603,9 @@
         assert not two.backend_server.requests
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
 
-    async def test_one_that_waits_for_control_is_refused_unrun(self, cluster):
+    async def test_request_that_waited_for_control_is_refused_as_not_run(
+        self, cluster
+    ):
         """It is carried by a node that ends under it."""
         one = await cluster.start("one", None)
         two = await cluster.start("two", echo)
@@ -635,10 +635,12 @@
 class TestCallsOfBackendServers:
     """Calls that the backend server of a leaving node makes."""
 
-    async def test_those_of_no_run_here_are_refused_unrun(self, cluster):
+    async def test_calls_without_a_parent_run_are_refused_as_not_run(
+        self, cluster
+    ):
         """New work is taken until the node ends under it."""
-        slow = BlockingHandler()
-        one = await cluster.start("one", slow)
+        handler = BlockingHandler()
+        one = await cluster.start("one", handler)
         two = await cluster.start("two", echo)
         request_task = asyncio.create_task(
             cluster.send_outside(one, "POST", "/stock/book")
@@ -654,15 +656,15 @@
             )
             assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
-        slow.release.set()
+        handler.release.set()
         assert (await request_task)[0] == 200
 
-    async def test_those_of_a_run_here_are_taken(self, cluster):
+    async def test_child_calls_of_a_run_are_accepted(self, cluster):
         """A run that was taken in time fails, since its calls are refused."""
-        slow = BlockingHandler()
+        handler = BlockingHandler()
 
         async def ask_freight(request):
-            await slow.release.wait()
+            await handler.release.wait()
             state = {"tracestate": request.headers["tracestate"]}
             status, _, body = await cluster.send(
                 one.local_listener.address,
@@ -680,7 +682,7 @@
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.stop()
         await nodes.wait_until(lambda: one.executor.leaving)
-        slow.release.set()
+        handler.release.set()
         status, _, body = await request_task
         assert (status, body) == (200, b"GET /inside")
         assert len(two.backend_server.requests) == 1
@@ -688,7 +690,7 @@
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_one_whose_body_ends_late_is_refused_unrun(self, cluster):
+    async def test_call_with_a_late_body_is_refused_as_not_run(self, cluster):
         """New work is carried by a node that ends under it."""
         one = await cluster.start(
             "one", echo, header_timeout=nodes.WAIT_SECONDS
@@ -705,13 +707,13 @@
         assert not two.backend_server.requests
 
 
-class TestKeptConnections:
+class TestKeepAliveConnections:
     """What callers on kept connections see of a node that leaves."""
 
-    async def test_each_answer_closes_its_connection(self, cluster):
+    async def test_each_response_closes_its_connection(self, cluster):
         """A caller's next request crosses the end of the process."""
-        slow = BlockingHandler()
-        one = await cluster.start("one", slow)
+        handler = BlockingHandler()
+        one = await cluster.start("one", handler)
         address = one.outside_listener.address
         async with RawClient(address) as busy, RawClient(address) as idle:
             idle.send("GET", "/stock/nothing")
@@ -726,15 +728,15 @@
             assert (status, reason_of(body)) == (503, "leaving")
             assert headers["connection"] == "close"
             assert await idle.is_closed()
-            slow.release.set()
+            handler.release.set()
             status, headers, _ = await busy.read_response()
             assert (status, headers["connection"]) == (200, "close")
             assert await busy.is_closed()
 
-    async def test_requests_behind_one_in_flight_are_answered(self, cluster):
+    async def test_pipelined_requests_are_answered(self, cluster):
         """Closed behind the first answer, a caller's others get none."""
-        slow = BlockingHandler()
-        one = await cluster.start("one", slow)
+        handler = BlockingHandler()
+        one = await cluster.start("one", handler)
         async with RawClient(one.outside_listener.address) as caller:
             caller.send("POST", "/stock/book")
             caller.send("GET", "/stock/price")
@@ -742,7 +744,7 @@
             await nodes.wait_until(lambda: one.backend_server.requests)
             one.stop()
             await nodes.wait_until(lambda: one.executor.leaving)
-            slow.release.set()
+            handler.release.set()
             responses = [await caller.read_response() for _ in range(3)]
             assert [status for status, _, _ in responses] == [200, 503, 503]
             closes = ["connection" in headers for _, headers, _ in responses]
@@ -750,7 +752,7 @@
             assert await caller.is_closed()
         assert len(one.backend_server.requests) == 1
 
-    async def test_those_of_a_backend_server_are_closed_too(self, cluster):
+    async def test_connections_of_backend_servers_are_closed(self, cluster):
         """Its next call crosses the end of the process."""
         one = await cluster.start("one", echo)
         one.stop()
@@ -765,7 +767,7 @@
 class TestEndOfGrace:
     """What callers are told of calls that outlast the grace."""
 
-    async def test_a_callers_own_is_answered_as_unknown(self, cluster):
+    async def test_outside_call_gets_outcome_unknown(self, cluster):
         """Its connection ends with no answer."""
         one = await cluster.start(
             "one", BlockingHandler(), SHORT_GRACE_SETTINGS
@@ -774,13 +776,13 @@
             cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
-        await self.end(one)
+        await self.stop_and_close(one)
         status, headers, body = await request_task
         assert (status, reason_of(body)) == (502, "leaving")
         assert headers[httpheaders.OUTCOME] == "unknown"
         assert headers["Connection"] == "close"
 
-    async def test_one_of_another_node_is_answered_as_unknown(self, cluster):
+    async def test_call_of_another_node_gets_outcome_unknown(self, cluster):
         """Its caller is told that it has not run."""
         one = await cluster.start("one", None)
         two = await cluster.start(
@@ -790,11 +792,11 @@
             cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: two.backend_server.requests)
-        await self.end(two)
+        await self.stop_and_close(two)
         _, headers, _ = await request_task
         assert headers[httpheaders.OUTCOME] == "unknown"
 
-    async def test_one_of_a_run_here_is_answered_as_unknown(self, cluster):
+    async def test_child_call_gets_outcome_unknown(self, cluster):
         """The run waits for an answer until its connection ends."""
         child_responses = []
         leaving = asyncio.Event()
@@ -803,10 +805,10 @@
             await leaving.wait()
             state = {"tracestate": request.headers["tracestate"]}
             local = one.local_listener.address
-            request_task = cluster.send(
+            child_request = cluster.send(
                 local, "GET", "/stock/inside", headers=state
             )
-            child_responses.append(await request_task)
+            child_responses.append(await child_request)
             return web.Response()
 
         one = await cluster.start("one", ask_freight, SHORT_GRACE_SETTINGS)
@@ -819,25 +821,25 @@
         await nodes.wait_until(lambda: one.executor.leaving)
         leaving.set()
         await nodes.wait_until(lambda: two.backend_server.requests)
-        await self.end(one)
+        await self.stop_and_close(one)
         await nodes.wait_until(lambda: child_responses)
         ((status, headers, body),) = child_responses
         assert (status, reason_of(body)) == (502, "leaving")
         assert headers[httpheaders.OUTCOME] == "unknown"
         assert (await request_task)[0] == 502
 
-    async def end(self, node):
+    async def stop_and_close(self, node):
         """Tells a node to leave, and closes it when its grace is over."""
         node.stop()
         await asyncio.wait_for(node.ended.wait(), nodes.WAIT_SECONDS)
         assert node.cut
         await node.close()
 
-    async def test_calls_that_wait_for_a_slot_are_refused_unrun(self, cluster):
+    async def test_queued_calls_are_refused_as_not_run(self, cluster):
         """Their callers are told `unknown`, and dare not send them again."""
-        slow = BlockingHandler()
-        one = await cluster.start("one", slow, SHORT_GRACE_SETTINGS)
-        request_task = [
+        handler = BlockingHandler()
+        one = await cluster.start("one", handler, SHORT_GRACE_SETTINGS)
+        request_tasks = [
             asyncio.create_task(
                 cluster.send_outside(one, "POST", "/stock/book")
             )
@@ -845,15 +847,15 @@
         ]
         await nodes.wait_until(lambda: len(one.dispatcher.in_flight.open) == 8)
         await asyncio.sleep(0.1)
-        await self.end(one)
+        await self.stop_and_close(one)
         outcomes = [
             response[1][httpheaders.OUTCOME]
-            for response in await asyncio.gather(*request_task)
+            for response in await asyncio.gather(*request_tasks)
         ]
         assert outcomes.count("unknown") == len(one.backend_server.requests)
         assert outcomes.count("not_run") == 8 - len(one.backend_server.requests)
 
-    async def test_a_request_that_is_not_whole_is_not_run(self, cluster):
+    async def test_incomplete_request_is_refused_as_not_run(self, cluster):
         """It is run by a node that is gone before the answer."""
         one = await cluster.start(
             "one", echo, SHORT_GRACE_SETTINGS, header_timeout=nodes.WAIT_SECONDS
--- a/tests/test_httpheaders.py
+++ b/tests/test_httpheaders.py
@@ -6,10 +6,10 @@
 from mangobay import httpheaders
 
 
-class TestPassedOn:
+class TestEndToEndHeaders:
     """What a caller may say."""
 
-    def test_what_only_the_system_may_say_is_stripped(self):
+    def test_reserved_and_hop_by_hop_headers_are_removed(self):
         received = multidict.CIMultiDict(
             [
                 ("Accept", "*/*"),
@@ -36,11 +36,11 @@
     """Values from outside."""
 
     @pytest.mark.parametrize("text", ["0", "-1", "nan", "inf", "soon", ""])
-    def test_a_timeout_must_be_seconds(self, text):
+    def test_timeout_must_be_positive_seconds(self, text):
         with pytest.raises(ValueError, match="seconds above 0"):
             httpheaders.parse_timeout(text)
 
-    def test_a_key_loses_its_quotes_and_is_bounded(self):
+    def test_key_is_unquoted_and_limited(self):
         assert httpheaders.parse_idempotency_key('"a-b"') == "a-b"
         for text in ("", '""', "x" * 256, "a\x00b"):
             with pytest.raises(ValueError, match="printable"):
@@ -55,17 +55,17 @@
             "",
         ],
     )
-    def test_a_malformed_traceparent_is_none(self, text):
+    def test_malformed_traceparent_is_none(self, text):
         assert httpheaders.parse_traceparent(text) is None
 
-    def test_a_traceparent_names_its_parent(self):
+    def test_traceparent_round_trip(self):
         trace = httpheaders.new_trace(1.0)
         text = trace.traceparent(httpheaders.new_call_id())
         parsed = httpheaders.parse_traceparent(text)
         assert parsed.trace_id == trace.trace_id
         assert parsed.traceparent(parsed.parent_span) == text
 
-    def test_tracestate_keeps_the_entries_of_others(self):
+    def test_tracestate_keeps_other_entries(self):
         parent_id, other_entries = httpheaders.split_tracestate(
             "a=1, mangobay=77 ,b=2"
         )
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -6,7 +6,7 @@
 class TestEnvelope:
     """What one frame holds."""
 
-    def test_a_call_survives_the_wire(self):
+    def test_call_round_trips_through_the_encoding(self):
         call = messages.Call(
             service="quotes",
             headers=[messages.Header(name="accept", value="*/*")],
@@ -22,7 +22,7 @@
 class TestLogEntry:
     """What the control group agrees on."""
 
-    def test_every_body_survives_the_disk(self):
+    def test_every_log_entry_body_round_trips(self):
         bodies = (
             messages.Noop(),
             messages.SheetChange(version="1"),
--- a/tests/test_operationtable.py
+++ b/tests/test_operationtable.py
@@ -19,7 +19,7 @@
 class TestFind:
     """Which operation a request names."""
 
-    def test_literal_segments_go_first(self):
+    def test_literal_segments_precede_wildcards(self):
         table = make_table(
             operation("any", "/a/*/*"),
             operation("end", "/a/*/c"),
@@ -34,7 +34,7 @@
     @pytest.mark.parametrize(
         "target", ["/a/b", "/b/", "/b/..", "/b/%2E%2e", "/b/x%2Fy", "/b/c/d"]
     )
-    def test_no_operation(self, target):
+    def test_unsafe_and_unknown_targets_match_no_operation(self, target):
         """A wildcard takes one honest segment.
 
         A backend server that resolves `..` or `%2F` would serve another path
@@ -49,7 +49,7 @@
 class TestAllows:
     """Who may reach an operation."""
 
-    def test_callers(self):
+    def test_only_listed_callers_are_allowed(self):
         own = operation("credit", callers=["quotes"])
         everyone = operation("price", callers=[ids.EVERYONE], outside=True)
         allows = operationtable.OperationTable.allows
@@ -63,7 +63,7 @@
 class TestUpdated:
     """A new revision is another table."""
 
-    def test_leads_from_one_set_of_rows_to_another(self):
+    def test_update_with_the_difference_gives_the_new_operations(self):
         old = [operation("a", "/a"), operation("b", "/b")]
         new = [operation("b", "/c"), operation("d", "/d", "other")]
         difference = operationtable.difference(old, new)
@@ -80,7 +80,7 @@
         assert after.find("units", "GET", "/b") is None
         assert after.updated(update) is after
 
-    def test_base_zero_replaces_everything(self):
+    def test_base_zero_replaces_all_operations(self):
         update = messages.TableUpdate(
             revision=9, changed=[operation("z", "/z", "other")]
         )
@@ -89,7 +89,7 @@
             == update.changed
         )
 
-    def test_never_to_an_older_revision(self):
+    def test_older_revision_is_refused(self):
         """A control host that lags hands out the table it still has.
 
         The node would let callers in whom a newer sheet shut out.  The
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,12 +15,12 @@
 class TestTimes:
     """The times within the grace."""
 
-    def test_a_process_that_was_not_told_takes_everything(self):
+    def test_running_process_accepts_all_work(self):
         schedule = shutdown.ShutdownSchedule()
         assert schedule.accepts_work(1e9)
         assert schedule.allows_deadline(1e9)
 
-    def test_work_is_taken_for_the_linger_and_cut_before_the_grace_ends(self):
+    def test_work_is_accepted_for_the_linger_and_aborted_before_the_kill(self):
         schedule = shutdown_after(grace=6, linger=2)
         assert schedule.accepts_work(101.9)
         assert not schedule.accepts_work(102)
@@ -29,13 +29,13 @@
         assert not schedule.allows_deadline(105.1)
 
     @pytest.mark.parametrize("grace", [1.5, 3, 6, 30])
-    def test_half_of_the_grace_is_left_for_what_was_taken_last(self, grace):
+    def test_half_of_the_grace_is_left_for_work_accepted_last(self, grace):
         """Work taken late in a short grace is cut before it is done."""
         schedule = shutdown_after(grace, linger=60)
         assert schedule.accept_until == 100 + grace / 2
 
     @pytest.mark.parametrize("grace", [1.5, 3, 6, 30])
-    def test_nothing_is_cut_before_the_last_sixth_of_the_grace(self, grace):
+    def test_nothing_is_aborted_before_the_last_sixth_of_the_grace(self, grace):
         """In a short grace, work is cut while there is time to end it."""
         schedule = shutdown_after(grace, linger=2)
         assert schedule.abort_at >= 100 + grace * 5 / 6
@@ -44,7 +44,7 @@
     @pytest.mark.parametrize(
         ("now", "seconds"), [(102, 1.0), (105, 0.6), (105.6, 0.1), (106, 0.1)]
     )
-    def test_callers_take_their_answers_until_shortly_before_the_kill(
+    def test_responses_may_be_written_until_shortly_before_the_kill(
         self, now, seconds
     ):
         """Answers are cut with time left, or by the kill."""
