--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,4 +1,4 @@
-"""A whole node in the test's own process, with control and peers faked."""
+"""Whole nodes in the test's own process, with a fake control group."""
 
 import asyncio
 import contextlib
@@ -31,7 +31,7 @@
 
 
 def operation(name: str, method: str = "GET", **more) -> messages.Operation:
-    """Returns a row of the sheet for service `stock`, visible from outside."""
+    """Returns an operation of service `stock`, visible from outside."""
     defaults = {
         "service": "stock",
         "path": f"/{name}",
@@ -56,7 +56,7 @@
 
 
 class BackendServer:
-    """A backend server whose behaviour is one function of the test."""
+    """A backend server with a handler given by the test."""
 
     def __init__(self, handle):
         self.handle = handle
@@ -73,7 +73,7 @@
 
 
 class NodeCluster:
-    """Nodes that were started, each with its backend server and addresses."""
+    """Started nodes, each with its backend server."""
 
     def __init__(self, directory, stack: contextlib.AsyncExitStack):
         self.directory = directory
@@ -92,10 +92,10 @@
         """Starts a node with a backend server, announced as `stock`.
 
         Args:
-          host: its name.
-          handle: answers for the backend server; None for no backend server.
-          extra_settings: further settings.
-          header_timeout: seconds that a caller has to send its request.
+          host: Name of the host.
+          handle: Handler of the backend server, or None for no backend server.
+          extra_settings: Text appended to the settings.
+          header_timeout: Seconds that a caller has to send its request.
         """
         path = self.directory / f"{host}.ini"
         text = SETTINGS.format(host=host) + extra_settings
@@ -151,7 +151,7 @@
         assert status == 200, body
 
     def publish_views(self) -> None:
-        """Gives every node the view of all that serve `stock`."""
+        """Publishes a view with all nodes that serve `stock` to every node."""
         members = [
             messages.Member(
                 host=started.process.host,
@@ -198,7 +198,7 @@
 
 @contextlib.asynccontextmanager
 async def node_cluster(folder):
-    """Gives a world whose nodes are closed at the end."""
+    """Yields a cluster and closes its nodes at the end."""
     async with contextlib.AsyncExitStack() as stack:
         yield NodeCluster(folder, stack)
 
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -1,4 +1,4 @@
-"""Calls to the backend server, against small real sockets."""
+"""Tests of requests to the backend server, over real sockets."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class ClosingBytes(bytes):
-    """Bytes after which the backend server drops the connection."""
+    """A response after which the server closes the connection."""
 
 
 CLOSE_WITHOUT_RESPONSE = ClosingBytes()
@@ -28,7 +28,7 @@
 
 
 class ScriptedServer:
-    """Reads requests and answers each with the next of its scripts."""
+    """A server that sends the next scripted response to each request."""
 
     def __init__(self, responses):
         self.responses = list(responses)
@@ -77,7 +77,7 @@
 
 
 class TestSend:
-    """Exactly one request, and a true word on its fate."""
+    """Each request is sent at most once, and its outcome is reported truly."""
 
     async def test_response_is_returned_and_no_header_is_added(self):
         async with scripted_server(OK) as (server, client, address):
@@ -96,11 +96,11 @@
     async def test_request_is_not_resent_after_a_dropped_connection(
         self, method, idempotent
     ):
-        """The backend server reads a request on a kept connection and dies.
+        """The backend server crashes after reading a request.
 
-        aiohttp would send an idempotent method again on a new connection: a
-        run that nobody counted.  Exactly one request must be seen there, and
-        its outcome is unknown.
+        On a kept-alive connection, aiohttp would resend an idempotent method
+        over a new one, which would be an uncounted run.  Exactly one request
+        must arrive, and its outcome is unknown.
         """
         async with scripted_server(OK, CLOSE_WITHOUT_RESPONSE, OK) as (
             server,
@@ -118,10 +118,10 @@
         assert len(server.requests) == 2
 
     async def test_resend_by_aiohttp_violates_the_invariant(self):
-        """A new aiohttp drops the switch that stops its silent repeats.
+        """A new aiohttp version may drop the switch that stops resending.
 
-        The second sending of the same attempt must be stopped by the
-        system's own check, and counted as a promise about to be broken.
+        The check in SingleSendRequest must then stop the second sending of an
+        attempt and count a violation of the invariant.
         """
         broken = invariants.Promise.AT_MOST_ONCE
         before = invariants.broken[broken]
@@ -164,10 +164,11 @@
     async def test_incomplete_or_too_large_response_is_an_error(
         self, script, error
     ):
-        """The backend server answers half a body, or one without an end.
+        """A part of a response must not be passed on as a complete one.
 
-        Passed on, the caller would take the part for the whole.  It gets an
-        error instead, and since the request was sent its fate is unknown.
+        The backend server sends half a body, one of unknown length or one
+        above the limit.  The result is an error, and since the request was
+        sent, its outcome is unknown.
         """
         async with scripted_server(ClosingBytes(script)) as (
             _,
@@ -203,10 +204,10 @@
             assert len(server.requests) == 1
 
     async def test_deadline_and_cancellation_close_the_connection(self):
-        """The backend server is slow, and its caller gives up.
+        """A slow backend server must learn that nobody waits any more.
 
-        Both at the deadline and when the caller hangs up, the connection is
-        closed, so that the backend server sees that nobody waits.
+        So the connection is closed at the deadline, and also when the caller
+        disconnects.
         """
         async with scripted_server(NO_RESPONSE) as (server, client, address):
             with pytest.raises(errors.BackendTimeoutError):
@@ -239,11 +240,10 @@
     async def test_non_idempotent_request_avoids_an_idle_connection(
         self, monkeypatch
     ):
-        """A kept connection has been idle for a while when a booking comes.
+        """The backend server may be closing a connection that was idle.
 
-        The backend server may be closing it just now, and then nobody knows
-        whether the booking ran.  It goes over a fresh connection; a read may
-        use the old one, since it can be repeated.
+        A request sent over it then has an unknown outcome.  So only
+        idempotent requests, which can be resent, use such a connection.
         """
         monkeypatch.setattr(backend, "NON_IDEMPOTENT_REUSE_SECONDS", 0.01)
         async with scripted_server(*[OK] * 4) as (server, client, address):
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""The HTTP edges, on whole nodes in this process."""
+"""Tests of the HTTP edges on whole nodes in this process."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 
 
 class RawClient:
-    """One connection of a caller, written and read by hand."""
+    """One connection of a caller, with requests written by hand."""
 
     def __init__(self, address, **more):
         self.address = address
@@ -43,13 +43,13 @@
         self.writer.close()
 
     def send(self, method, path, body=b"", *, length=None) -> None:
-        """Sends a request, or the first part of one with a longer body."""
+        """Sends a request, or the first part if `length` exceeds the body."""
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n"
         head += f"Content-Length: {length or len(body)}\r\n\r\n"
         self.writer.write(head.encode() + body)
 
     async def read_response(self) -> tuple[int, dict[str, str], bytes]:
-        """Returns status, fields (names in lower case) and body."""
+        """Returns status, headers (all in lower case) and body."""
         async with asyncio.timeout(nodes.WAIT_SECONDS):
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode()
             first, *lines = head.strip().split("\r\n")
@@ -58,7 +58,7 @@
         return int(first.split()[1]), found, body
 
     async def is_closed(self) -> bool:
-        """Returns whether the connection ends with nothing more on it."""
+        """Returns whether the connection ends without further bytes."""
         return (
             await asyncio.wait_for(self.reader.read(), nodes.WAIT_SECONDS)
             == b""
@@ -66,7 +66,7 @@
 
 
 class TestOutsideEdge:
-    """What a caller gets."""
+    """Requests of outside callers."""
 
     async def test_call_reaches_backend_server_and_is_answered(self, cluster):
         one = await cluster.start("one", echo)
@@ -81,10 +81,10 @@
         assert 0 < float(request.headers[httpheaders.REQUEST_TIMEOUT]) <= 20
 
     async def test_reserved_headers_of_callers_are_ignored(self, cluster):
-        """A caller poses as a running call of a backend server.
+        """A caller must not pose as a running call of a backend server.
 
-        It sends the system's own headers and a parent call's id.  None of
-        them reaches the backend server, and its call stays a first call.
+        It sends reserved headers and a parent call's id.  None of them
+        reaches the backend server, and the call has no parent.
         """
         one = await cluster.start("one", echo)
         forged = {
@@ -99,11 +99,12 @@
         assert "0123456789abcdef" not in request.headers["tracestate"]
 
     async def test_hidden_operation_looks_like_a_missing_one(self, cluster):
-        """An outsider guesses at the names of internal services.
+        """An outside caller must not find out names of internal services.
 
-        Hidden service, hidden operation, unknown service, unknown path and
-        wrong method: status, headers and body are the same bytes, and each
-        asks control for as much, so that the time tells nothing either.
+        For a hidden service, a hidden operation, an unknown service, an
+        unknown path and a wrong method, status, headers and body are equal,
+        and so is the number of requests to the control group, so that the
+        response time reveals nothing either.
         """
         one = await cluster.start("one", echo)
         responses = []
@@ -170,10 +171,11 @@
     async def test_incomplete_or_invalid_requests_are_closed(
         self, cluster, sent
     ):
-        """A caller sends half a body, half a head, nothing, or no HTTP.
+        """Slow or broken callers must not hold connections.
 
-        It gets a refusal where HTTP allows one, and the connection ends
-        within the settings' time, so that it holds nothing.
+        A caller sends half a body, half a head, nothing, or no HTTP.  It gets
+        a refusal where HTTP allows one, and the connection is closed within
+        the header timeout.
         """
         one = await cluster.start("one", echo)
         reader, writer = await asyncio.open_connection(
@@ -186,10 +188,10 @@
         assert not one.backend_server.requests
 
     async def test_disconnect_cancels_idempotent_calls_only(self, cluster):
-        """Two callers hang up, one on a price and one on a booking.
+        """Callers disconnect from an idempotent and a non-idempotent call.
 
-        The price is cancelled down to the backend server.  The booking may
-        have been made already, so it is finished.
+        The idempotent call is cancelled down to the backend server.  The
+        other one may already have taken effect, so it is finished.
         """
         one = await cluster.start("one", self.answer_when_released)
         self.release = asyncio.Event()
@@ -228,7 +230,7 @@
 
 
 class TestPeers:
-    """A call that another node serves."""
+    """Calls that another node serves."""
 
     async def test_call_is_routed_to_a_node_of_the_service(self, cluster):
         one = await cluster.start("one", None)
@@ -240,10 +242,10 @@
         assert len(two.backend_server.requests) == 1
 
     async def test_calls_to_a_leaving_node_are_served_by_another(self, cluster):
-        """A host is asked to leave while the others do not know it yet.
+        """A host starts to leave before the other nodes know.
 
-        Their calls still arrive there.  It refuses them unrun, the sender
-        goes on to another host at once, and the caller sees only answers.
+        It refuses their calls as not run, they try another host at once, and
+        every caller gets an answer.
         """
         one = await cluster.start("one", None)
         two = await cluster.start("two", echo)
@@ -293,14 +295,13 @@
 
 
 class TestLocalEdge:
-    """Calls that the backend server makes, and its announcements."""
+    """Calls and announcements of the backend server."""
 
     async def test_child_call_inherits_from_its_parent(self, cluster):
-        """A price needs a freight estimate, which only services may ask for.
+        """A backend server makes a child call with its call's tracestate.
 
-        The backend server passes on the tracestate that came with its call.
-        The child has the importance, client and deadline of the tree, one
-        level deeper, and part of its tries.
+        The child call is one level deeper, has the importance, client and
+        deadline of its tree, and part of the tree's tries.
         """
         calls = []
 
@@ -338,9 +339,10 @@
     async def test_caller_cannot_choose_the_tree_id(self, cluster):
         """A caller sends the same traceparent with every call.
 
-        Who of one importance is shed first goes by the name of the call
-        tree. Were that the trace id, one lucky id would let all its calls
-        through; so the node makes the name, while the trace stays theirs.
+        Among calls of equal importance, the tree id decides which are shed
+        first.  If it were the trace id, a caller could choose one that is
+        shed last for all its calls.  So the node makes the tree id, and only
+        the trace id is the caller's.
         """
         calls = []
         one = await cluster.start("one", echo)
@@ -363,10 +365,11 @@
     async def test_repeated_child_calls_use_up_the_retry_allowance(
         self, cluster
     ):
-        """A backend server repeats its child call in a loop of its own.
+        """A backend server retries its child call in a loop of its own.
 
-        Each repeat costs one of the tree's tries; when they are spent, it is
-        refused unrun, so that loops of several hops cannot multiply.
+        Each retry uses one of the tree's tries.  Once they are used up, the
+        call is refused as not run, so that retry loops of several hops do not
+        multiply.
         """
         statuses = []
 
@@ -434,15 +437,15 @@
 
 
 class TestLeaving:
-    """A planned stop."""
+    """Graceful shutdown."""
 
     async def test_drained_node_finishes_calls_and_refuses_new_ones(
         self, cluster
     ):
-        """An operator drains a host while a booking runs there.
+        """An operator drains a host while a call runs there.
 
-        New calls are refused unrun, the booking is answered whole, and only
-        then the node ends, with nothing cut.
+        New calls are refused as not run, and the node ends only once the
+        running call is answered, with nothing aborted.
         """
         release = asyncio.Event()
 
@@ -467,7 +470,7 @@
         assert one.cut == 0
 
     async def test_repeated_stop_does_not_abort_calls(self, cluster):
-        """A second SIGTERM cuts what the first one waits for."""
+        """Guards against a second SIGTERM that aborts the running calls."""
         release = asyncio.Event()
 
         async def wait(request):
@@ -510,10 +513,10 @@
 
 
 class TestLargeResponses:
-    """Answers that their callers read slowly."""
+    """Responses that callers read slowly."""
 
     async def test_leaving_node_waits_until_the_response_is_sent(self, cluster):
-        """The process ends, and the rest of a whole answer is lost."""
+        """Guards against ending while the rest of a response is unsent."""
         size = 8_000_000
 
         async def large(request):
@@ -541,7 +544,7 @@
     async def test_leaving_node_waits_until_replies_to_other_nodes_are_sent(
         self, cluster
     ):
-        """Calls of other nodes that ran to their end are told `unknown`."""
+        """Guards against `unknown` for finished calls of other nodes."""
         handler = BlockingHandler(bytes(4_000_000))
         one = await cluster.start("one", None)
         two = await cluster.start("two", handler)
@@ -567,7 +570,7 @@
 
 
 class BlockingHandler:
-    """A backend server that answers once it is released."""
+    """A backend server's handler that responds once it is released."""
 
     def __init__(self, body=b""):
         self.body = body
@@ -581,12 +584,12 @@
 
 
 class TestLateRequests:
-    """Requests that are not whole when the node is told to leave."""
+    """Requests that are incomplete when the node starts to leave."""
 
     async def test_request_with_a_late_body_is_refused_as_not_run(
         self, cluster
     ):
-        """It is carried by a node that ends under it."""
+        """Guards against a call that is aborted when the node ends."""
         one = await cluster.start(
             "one", None, header_timeout=nodes.WAIT_SECONDS
         )
@@ -606,7 +609,7 @@
     async def test_request_that_waited_for_control_is_refused_as_not_run(
         self, cluster
     ):
-        """It is carried by a node that ends under it."""
+        """Guards against a call that is aborted when the node ends."""
         one = await cluster.start("one", None)
         two = await cluster.start("two", echo)
         one.control.tables.on_next(operationtable.OperationTable())
@@ -638,7 +641,7 @@
     async def test_calls_without_a_parent_run_are_refused_as_not_run(
         self, cluster
     ):
-        """New work is taken until the node ends under it."""
+        """Guards against new work that is aborted when the node ends."""
         handler = BlockingHandler()
         one = await cluster.start("one", handler)
         two = await cluster.start("two", echo)
@@ -660,7 +663,7 @@
         assert (await request_task)[0] == 200
 
     async def test_child_calls_of_a_run_are_accepted(self, cluster):
-        """A run that was taken in time fails, since its calls are refused."""
+        """Guards against failing an accepted call by refusing its children."""
         handler = BlockingHandler()
 
         async def ask_freight(request):
@@ -691,7 +694,7 @@
         assert one.cut == 0
 
     async def test_call_with_a_late_body_is_refused_as_not_run(self, cluster):
-        """New work is carried by a node that ends under it."""
+        """Guards against new work that is aborted when the node ends."""
         one = await cluster.start(
             "one", echo, header_timeout=nodes.WAIT_SECONDS
         )
@@ -708,10 +711,10 @@
 
 
 class TestKeepAliveConnections:
-    """What callers on kept connections see of a node that leaves."""
+    """Keep-alive connections of callers to a leaving node."""
 
     async def test_each_response_closes_its_connection(self, cluster):
-        """A caller's next request crosses the end of the process."""
+        """Guards against a next request that meets the end of the process."""
         handler = BlockingHandler()
         one = await cluster.start("one", handler)
         address = one.outside_listener.address
@@ -734,7 +737,7 @@
             assert await busy.is_closed()
 
     async def test_pipelined_requests_are_answered(self, cluster):
-        """Closed behind the first answer, a caller's others get none."""
+        """Guards against closing after the first of several responses."""
         handler = BlockingHandler()
         one = await cluster.start("one", handler)
         async with RawClient(one.outside_listener.address) as caller:
@@ -753,7 +756,7 @@
         assert len(one.backend_server.requests) == 1
 
     async def test_connections_of_backend_servers_are_closed(self, cluster):
-        """Its next call crosses the end of the process."""
+        """Guards against a next call that meets the end of the process."""
         one = await cluster.start("one", echo)
         one.stop()
         await nodes.wait_until(lambda: one.executor.leaving)
@@ -765,10 +768,10 @@
 
 
 class TestEndOfGrace:
-    """What callers are told of calls that outlast the grace."""
+    """Calls that still run when the grace ends."""
 
     async def test_outside_call_gets_outcome_unknown(self, cluster):
-        """Its connection ends with no answer."""
+        """Guards against closing the connection without a response."""
         one = await cluster.start(
             "one", BlockingHandler(), SHORT_GRACE_SETTINGS
         )
@@ -783,7 +786,7 @@
         assert headers["Connection"] == "close"
 
     async def test_call_of_another_node_gets_outcome_unknown(self, cluster):
-        """Its caller is told that it has not run."""
+        """Guards against `not_run` for a call that may have run."""
         one = await cluster.start("one", None)
         two = await cluster.start(
             "two", BlockingHandler(), SHORT_GRACE_SETTINGS
@@ -797,7 +800,7 @@
         assert headers[httpheaders.OUTCOME] == "unknown"
 
     async def test_child_call_gets_outcome_unknown(self, cluster):
-        """The run waits for an answer until its connection ends."""
+        """Guards against a parent that waits until its connection ends."""
         child_responses = []
         leaving = asyncio.Event()
 
@@ -829,14 +832,14 @@
         assert (await request_task)[0] == 502
 
     async def stop_and_close(self, node):
-        """Tells a node to leave, and closes it when its grace is over."""
+        """Stops a node and closes it once its grace is over."""
         node.stop()
         await asyncio.wait_for(node.ended.wait(), nodes.WAIT_SECONDS)
         assert node.cut
         await node.close()
 
     async def test_queued_calls_are_refused_as_not_run(self, cluster):
-        """Their callers are told `unknown`, and dare not send them again."""
+        """Guards against `unknown` for calls that are safe to resend."""
         handler = BlockingHandler()
         one = await cluster.start("one", handler, SHORT_GRACE_SETTINGS)
         request_tasks = [
@@ -856,7 +859,7 @@
         assert outcomes.count("not_run") == 8 - len(one.backend_server.requests)
 
     async def test_incomplete_request_is_refused_as_not_run(self, cluster):
-        """It is run by a node that is gone before the answer."""
+        """Guards against running it on a node that ends before the response."""
         one = await cluster.start(
             "one", echo, SHORT_GRACE_SETTINGS, header_timeout=nodes.WAIT_SECONDS
         )
--- a/tests/test_httpheaders.py
+++ b/tests/test_httpheaders.py
@@ -1,4 +1,4 @@
-"""Header fields."""
+"""Tests of HTTP headers and trace context."""
 
 import multidict
 import pytest
@@ -7,7 +7,7 @@
 
 
 class TestEndToEndHeaders:
-    """What a caller may say."""
+    """Headers that are forwarded."""
 
     def test_reserved_and_hop_by_hop_headers_are_removed(self):
         received = multidict.CIMultiDict(
@@ -33,7 +33,7 @@
 
 
 class TestParse:
-    """Values from outside."""
+    """Parsing of header values."""
 
     @pytest.mark.parametrize("text", ["0", "-1", "nan", "inf", "soon", ""])
     def test_timeout_must_be_positive_seconds(self, text):
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,10 +1,10 @@
-"""The generated messages."""
+"""Tests of the generated messages."""
 
 from mangobay.generated import messages
 
 
 class TestEnvelope:
-    """What one frame holds."""
+    """The envelope in a frame."""
 
     def test_call_round_trips_through_the_encoding(self):
         call = messages.Call(
@@ -20,7 +20,7 @@
 
 
 class TestLogEntry:
-    """What the control group agrees on."""
+    """Entries of the control group's replicated log."""
 
     def test_every_log_entry_body_round_trips(self):
         bodies = (
--- a/tests/test_operationtable.py
+++ b/tests/test_operationtable.py
@@ -1,4 +1,4 @@
-"""The table of one revision."""
+"""Tests of the operation table."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 class TestFind:
-    """Which operation a request names."""
+    """Lookup of the operation for a request."""
 
     def test_literal_segments_precede_wildcards(self):
         table = make_table(
@@ -35,10 +35,10 @@
         "target", ["/a/b", "/b/", "/b/..", "/b/%2E%2e", "/b/x%2Fy", "/b/c/d"]
     )
     def test_unsafe_and_unknown_targets_match_no_operation(self, target):
-        """A wildcard takes one honest segment.
+        """A wildcard matches exactly one safe segment.
 
         A backend server that resolves `..` or `%2F` would serve another path
-        than the one the sheet allows, so such a segment names nothing.
+        than the one that the sheet allows, so such segments match nothing.
         """
         table = make_table(operation("one", "/b/*"))
         assert table.find("units", "GET", target) is None
@@ -47,7 +47,7 @@
 
 
 class TestAllows:
-    """Who may reach an operation."""
+    """Callers that may call an operation."""
 
     def test_only_listed_callers_are_allowed(self):
         own = operation("credit", callers=["quotes"])
@@ -61,7 +61,7 @@
 
 
 class TestUpdated:
-    """A new revision is another table."""
+    """Updates from one revision to another."""
 
     def test_update_with_the_difference_gives_the_new_operations(self):
         old = [operation("a", "/a"), operation("b", "/b")]
@@ -90,10 +90,10 @@
         )
 
     def test_older_revision_is_refused(self):
-        """A control host that lags hands out the table it still has.
+        """A control host that lags may send an update to an older table.
 
-        The node would let callers in whom a newer sheet shut out.  The
-        update is refused and the newer table stays in force.
+        It could allow callers again that a newer sheet excludes, so the
+        update is refused.
         """
         newer = operationtable.OperationTable(ids.Revision(5))
         with pytest.raises(errors.InvariantError):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""When a process that was told to stop takes no more work, and when it ends."""
+"""Tests of the schedule of a graceful shutdown."""
 
 import pytest
 
@@ -6,14 +6,14 @@
 
 
 def shutdown_after(grace, linger):
-    """Returns the departure of a process that was told to stop at 100."""
+    """Returns the schedule of a process told to stop at loop time 100."""
     schedule = shutdown.ShutdownSchedule()
     schedule.start(100.0, grace, linger)
     return schedule
 
 
 class TestTimes:
-    """The times within the grace."""
+    """The times within the grace period."""
 
     def test_running_process_accepts_all_work(self):
         schedule = shutdown.ShutdownSchedule()
@@ -30,13 +30,13 @@
 
     @pytest.mark.parametrize("grace", [1.5, 3, 6, 30])
     def test_half_of_the_grace_is_left_for_work_accepted_last(self, grace):
-        """Work taken late in a short grace is cut before it is done."""
+        """Guards against accepting work that a short grace cannot finish."""
         schedule = shutdown_after(grace, linger=60)
         assert schedule.accept_until == 100 + grace / 2
 
     @pytest.mark.parametrize("grace", [1.5, 3, 6, 30])
     def test_nothing_is_aborted_before_the_last_sixth_of_the_grace(self, grace):
-        """In a short grace, work is cut while there is time to end it."""
+        """Guards against aborting work early in a short grace."""
         schedule = shutdown_after(grace, linger=2)
         assert schedule.abort_at >= 100 + grace * 5 / 6
         assert schedule.abort_at < 100 + grace
@@ -47,6 +47,6 @@
     def test_responses_may_be_written_until_shortly_before_the_kill(
         self, now, seconds
     ):
-        """Answers are cut with time left, or by the kill."""
+        """Guards against cutting responses too early, or by the kill."""
         schedule = shutdown_after(grace=6, linger=2)
         assert schedule.write_timeout(now) == pytest.approx(seconds)
