--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -42,17 +42,17 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.requests.append(head)
-                script = self.responses.pop(0)
-                writer.write(script)
-                if isinstance(script, ClosingBytes):
+                response = self.responses.pop(0)
+                writer.write(response)
+                if isinstance(response, ClosingBytes):
                     break
         self.closed.set()
         writer.close()
 
 
 @contextlib.asynccontextmanager
-async def scripted_server(*scripts):
-    server = ScriptedServer(scripts)
+async def scripted_server(*responses):
+    server = ScriptedServer(responses)
     listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
     port = listener.sockets[0].getsockname()[1]
     client = aiohttpbackend.Backend(100, 2.0, 100)
@@ -123,8 +123,8 @@
         The check in SingleSendRequest must then stop the second sending of an
         attempt and count a violation of the invariant.
         """
-        broken = invariants.Promise.AT_MOST_ONCE
-        before = invariants.broken[broken]
+        promise = invariants.Promise.AT_MOST_ONCE
+        violations_before = invariants.broken[promise]
         async with scripted_server(OK, CLOSE_WITHOUT_RESPONSE, OK) as (
             server,
             client,
@@ -135,7 +135,7 @@
             with pytest.raises(errors.InvariantError):
                 await client.send(address, request(), backend.Attempt())
         assert len(server.requests) == 2
-        assert invariants.broken.pop(broken) == before + 1
+        assert invariants.broken.pop(promise) == violations_before + 1
 
     @pytest.mark.parametrize(
         ("script", "error"),
@@ -182,10 +182,10 @@
 
     async def test_refused_connection_means_nothing_was_sent(self):
         async with scripted_server() as (_, client, address):
-            nobody = options.Address(address.ip, 1)
+            closed_address = options.Address(address.ip, 1)
             attempt = backend.Attempt()
             with pytest.raises(errors.BackendUnreachableError):
-                await client.send(nobody, request(), attempt)
+                await client.send(closed_address, request(), attempt)
             assert not attempt.sent
 
     async def test_exception_before_send_sends_no_byte(self):
