--- a/mangobay/edges.py
+++ b/mangobay/edges.py
@@ -1,4 +1,4 @@
-"""The two HTTP edges: callers outside, and the backend server on this host."""
+"""HTTP handlers for outside callers and for backend servers on this host."""
 
 import asyncio
 import logging
@@ -32,22 +32,22 @@
 
 
 class Tables(typing.Protocol):
-    """What is needed of the subject of tables."""
+    """The part of the operation table subject that edges use."""
 
     value: operationtable.OperationTable
 
 
 class Directory(typing.Protocol):
-    """What is needed of `controlclient.ControlClient`."""
+    """The part of `controlclient.ControlClient` that edges use."""
 
     tables: Tables
 
     async def interest(self, service: ids.ServiceName) -> None:
-        """Returns once the table holds what control knows of a service."""
+        """Waits until the table has the control group's entry for a service."""
 
 
 class Edge:
-    """What both edges do with a request."""
+    """The request handling that both edges share."""
 
     def __init__(
         self,
@@ -55,21 +55,21 @@
         directory: Directory,
         dispatcher: dispatch.Dispatcher,
         executor: execution.CallExecutor,
-        counts: metrics.Metrics,
-        record: ledger.Ledger,
+        call_metrics: metrics.Metrics,
+        call_ledger: ledger.Ledger,
         sample_rate: float,
     ):
         self.limits = limits
         self.directory = directory
         self.dispatcher = dispatcher
         self.executor = executor
-        self.metrics = counts
-        self.ledger = record
+        self.metrics = call_metrics
+        self.ledger = call_ledger
         self.sample_rate = sample_rate
         self.rng = random.Random()
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answers one request; every answer says its outcome."""
+        """Handles one request; every response states its outcome."""
         detail = ""
         try:
             reply = await self.process_request(request)
@@ -85,31 +85,34 @@
         """Returns the reply to a request.
 
         Raises:
-          calls.RequestError: it became no call.
+          calls.RequestError: The request is refused before it becomes a call.
         """
         raise NotImplementedError
 
     def check_accepting(self) -> None:
-        """Refuses new work of a node that leaves.
+        """Checks that the node accepts new work.
 
-        A call that a run here makes belongs to work that was taken before.
+        Not for the child calls of a call that runs here: they belong to work
+        accepted before.
 
         Raises:
-          calls.RequestError: the node takes no more.
+          calls.RequestError: The node is leaving.
         """
         if self.executor.leaving:
             raise calls.RequestError(Reason.LEAVING, "")
 
     async def submit(self, request: calls.Request) -> messages.Reply:
-        """Brings a call in and counts how it ended."""
+        """Dispatches a call and counts its outcome."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        # What a caller that hung up would have been told: it may have run.
+        started_at = loop.time()
+        # Counted if the caller disconnects: the call may have run.
         reply = calls.unknown_reply(Reason.CANCELLED)
         try:
             reply = await self.dispatcher.handle(request)
         finally:
-            self.metrics.ended(request.operation, reply, loop.time() - began)
+            self.metrics.ended(
+                request.operation, reply, loop.time() - started_at
+            )
             self.ledger.count(
                 request.operation,
                 request.importance,
@@ -122,7 +125,7 @@
         """Returns the whole body.
 
         Raises:
-          calls.RequestError: it is too long, too slow or incomplete.
+          calls.RequestError: The body is too long, too slow or incomplete.
         """
         return await httpserver.read_body(
             request, self.limits.body_bytes, self.limits.header_timeout
@@ -131,19 +134,19 @@
     def find_allowed(
         self, service: ids.ServiceName, method: str, target: str, caller
     ) -> messages.Operation | None:
-        """Returns the operation if the caller may reach it."""
-        found = self.directory.tables.value.find(service, method, target)
-        if found is None or not operationtable.OperationTable.allows(
-            found, caller
+        """Returns the operation, or None if it is unknown or not allowed."""
+        operation = self.directory.tables.value.find(service, method, target)
+        if operation is None or not operationtable.OperationTable.allows(
+            operation, caller
         ):
             return None
-        return found
+        return operation
 
     async def fetch_services(self, *services: ids.ServiceName) -> None:
-        """Waits until control told of the services.
+        """Waits until the table has the control group's entries for services.
 
         Raises:
-          calls.RequestError: no control host answers.
+          calls.RequestError: No control host answers.
         """
         try:
             await asyncio.gather(*map(self.directory.interest, services))
@@ -152,10 +155,10 @@
 
 
 class OutsideEdge(Edge):
-    """Takes requests from callers: /SERVICE/path.
+    """Handles requests of outside callers to /SERVICE/path.
 
     Attributes:
-      decoy: makes service names that nobody has.
+      decoy: Random suffix for service names that do not exist.
     """
 
     def __init__(self, *arguments):
@@ -163,26 +166,26 @@
         self.decoy = secrets.token_hex(8)
 
     async def process_request(self, request: web.BaseRequest) -> messages.Reply:
-        """Returns the reply to a caller's request.
+        """Returns the reply to an outside caller's request.
 
         Raises:
-          calls.RequestError: it became no call.
+          calls.RequestError: The request is refused before it becomes a call.
         """
         self.check_accepting()
         service, target = inbound.split_path(request.raw_path)
         operation = await self.resolve(service, request.method, target)
-        received = request.headers
-        deadline = inbound.deadline_of(operation, received)
-        key = inbound.key_of(received)
+        headers = request.headers
+        deadline = inbound.deadline_of(operation, headers)
+        key = inbound.key_of(headers)
         body = await self.read_body(request)
-        # It may have been told to leave while the request came in.
+        # The node may have started to leave while the body was read.
         self.check_accepting()
         return await self.submit(
             calls.Request(
                 operation=operation,
                 revision=self.directory.tables.value.revision,
                 target=target,
-                headers=inbound.headers_of(received),
+                headers=inbound.headers_of(headers),
                 body=body,
                 caller=ids.OUTSIDE,
                 client=inbound.client_of(request),
@@ -191,7 +194,7 @@
                 deadline=deadline,
                 allowance=retryallowance.RetryAllowance(operation.tries),
                 key=key,
-                trace=self.make_trace(received),
+                trace=self.make_trace(headers),
                 tree=httpheaders.new_tree_id(),
             )
         )
@@ -201,70 +204,70 @@
     ) -> messages.Operation:
         """Returns an operation that is visible from outside.
 
-        A hidden service that this node knows would be refused at once, where
-        a name that it does not know costs a round trip to control: the time
-        would tell them apart.  So every refusal waits for the round trip of
-        the name and of a decoy that control never knows; both are remembered
-        equally long.
+        Response times must not reveal hidden services.  Without a decoy, a
+        hidden service that this node knows would be refused at once, while
+        an unknown name costs a round trip to the control group.  So every
+        refusal first asks for both the name and a decoy that never exists;
+        both are cached for the same time.
 
         Raises:
-          calls.RequestError: there is none, or none that may be seen.
+          calls.RequestError: There is no such operation, or it is hidden.
         """
-        found = self.find_allowed(service, method, target, ids.OUTSIDE)
-        if found is None:
+        operation = self.find_allowed(service, method, target, ids.OUTSIDE)
+        if operation is None:
             decoy = ids.ServiceName(f"{service}~{self.decoy}")
             await self.fetch_services(service, decoy)
-            found = self.find_allowed(service, method, target, ids.OUTSIDE)
-        if found is None:
+            operation = self.find_allowed(service, method, target, ids.OUTSIDE)
+        if operation is None:
             raise calls.RequestError(Reason.NO_SUCH_OPERATION, "")
-        return found
+        return operation
 
     def make_trace(
-        self, received: httpheaders.HeaderMap
+        self, headers: httpheaders.HeaderMap
     ) -> httpheaders.TraceContext:
-        """Returns the caller's trace, or a new one.
+        """Returns the caller's trace context, or a new one.
 
-        Whether it is sampled is decided here: callers that set the flag on
-        every request would have every span recorded.
+        The sampling decision is made here, since callers that set the sampled
+        flag on every request would have every span recorded.
         """
-        fresh = httpheaders.new_trace(self.sample_rate)
-        theirs = httpheaders.parse_traceparent(
-            received.get(httpheaders.TRACEPARENT, "")
+        own_trace = httpheaders.new_trace(self.sample_rate)
+        caller_trace = httpheaders.parse_traceparent(
+            headers.get(httpheaders.TRACEPARENT, "")
         )
-        if theirs is None:
-            return fresh
+        if caller_trace is None:
+            return own_trace
         return httpheaders.TraceContext(
-            theirs.trace_id, theirs.parent_span, fresh.sampled
+            caller_trace.trace_id, caller_trace.parent_span, own_trace.sampled
         )
 
 
 class LocalEdge(Edge):
-    """Takes the calls that the backend server on this host makes."""
+    """Handles the calls that backend servers on this host make."""
 
     async def process_request(self, request: web.BaseRequest) -> messages.Reply:
-        """Returns the reply to a call of the backend server.
+        """Returns the reply to a call of a backend server.
 
         Raises:
-          calls.RequestError: it became no call.
+          calls.RequestError: The request is refused before it becomes a call.
         """
-        received = request.headers
+        headers = request.headers
         parent = self.executor.parent_of(
-            received.get(httpheaders.TRACESTATE, ""),
-            received.get(httpheaders.TRACEPARENT, ""),
+            headers.get(httpheaders.TRACESTATE, ""),
+            headers.get(httpheaders.TRACEPARENT, ""),
         )
         if parent is None:
             self.check_accepting()
-        caller = self.identify_caller(received, parent)
+        caller = self.identify_caller(headers, parent)
         service, target = inbound.split_path(request.raw_path)
         operation = await self.resolve(service, request.method, target, caller)
-        deadline = inbound.deadline_of(operation, received)
-        key = inbound.key_of(received)
+        deadline = inbound.deadline_of(operation, headers)
+        key = inbound.key_of(headers)
         body = await self.read_body(request)
         call = calls.Request(
             operation=operation,
             revision=self.directory.tables.value.revision,
             target=target,
-            headers=inbound.headers_of(received),
+            headers=inbound.headers_of(headers),
             body=body,
             caller=caller,
             client=ids.ClientId(caller),
@@ -284,47 +287,51 @@
     async def submit_child(
         self, call: calls.Request, parent: calls.Parent
     ) -> messages.Reply:
-        """Brings in a call that is part of a tree, with part of its tries."""
-        running = parent.running_call
-        where = f"{call.operation.service}{call.target}"
-        if not running.allow_child(call.operation.method, where, call.body):
+        """Dispatches a child call with part of its parent's retry allowance."""
+        running_call = parent.running_call
+        child_target = f"{call.operation.service}{call.target}"
+        if not running_call.allow_child(
+            call.operation.method, child_target, call.body
+        ):
             return calls.not_run_reply(Reason.TRIES_EXHAUSTED)
         call.client = parent.call.client
         call.inherit_from(parent.call)
         call.deadline = min(call.deadline, parent.deadline)
         call.trace = parent.trace
-        call.allowance = retryallowance.RetryAllowance(running.allowance.lend())
+        call.allowance = retryallowance.RetryAllowance(
+            running_call.allowance.lend()
+        )
         loop = asyncio.get_running_loop()
-        running.child_started(loop.time())
+        running_call.child_started(loop.time())
         try:
             reply = await self.submit(call)
             if reply.reason in calls.THRESHOLD_REFUSALS:
-                running.child_refused(max(reply.threshold, reply.below))
+                running_call.child_refused(max(reply.threshold, reply.below))
             return reply
         finally:
-            running.child_ended(loop.time())
-            running.allowance.reclaim(call.allowance.close())
+            running_call.child_ended(loop.time())
+            running_call.allowance.reclaim(call.allowance.close())
 
     def identify_caller(
-        self, received: httpheaders.HeaderMap, parent: calls.Parent | None
+        self, headers: httpheaders.HeaderMap, parent: calls.Parent | None
     ) -> ids.CallerName:
-        """Returns the service that calls.
+        """Returns the calling service.
 
         Raises:
-          calls.RequestError: none announced itself, or it is not clear
-            which of several calls.
+          calls.RequestError: No service is announced, or several are and the
+            request names none of them.
         """
         if parent is not None:
             return ids.CallerName(parent.call.service)
         names = list(self.executor.local_services.by_name)
-        named = received.get(httpheaders.SERVICE, "")
-        if named in names:
-            return ids.CallerName(named)
-        if named or len(names) != 1:
+        claimed_name = headers.get(httpheaders.SERVICE, "")
+        if claimed_name in names:
+            return ids.CallerName(claimed_name)
+        if claimed_name or len(names) != 1:
             raise calls.RequestError(
                 Reason.MALFORMED,
                 f"announce the calling service first, and name it in "
-                f"{httpheaders.SERVICE} where several are announced",
+                f"{httpheaders.SERVICE} if several are announced",
             )
         return ids.CallerName(names[0])
 
@@ -338,15 +345,16 @@
         """Returns the operation that the caller asks for.
 
         Raises:
-          calls.RequestError: there is none, or the caller may not reach it.
+          calls.RequestError: There is no such operation, or the caller may
+            not call it.
         """
-        found = self.find_allowed(service, method, target, caller)
-        if found is None:
+        operation = self.find_allowed(service, method, target, caller)
+        if operation is None:
             await self.fetch_services(service)
-            found = self.find_allowed(service, method, target, caller)
-        if found is None:
+            operation = self.find_allowed(service, method, target, caller)
+        if operation is None:
             raise calls.RequestError(Reason.NO_SUCH_OPERATION, "")
-        return found
+        return operation
 
 
 logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,4 +1,4 @@
-"""A whole node in the test's own process, with control and peers faked."""
+"""Whole nodes in the test's own process, with a fake control group."""
 
 import asyncio
 import contextlib
@@ -31,8 +31,8 @@
 
 
 def operation(name: str, method: str = "GET", **more) -> messages.Operation:
-    """Returns a row of the sheet for service `stock`, visible from outside."""
-    given = {
+    """Returns an operation of service `stock`, visible from outside."""
+    defaults = {
         "service": "stock",
         "path": f"/{name}",
         "idempotent": method == "GET",
@@ -42,7 +42,7 @@
         "tries": 4,
         "importance": messages.Importance.HIGH,
     }
-    return messages.Operation(name=name, method=method, **(given | more))
+    return messages.Operation(name=name, method=method, **(defaults | more))
 
 
 OPERATIONS = [
@@ -56,7 +56,7 @@
 
 
 class BackendServer:
-    """A backend server whose behaviour is one function of the test."""
+    """A backend server with a handler given by the test."""
 
     def __init__(self, handle):
         self.handle = handle
@@ -73,7 +73,7 @@
 
 
 class NodeCluster:
-    """Nodes that were started, each with its backend server and addresses."""
+    """Started nodes, each with its backend server."""
 
     def __init__(self, directory, stack: contextlib.AsyncExitStack):
         self.directory = directory
@@ -92,10 +92,10 @@
         """Starts a node with a backend server, announced as `stock`.
 
         Args:
-          host: its name.
-          handle: answers for the backend server; None for no backend server.
-          extra_settings: further settings.
-          header_timeout: seconds that a caller has to send its request.
+          host: Name of the host.
+          handle: Handler of the backend server, or None for no backend server.
+          extra_settings: Text appended to the settings.
+          header_timeout: Seconds that a caller has to send its request.
         """
         path = self.directory / f"{host}.ini"
         text = SETTINGS.format(host=host) + extra_settings
@@ -132,13 +132,13 @@
 
     async def serve(self, started: node.Node, server: BackendServer) -> None:
         """Starts the backend server and announces it over HTTP."""
-        listening = await asyncio.get_running_loop().create_server(
+        listener = await asyncio.get_running_loop().create_server(
             web.Server(server.respond, handler_cancellation=True),
             "127.0.0.1",
             0,
         )
-        self.stack.callback(listening.close)
-        port = listening.sockets[0].getsockname()[1]
+        self.stack.callback(listener.close)
+        port = listener.sockets[0].getsockname()[1]
         started.backend_server = server
         status, _, body = await self.send(
             started.local_listener.address,
@@ -151,18 +151,18 @@
         assert status == 200, body
 
     def publish_views(self) -> None:
-        """Gives every node the view of all that serve `stock`."""
+        """Publishes a view with all nodes that serve `stock` to every node."""
         members = [
             messages.Member(
-                host=each.process.host,
-                incarnation=each.process.incarnation,
+                host=started.process.host,
+                incarnation=started.process.incarnation,
                 data_centre="centre",
-                peer_address=str(each.peer_listener.address),
+                peer_address=str(started.peer_listener.address),
                 slots=4,
-                leaving=each.executor.leaving,
+                leaving=started.executor.leaving,
             )
-            for each in self.nodes
-            if each.local_services.by_name
+            for started in self.nodes
+            if started.local_services.by_name
         ]
         view = messages.ServiceView(
             service="stock",
@@ -176,8 +176,8 @@
             active=True,
         )
         self.views.append(view)
-        for each in self.nodes:
-            each.control.views.on_next({"stock": view})
+        for started in self.nodes:
+            started.control.views.on_next({"stock": view})
 
     async def send(
         self, address: options.Address, method: str, path: str, **more
@@ -198,7 +198,7 @@
 
 @contextlib.asynccontextmanager
 async def node_cluster(folder):
-    """Gives a world whose nodes are closed at the end."""
+    """Yields a cluster and closes its nodes at the end."""
     async with contextlib.AsyncExitStack() as stack:
         yield NodeCluster(folder, stack)
 
--- a/tests/test_backend.py
+++ b/tests/test_backend.py
@@ -1,4 +1,4 @@
-"""Calls to the backend server, against small real sockets."""
+"""Tests of requests to the backend server, over real sockets."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class ClosingBytes(bytes):
-    """Bytes after which the backend server drops the connection."""
+    """A response after which the server closes the connection."""
 
 
 CLOSE_WITHOUT_RESPONSE = ClosingBytes()
@@ -28,7 +28,7 @@
 
 
 class ScriptedServer:
-    """Reads requests and answers each with the next of its scripts."""
+    """A server that sends the next scripted response to each request."""
 
     def __init__(self, responses):
         self.responses = list(responses)
@@ -42,25 +42,25 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.requests.append(head)
-                script = self.responses.pop(0)
-                writer.write(script)
-                if isinstance(script, ClosingBytes):
+                response = self.responses.pop(0)
+                writer.write(response)
+                if isinstance(response, ClosingBytes):
                     break
         self.closed.set()
         writer.close()
 
 
 @contextlib.asynccontextmanager
-async def scripted_server(*scripts):
-    server = ScriptedServer(scripts)
-    listening = await asyncio.start_server(server.serve, "127.0.0.1", 0)
-    port = listening.sockets[0].getsockname()[1]
-    calling = aiohttpbackend.Backend(100, 2.0, 100)
+async def scripted_server(*responses):
+    server = ScriptedServer(responses)
+    listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
+    port = listener.sockets[0].getsockname()[1]
+    client = aiohttpbackend.Backend(100, 2.0, 100)
     try:
-        yield server, calling, options.Address("127.0.0.1", port)
+        yield server, client, options.Address("127.0.0.1", port)
     finally:
-        await calling.close()
-        listening.close()
+        await client.close()
+        listener.close()
 
 
 def request(method="GET", idempotent=True, seconds=WAIT_SECONDS, headers=()):
@@ -77,13 +77,13 @@
 
 
 class TestSend:
-    """Exactly one request, and a true word on its fate."""
+    """Each request is sent at most once, and its outcome is reported truly."""
 
-    async def test_a_whole_answer_comes_back_and_nothing_is_added(self):
-        async with scripted_server(OK) as (server, calling, address):
-            given = messages.Header(name="X-Sale", value="1")
-            answer = await calling.send(
-                address, request(headers=[given]), backend.Attempt()
+    async def test_response_is_returned_and_no_header_is_added(self):
+        async with scripted_server(OK) as (server, client, address):
+            extra_header = messages.Header(name="X-Sale", value="1")
+            answer = await client.send(
+                address, request(headers=[extra_header]), backend.Attempt()
             )
         assert (answer.status, answer.body) == (200, b"ok")
         lines = server.requests[0].split(b"\r\n")
@@ -93,51 +93,49 @@
 
     @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
     @pytest.mark.parametrize("idempotent", [True, False])
-    async def test_a_dropped_connection_is_never_repeated(
+    async def test_request_is_not_resent_after_a_dropped_connection(
         self, method, idempotent
     ):
-        """The backend server reads a request on a kept connection and dies.
+        """The backend server crashes after reading a request.
 
-        aiohttp would send an idempotent method again on a new connection: a
-        run that nobody counted.  Exactly one request must be seen there, and
-        its outcome is unknown.
+        On a kept-alive connection, aiohttp would resend an idempotent method
+        over a new one, which would be an uncounted run.  Exactly one request
+        must arrive, and its outcome is unknown.
         """
         async with scripted_server(OK, CLOSE_WITHOUT_RESPONSE, OK) as (
             server,
-            calling,
+            client,
             address,
         ):
-            await calling.send(
+            await client.send(
                 address, request(method, idempotent), backend.Attempt()
             )
             attempt = backend.Attempt()
             with pytest.raises(errors.BackendBrokenError):
-                await calling.send(
-                    address, request(method, idempotent), attempt
-                )
+                await client.send(address, request(method, idempotent), attempt)
             assert server.connections == 1
         assert attempt.sent
         assert len(server.requests) == 2
 
-    async def test_the_check_holds_without_the_switch_of_aiohttp(self):
-        """A new aiohttp drops the switch that stops its silent repeats.
+    async def test_resend_by_aiohttp_violates_the_invariant(self):
+        """A new aiohttp version may drop the switch that stops resending.
 
-        The second sending of the same attempt must be stopped by the
-        system's own check, and counted as a promise about to be broken.
+        The check in SingleSendRequest must then stop the second sending of an
+        attempt and count a violation of the invariant.
         """
-        broken = invariants.Promise.AT_MOST_ONCE
-        before = invariants.broken[broken]
+        promise = invariants.Promise.AT_MOST_ONCE
+        violations_before = invariants.broken[promise]
         async with scripted_server(OK, CLOSE_WITHOUT_RESPONSE, OK) as (
             server,
-            calling,
+            client,
             address,
         ):
-            calling.idempotent_session._retry_connection = True
-            await calling.send(address, request(), backend.Attempt())
+            client.idempotent_session._retry_connection = True
+            await client.send(address, request(), backend.Attempt())
             with pytest.raises(errors.InvariantError):
-                await calling.send(address, request(), backend.Attempt())
+                await client.send(address, request(), backend.Attempt())
         assert len(server.requests) == 2
-        assert invariants.broken.pop(broken) == before + 1
+        assert invariants.broken.pop(promise) == violations_before + 1
 
     @pytest.mark.parametrize(
         ("script", "error"),
@@ -163,91 +161,95 @@
             (b"rubbish\r\n\r\n", errors.BackendBrokenError),
         ],
     )
-    async def test_part_of_an_answer_is_an_error(self, script, error):
-        """The backend server answers half a body, or one without an end.
+    async def test_incomplete_or_too_large_response_is_an_error(
+        self, script, error
+    ):
+        """A part of a response must not be passed on as a complete one.
 
-        Passed on, the caller would take the part for the whole.  It gets an
-        error instead, and since the request was sent its fate is unknown.
+        The backend server sends half a body, one of unknown length or one
+        above the limit.  The result is an error, and since the request was
+        sent, its outcome is unknown.
         """
         async with scripted_server(ClosingBytes(script)) as (
             _,
-            calling,
+            client,
             address,
         ):
             attempt = backend.Attempt()
             with pytest.raises(error):
-                await calling.send(address, request(), attempt)
+                await client.send(address, request(), attempt)
             assert attempt.sent
 
-    async def test_nobody_listening_means_that_nothing_was_sent(self):
-        async with scripted_server() as (_, calling, address):
-            nobody = options.Address(address.ip, 1)
+    async def test_refused_connection_means_nothing_was_sent(self):
+        async with scripted_server() as (_, client, address):
+            closed_address = options.Address(address.ip, 1)
             attempt = backend.Attempt()
             with pytest.raises(errors.BackendUnreachableError):
-                await calling.send(nobody, request(), attempt)
+                await client.send(closed_address, request(), attempt)
             assert not attempt.sent
 
-    async def test_a_shut_gate_sends_no_byte(self):
-        class ShutError(Exception):
+    async def test_exception_before_send_sends_no_byte(self):
+        class SendRefusedError(Exception):
             pass
 
-        async def gate():
-            raise ShutError
+        async def refuse_send():
+            raise SendRefusedError
 
-        async with scripted_server(OK) as (server, calling, address):
-            attempt = backend.Attempt(gate)
-            with pytest.raises(ShutError):
-                await calling.send(address, request(), attempt)
+        async with scripted_server(OK) as (server, client, address):
+            attempt = backend.Attempt(refuse_send)
+            with pytest.raises(SendRefusedError):
+                await client.send(address, request(), attempt)
             assert not attempt.sent
-            await calling.send(address, request(), backend.Attempt())
+            await client.send(address, request(), backend.Attempt())
             assert len(server.requests) == 1
 
-    async def test_the_deadline_and_a_hang_up_close_the_connection(self):
-        """The backend server is slow, and its caller gives up.
+    async def test_deadline_and_cancellation_close_the_connection(self):
+        """A slow backend server must learn that nobody waits any more.
 
-        Both at the deadline and when the caller hangs up, the connection is
-        closed, so that the backend server sees that nobody waits.
+        So the connection is closed at the deadline, and also when the caller
+        disconnects.
         """
-        async with scripted_server(NO_RESPONSE) as (server, calling, address):
+        async with scripted_server(NO_RESPONSE) as (server, client, address):
             with pytest.raises(errors.BackendTimeoutError):
-                await calling.send(
+                await client.send(
                     address, request(seconds=0.05), backend.Attempt()
                 )
             await asyncio.wait_for(server.closed.wait(), WAIT_SECONDS)
-        async with scripted_server(NO_RESPONSE) as (server, calling, address):
+        async with scripted_server(NO_RESPONSE) as (server, client, address):
             sending = asyncio.create_task(
-                calling.send(address, request(), backend.Attempt())
+                client.send(address, request(), backend.Attempt())
             )
             while not server.requests:
                 await asyncio.sleep(0.001)
             sending.cancel()
             await asyncio.wait_for(server.closed.wait(), WAIT_SECONDS)
-            assert calling.inflight == 0
+            assert client.inflight == 0
 
-    async def test_redirects_and_cookies_are_left_to_the_caller(self):
+    async def test_redirects_and_cookies_are_passed_to_the_caller(self):
         moved = (
             b"HTTP/1.1 302 Found\r\nLocation: /x\r\nSet-Cookie: a=1\r\n"
             b"Content-Encoding: gzip\r\nContent-Length: 3\r\n\r\nraw"
         )
-        async with scripted_server(moved, OK) as (server, calling, address):
-            answer = await calling.send(address, request(), backend.Attempt())
-            await calling.send(address, request(), backend.Attempt())
+        async with scripted_server(moved, OK) as (server, client, address):
+            answer = await client.send(address, request(), backend.Attempt())
+            await client.send(address, request(), backend.Attempt())
         assert (answer.status, answer.body) == (302, b"raw")
         assert httpheaders.find(answer.headers, "set-cookie") == "a=1"
         assert b"ookie" not in server.requests[1]
 
-    async def test_an_old_connection_carries_no_booking(self, monkeypatch):
-        """A kept connection has been idle for a while when a booking comes.
+    async def test_non_idempotent_request_avoids_an_idle_connection(
+        self, monkeypatch
+    ):
+        """The backend server may be closing a connection that was idle.
 
-        The backend server may be closing it just now, and then nobody knows
-        whether the booking ran.  It goes over a fresh connection; a read may
-        use the old one, since it can be repeated.
+        A request sent over it then has an unknown outcome.  So only
+        idempotent requests, which can be resent, use such a connection.
         """
         monkeypatch.setattr(backend, "NON_IDEMPOTENT_REUSE_SECONDS", 0.01)
-        async with scripted_server(*[OK] * 4) as (server, calling, address):
+        async with scripted_server(*[OK] * 4) as (server, client, address):
             for idempotent in (True, False):
                 for _ in range(2):
-                    await calling.send(
+                    await client.send(
                         address,
                         request(idempotent=idempotent),
                         backend.Attempt(),
@@ -255,12 +257,12 @@
                     await asyncio.sleep(0.05)
             assert server.connections == 3
 
-    async def test_a_backend_server_may_say_that_it_shed(self):
+    async def test_shed_response_is_recognized(self):
         shed = (
             b"HTTP/1.1 503 Busy\r\nMangobay-Outcome: not_run\r\n"
             b"Content-Length: 0\r\n\r\n"
         )
-        async with scripted_server(shed) as (_, calling, address):
-            answer = await calling.send(address, request(), backend.Attempt())
+        async with scripted_server(shed) as (_, client, address):
+            answer = await client.send(address, request(), backend.Attempt())
         assert answer.shed
         assert not httpheaders.find(answer.headers, httpheaders.OUTCOME)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""The HTTP edges, on whole nodes in this process."""
+"""Tests of the HTTP edges on whole nodes in this process."""
 
 import asyncio
 import json
@@ -17,9 +17,9 @@
 
 
 @pytest.fixture
-async def world(tmp_path):
-    async with nodes.node_cluster(tmp_path) as made:
-        yield made
+async def cluster(tmp_path):
+    async with nodes.node_cluster(tmp_path) as started_cluster:
+        yield started_cluster
 
 
 def reason_of(body: bytes) -> str:
@@ -27,7 +27,7 @@
 
 
 class RawClient:
-    """One connection of a caller, written and read by hand."""
+    """One connection of a caller, with requests written by hand."""
 
     def __init__(self, address, **more):
         self.address = address
@@ -43,13 +43,13 @@
         self.writer.close()
 
     def send(self, method, path, body=b"", *, length=None) -> None:
-        """Sends a request, or the first part of one with a longer body."""
+        """Sends a request, or the first part if `length` exceeds the body."""
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n"
         head += f"Content-Length: {length or len(body)}\r\n\r\n"
         self.writer.write(head.encode() + body)
 
     async def read_response(self) -> tuple[int, dict[str, str], bytes]:
-        """Returns status, fields (names in lower case) and body."""
+        """Returns status, headers (all in lower case) and body."""
         async with asyncio.timeout(nodes.WAIT_SECONDS):
             head = (await self.reader.readuntil(b"\r\n\r\n")).decode()
             first, *lines = head.strip().split("\r\n")
@@ -58,7 +58,7 @@
         return int(first.split()[1]), found, body
 
     async def is_closed(self) -> bool:
-        """Returns whether the connection ends with nothing more on it."""
+        """Returns whether the connection ends without further bytes."""
         return (
             await asyncio.wait_for(self.reader.read(), nodes.WAIT_SECONDS)
             == b""
@@ -66,13 +66,11 @@
 
 
 class TestOutsideEdge:
-    """What a caller gets."""
+    """Requests of outside callers."""
 
-    async def test_a_call_reaches_the_backend_server_and_comes_back(
-        self, world
-    ):
-        one = await world.start("one", echo)
-        status, headers, body = await world.send_outside(
+    async def test_call_reaches_backend_server_and_is_answered(self, cluster):
+        one = await cluster.start("one", echo)
+        status, headers, body = await cluster.send_outside(
             one, "GET", "/stock/price?a=%2f"
         )
         assert (status, body) == (200, b"GET /price?a=%2f")
@@ -82,35 +80,34 @@
         assert request.headers[httpheaders.TRACEPARENT].split("-")[2] in state
         assert 0 < float(request.headers[httpheaders.REQUEST_TIMEOUT]) <= 20
 
-    async def test_callers_cannot_set_what_the_system_sets(self, world):
-        """A caller poses as a running call of a backend server.
+    async def test_reserved_headers_of_callers_are_ignored(self, cluster):
+        """A caller must not pose as a running call of a backend server.
 
-        It sends the system's own headers and a parent call's id.  None of
-        them reaches the backend server, and its call stays a first call.
+        It sends reserved headers and a parent call's id.  None of them
+        reaches the backend server, and the call has no parent.
         """
-        one = await world.start("one", echo)
+        one = await cluster.start("one", echo)
         forged = {
             "Mangobay-Service": "stock",
             "Mangobay-Outcome": "answered",
             "tracestate": "a=1,mangobay=0123456789abcdef",
         }
-        await world.send_outside(one, "GET", "/stock/price", headers=forged)
+        await cluster.send_outside(one, "GET", "/stock/price", headers=forged)
         (request,) = one.backend_server.requests
         assert not [n for n in request.headers if n.startswith("Mangobay")]
         assert request.headers["tracestate"].endswith(",a=1")
         assert "0123456789abcdef" not in request.headers["tracestate"]
 
-    async def test_a_hidden_operation_answers_as_one_that_does_not_exist(
-        self, world
-    ):
-        """An outsider guesses at the names of internal services.
+    async def test_hidden_operation_looks_like_a_missing_one(self, cluster):
+        """An outside caller must not find out names of internal services.
 
-        Hidden service, hidden operation, unknown service, unknown path and
-        wrong method: status, headers and body are the same bytes, and each
-        asks control for as much, so that the time tells nothing either.
+        For a hidden service, a hidden operation, an unknown service, an
+        unknown path and a wrong method, status, headers and body are equal,
+        and so is the number of requests to the control group, so that the
+        response time reveals nothing either.
         """
-        one = await world.start("one", echo)
-        seen = []
+        one = await cluster.start("one", echo)
+        responses = []
         for method, path in (
             ("GET", "/freight/freight"),
             ("GET", "/stock/inside"),
@@ -118,13 +115,17 @@
             ("GET", "/stock/nothing"),
             ("DELETE", "/stock/price"),
         ):
-            world.interest_requests.clear()
-            status, headers, body = await world.send_outside(one, method, path)
-            kept = {n: v for n, v in headers.items() if n != "Date"}
-            seen.append((status, kept, body, len(world.interest_requests)))
-        assert seen[0][0] == 404
-        assert all(each == seen[0] for each in seen)
-        assert seen[0][3] == 2
+            cluster.interest_requests.clear()
+            status, headers, body = await cluster.send_outside(
+                one, method, path
+            )
+            stable_headers = {n: v for n, v in headers.items() if n != "Date"}
+            responses.append(
+                (status, stable_headers, body, len(cluster.interest_requests))
+            )
+        assert responses[0][0] == 404
+        assert all(each == responses[0] for each in responses)
+        assert responses[0][3] == 2
         assert not one.backend_server.requests
 
     @pytest.mark.parametrize(
@@ -146,12 +147,14 @@
             ),
         ],
     )
-    async def test_bad_requests_are_problems_that_did_not_run(
-        self, world, path, more, status, reason
+    async def test_bad_requests_are_refused_as_not_run(
+        self, cluster, path, more, status, reason
     ):
-        one = await world.start("one", echo)
-        got, headers, body = await world.send_outside(one, "POST", path, **more)
-        assert (got, reason_of(body)) == (status, reason)
+        one = await cluster.start("one", echo)
+        actual_status, headers, body = await cluster.send_outside(
+            one, "POST", path, **more
+        )
+        assert (actual_status, reason_of(body)) == (status, reason)
         assert headers[httpheaders.OUTCOME] == "not_run"
         assert headers["Content-Type"] == "application/problem+json"
         assert not one.backend_server.requests
@@ -165,39 +168,44 @@
             b"",
         ],
     )
-    async def test_slow_and_broken_senders_are_ended(self, world, sent):
-        """A caller sends half a body, half a head, nothing, or no HTTP.
+    async def test_incomplete_or_invalid_requests_are_closed(
+        self, cluster, sent
+    ):
+        """Slow or broken callers must not hold connections.
 
-        It gets a refusal where HTTP allows one, and the connection ends
-        within the settings' time, so that it holds nothing.
+        A caller sends half a body, half a head, nothing, or no HTTP.  It gets
+        a refusal where HTTP allows one, and the connection is closed within
+        the header timeout.
         """
-        one = await world.start("one", echo)
+        one = await cluster.start("one", echo)
         reader, writer = await asyncio.open_connection(
             *one.outside_listener.address
         )
         writer.write(sent)
-        got = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
+        received = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
         writer.close()
-        assert not got or b"Mangobay-Outcome: not_run" in got
+        assert not received or b"Mangobay-Outcome: not_run" in received
         assert not one.backend_server.requests
 
-    async def test_a_caller_that_hangs_up_frees_idempotent_work_only(
-        self, world
-    ):
-        """Two callers hang up, one on a price and one on a booking.
+    async def test_disconnect_cancels_idempotent_calls_only(self, cluster):
+        """Callers disconnect from an idempotent and a non-idempotent call.
 
-        The price is cancelled down to the backend server.  The booking may
-        have been made already, so it is finished.
+        The idempotent call is cancelled down to the backend server.  The
+        other one may already have taken effect, so it is finished.
         """
-        one = await world.start("one", self.answer_when_released)
+        one = await cluster.start("one", self.answer_when_released)
         self.release = asyncio.Event()
         for method, path in (("GET", "/stock/price"), ("POST", "/stock/book")):
-            asking = asyncio.create_task(world.send_outside(one, method, path))
-            seen = len(one.backend_server.requests) + 1
+            request_task = asyncio.create_task(
+                cluster.send_outside(one, method, path)
+            )
+            expected = len(one.backend_server.requests) + 1
             await nodes.wait_until(
-                lambda seen=seen: len(one.backend_server.requests) == seen
+                lambda expected=expected: (
+                    len(one.backend_server.requests) == expected
+                )
             )
-            asking.cancel()
+            request_task.cancel()
         await nodes.wait_until(lambda: one.backend_server.cancelled == 1)
         await nodes.wait_until(lambda: not one.dispatcher.in_flight.open)
         assert len(one.executor.parents) == 1
@@ -209,75 +217,77 @@
         await self.release.wait()
         return await echo(request)
 
-    async def test_the_deadline_ends_a_call_with_its_true_outcome(self, world):
+    async def test_deadline_of_a_running_call_gives_outcome_unknown(
+        self, cluster
+    ):
         async def never(request):
             await asyncio.Event().wait()
 
-        one = await world.start("one", never)
-        status, _, body = await world.send_outside(one, "GET", "/stock/late")
+        one = await cluster.start("one", never)
+        status, _, body = await cluster.send_outside(one, "GET", "/stock/late")
         assert (status, reason_of(body)) == (504, "deadline_exceeded")
         assert json.loads(body)["outcome"] == "unknown"
 
 
 class TestPeers:
-    """A call that another node serves."""
+    """Calls that another node serves."""
 
-    async def test_a_call_goes_to_the_node_of_the_service(self, world):
-        one = await world.start("one", None)
-        two = await world.start("two", echo)
-        status, _, body = await world.send_outside(
+    async def test_call_is_routed_to_a_node_of_the_service(self, cluster):
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", echo)
+        status, _, body = await cluster.send_outside(
             one, "POST", "/stock/book", data=b"x"
         )
         assert (status, body) == (200, b"POST /book")
         assert len(two.backend_server.requests) == 1
 
-    async def test_a_leaving_node_refuses_and_another_one_serves(self, world):
-        """A host is asked to leave while the others do not know it yet.
+    async def test_calls_to_a_leaving_node_are_served_by_another(self, cluster):
+        """A host starts to leave before the other nodes know.
 
-        Their calls still arrive there.  It refuses them unrun, the sender
-        goes on to another host at once, and the caller sees only answers.
+        It refuses their calls as not run, they try another host at once, and
+        every caller gets an answer.
         """
-        one = await world.start("one", None)
-        two = await world.start("two", echo)
-        three = await world.start("three", echo)
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", echo)
+        three = await cluster.start("three", echo)
         two.executor.leaving = True
         for _ in range(6):
-            status, _, body = await world.send_outside(
+            status, _, body = await cluster.send_outside(
                 one, "POST", "/stock/book"
             )
             assert status == 200, body
         assert not two.backend_server.requests
         assert len(three.backend_server.requests) == 6
 
-    async def test_a_dead_host_costs_no_call(self, world):
-        one = await world.start("one", None)
-        two = await world.start("two", echo)
-        await world.start("three", echo)
+    async def test_unreachable_host_fails_no_call(self, cluster):
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", echo)
+        await cluster.start("three", echo)
         await two.peer_listener.close()
         for _ in range(6):
-            status, _, body = await world.send_outside(
+            status, _, body = await cluster.send_outside(
                 one, "GET", "/stock/price"
             )
             assert status == 200, body
 
-    async def test_a_keyed_call_runs_once_whichever_node_is_asked(self, world):
-        one = await world.start("one", echo)
-        two = await world.start("two", echo)
+    async def test_keyed_call_runs_once_for_repeats_at_any_node(self, cluster):
+        one = await cluster.start("one", echo)
+        two = await cluster.start("two", echo)
         headers = {"Idempotency-Key": "0190b0aa-foreign"}
         for started in (one, two, one):
-            status, _, body = await world.send_outside(
+            status, _, body = await cluster.send_outside(
                 started, "POST", "/stock/sign", headers=headers
             )
             assert (status, body) == (200, b"POST /sign")
         requests = one.backend_server.requests + two.backend_server.requests
         assert len(requests) == 1
 
-    async def test_without_a_lease_only_idempotent_calls_go(self, world):
-        one = await world.start("one", echo)
+    async def test_without_a_lease_only_idempotent_calls_run(self, cluster):
+        one = await cluster.start("one", echo)
         one.control.lease.until = 0
-        status, _, _ = await world.send_outside(one, "GET", "/stock/price")
+        status, _, _ = await cluster.send_outside(one, "GET", "/stock/price")
         assert status == 200
-        status, headers, body = await world.send_outside(
+        status, headers, body = await cluster.send_outside(
             one, "POST", "/stock/book"
         )
         assert (status, reason_of(body)) == (503, "no_lease")
@@ -285,14 +295,13 @@
 
 
 class TestLocalEdge:
-    """Calls that the backend server makes, and its announcements."""
+    """Calls and announcements of the backend server."""
 
-    async def test_a_child_call_inherits_from_its_parent(self, world):
-        """A price needs a freight estimate, which only services may ask for.
+    async def test_child_call_inherits_from_its_parent(self, cluster):
+        """A backend server makes a child call with its call's tracestate.
 
-        The backend server passes on the tracestate that came with its call.
-        The child has the importance, client and deadline of the tree, one
-        level deeper, and part of its tries.
+        The child call is one level deeper, has the importance, client and
+        deadline of its tree, and part of the tree's tries.
         """
         calls = []
 
@@ -301,20 +310,20 @@
                 return web.Response(text="child")
             state = request.headers["tracestate"]
             local = one.local_listener.address
-            _, _, body = await world.send(
+            _, _, body = await cluster.send(
                 local, "GET", "/stock/inside", headers={"tracestate": state}
             )
             return web.Response(body=body)
 
-        one = await world.start("one", ask_freight)
+        one = await cluster.start("one", ask_freight)
         serve = one.executor.serve
 
-        async def note(call):
+        async def record(call):
             calls.append(call)
             return await serve(call)
 
-        one.executor.serve = note
-        _, _, body = await world.send_outside(
+        one.executor.serve = record
+        _, _, body = await cluster.send_outside(
             one, "GET", "/stock/price", headers={"Request-Timeout": "9"}
         )
         assert body == b"child"
@@ -327,38 +336,40 @@
         assert child.tree == parent.tree != ""
         assert 0 < child.tries < parent.tries
 
-    async def test_a_caller_cannot_choose_its_place_among_equals(self, world):
+    async def test_caller_cannot_choose_the_tree_id(self, cluster):
         """A caller sends the same traceparent with every call.
 
-        Who of one importance is shed first goes by the name of the call
-        tree. Were that the trace id, one lucky id would let all its calls
-        through; so the node makes the name, while the trace stays theirs.
+        Among calls of equal importance, the tree id decides which are shed
+        first.  If it were the trace id, a caller could choose one that is
+        shed last for all its calls.  So the node makes the tree id, and only
+        the trace id is the caller's.
         """
-        seen = []
-        one = await world.start("one", echo)
+        calls = []
+        one = await cluster.start("one", echo)
         serve = one.executor.serve
 
-        async def note(call):
-            seen.append(call)
+        async def record(call):
+            calls.append(call)
             return await serve(call)
 
-        one.executor.serve = note
-        theirs = f"00-{'ab' * 16}-{'cd' * 8}-01"
+        one.executor.serve = record
+        traceparent = f"00-{'ab' * 16}-{'cd' * 8}-01"
         for _ in range(2):
-            await world.send_outside(
-                one, "GET", "/stock/price", headers={"traceparent": theirs}
+            await cluster.send_outside(
+                one, "GET", "/stock/price", headers={"traceparent": traceparent}
             )
-        first, second = seen
+        first, second = calls
         assert first.traceparent[3:35] == second.traceparent[3:35] == "ab" * 16
         assert first.tree != second.tree
 
-    async def test_a_backend_server_that_repeats_spends_the_trees_tries(
-        self, world
+    async def test_repeated_child_calls_use_up_the_retry_allowance(
+        self, cluster
     ):
-        """A backend server repeats its child call in a loop of its own.
+        """A backend server retries its child call in a loop of its own.
 
-        Each repeat costs one of the tree's tries; when they are spent, it is
-        refused unrun, so that loops of several hops cannot multiply.
+        Each retry uses one of the tree's tries.  Once they are used up, the
+        call is refused as not run, so that retry loops of several hops do not
+        multiply.
         """
         statuses = []
 
@@ -367,7 +378,7 @@
                 return web.Response(status=500)
             state = {"tracestate": request.headers["tracestate"]}
             for _ in range(9):
-                status, _, _ = await world.send(
+                status, _, _ = await cluster.send(
                     one.local_listener.address,
                     "GET",
                     "/stock/inside",
@@ -376,63 +387,65 @@
                 statuses.append(status)
             return web.Response()
 
-        one = await world.start("one", repeat)
-        await world.send_outside(one, "GET", "/stock/price")
+        one = await cluster.start("one", repeat)
+        await cluster.send_outside(one, "GET", "/stock/price")
         assert statuses.count(500) <= 1 + 4
         assert statuses[-1] == 503
         assert not one.executor.parents
 
-    async def test_who_has_not_announced_itself_may_not_call(self, world):
-        one = await world.start("one", None)
+    async def test_calls_without_an_announced_service_are_refused(
+        self, cluster
+    ):
+        one = await cluster.start("one", None)
         local = one.local_listener.address
-        status, _, body = await world.send(local, "GET", "/stock/price")
+        status, _, body = await cluster.send(local, "GET", "/stock/price")
         assert (status, reason_of(body)) == (400, "malformed")
 
-    async def test_announcements_tell_all_faults_and_can_be_withdrawn(
-        self, world
+    async def test_bad_announcement_lists_all_faults_and_good_one_is_withdrawn(
+        self, cluster
     ):
-        one = await world.start("one", echo)
+        one = await cluster.start("one", echo)
         local = one.local_listener.address
         path = "/mangobay/announce"
         bad = json.dumps({"service": "a/b", "address": "db:1", "slots": 0})
-        status, _, body = await world.send(local, "POST", path, data=bad)
+        status, _, body = await cluster.send(local, "POST", path, data=bad)
         assert status == 400
         detail = json.loads(body)["detail"]
         assert all(word in detail for word in ("service", "address", "slots"))
-        status, _, _ = await world.send(
+        status, _, _ = await cluster.send(
             local, "DELETE", path, data='{"service": "stock"}'
         )
         assert (status, one.control.serves) == (200, [])
 
-    async def test_a_silent_backend_server_is_gone(self, world):
-        one = await world.start("one", echo, "[backend]\nsilence = 0.2\n")
+    async def test_announcement_expires_without_renewal(self, cluster):
+        one = await cluster.start("one", echo, "[backend]\nsilence = 0.2\n")
         assert one.control.serves
         await nodes.wait_until(lambda: not one.control.serves)
 
-    async def test_health_readiness_and_metrics_are_told(self, world):
-        one = await world.start("one", echo)
-        await world.send_outside(one, "GET", "/stock/price")
+    async def test_health_readiness_and_metrics_are_served(self, cluster):
+        one = await cluster.start("one", echo)
+        await cluster.send_outside(one, "GET", "/stock/price")
         local = one.local_listener.address
-        assert (await world.send(local, "GET", "/mangobay/health"))[0] == 200
-        assert (await world.send(local, "GET", "/mangobay/ready"))[0] == 200
-        _, _, body = await world.send(local, "GET", "/mangobay/metrics")
+        assert (await cluster.send(local, "GET", "/mangobay/health"))[0] == 200
+        assert (await cluster.send(local, "GET", "/mangobay/ready"))[0] == 200
+        _, _, body = await cluster.send(local, "GET", "/mangobay/metrics")
         text = body.decode()
         assert 'outcome="answered"' in text
         assert 'promise="not_run_is_true"' in text
         one.control.lease.until = 0
-        assert (await world.send(local, "GET", "/mangobay/ready"))[0] == 503
+        assert (await cluster.send(local, "GET", "/mangobay/ready"))[0] == 503
 
 
 class TestLeaving:
-    """A planned stop."""
+    """Graceful shutdown."""
 
-    async def test_what_is_in_flight_is_finished_and_nothing_new_taken(
-        self, world
+    async def test_drained_node_finishes_calls_and_refuses_new_ones(
+        self, cluster
     ):
-        """An operator drains a host while a booking runs there.
+        """An operator drains a host while a call runs there.
 
-        New calls are refused unrun, the booking is answered whole, and only
-        then the node ends, with nothing cut.
+        New calls are refused as not run, and the node ends only once the
+        running call is answered, with nothing aborted.
         """
         release = asyncio.Event()
 
@@ -440,33 +453,33 @@
             await release.wait()
             return await echo(request)
 
-        one = await world.start("one", wait)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", wait)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.control.draining.on_next(True)
         await nodes.wait_until(lambda: one.executor.leaving)
-        status, _, body = await world.send_outside(one, "GET", "/stock/price")
+        status, _, body = await cluster.send_outside(one, "GET", "/stock/price")
         assert (status, reason_of(body)) == (503, "leaving")
         assert one.control.leaving
         release.set()
-        assert (await asking)[0] == 200
-        world.publish_views()
+        assert (await request_task)[0] == 200
+        cluster.publish_views()
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_told_a_second_time_it_goes_on_leaving(self, world):
-        """A second SIGTERM cuts what the first one waits for."""
+    async def test_repeated_stop_does_not_abort_calls(self, cluster):
+        """Guards against a second SIGTERM that aborts the running calls."""
         release = asyncio.Event()
 
         async def wait(request):
             await release.wait()
             return await echo(request)
 
-        one = await world.start("one", wait)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", wait)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.control.draining.on_next(True)
@@ -475,18 +488,20 @@
         await asyncio.sleep(0.1)
         assert not one.ended.is_set()
         release.set()
-        assert (await asking)[0] == 200
-        world.publish_views()
+        assert (await request_task)[0] == 200
+        cluster.publish_views()
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_interrupted_while_leaving_it_says_what_it_cuts(self, world):
+    async def test_second_interrupt_ends_at_once_and_counts_aborted_calls(
+        self, cluster
+    ):
         async def never(request):
             await asyncio.Event().wait()
 
-        one = await world.start("one", never)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", never)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.interrupt()
@@ -494,20 +509,20 @@
         one.interrupt()
         assert one.ended.is_set()
         assert one.cut == 2
-        asking.cancel()
+        request_task.cancel()
 
 
-class TestLargeAnswers:
-    """Answers that their callers read slowly."""
+class TestLargeResponses:
+    """Responses that callers read slowly."""
 
-    async def test_a_leaving_node_waits_until_one_is_taken(self, world):
-        """The process ends, and the rest of a whole answer is lost."""
+    async def test_leaving_node_waits_until_the_response_is_sent(self, cluster):
+        """Guards against ending while the rest of a response is unsent."""
         size = 8_000_000
 
         async def large(request):
             return web.Response(body=bytes(size))
 
-        one = await world.start("one", large)
+        one = await cluster.start("one", large)
         async with RawClient(
             one.outside_listener.address, limit=1000
         ) as caller:
@@ -518,7 +533,7 @@
             await nodes.wait_until(lambda: not one.dispatcher.in_flight.open)
             one.stop()
             await nodes.wait_until(lambda: one.executor.leaving)
-            world.publish_views()
+            cluster.publish_views()
             await asyncio.sleep(0.3)
             assert not one.ended.is_set()
             _, _, body = await caller.read_response()
@@ -526,15 +541,17 @@
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_a_leaving_node_waits_until_other_nodes_took_theirs(
-        self, world
+    async def test_leaving_node_waits_until_replies_to_other_nodes_are_sent(
+        self, cluster
     ):
-        """Calls of other nodes that ran to their end are told `unknown`."""
-        slow = BlockingHandler(bytes(4_000_000))
-        one = await world.start("one", None)
-        two = await world.start("two", slow)
-        asking = [
-            asyncio.create_task(world.send_outside(one, "POST", "/stock/book"))
+        """Guards against `unknown` for finished calls of other nodes."""
+        handler = BlockingHandler(bytes(4_000_000))
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", handler)
+        request_tasks = [
+            asyncio.create_task(
+                cluster.send_outside(one, "POST", "/stock/book")
+            )
             for _ in range(4)
         ]
         await nodes.wait_until(lambda: len(two.backend_server.requests) == 4)
@@ -542,18 +559,18 @@
         peer.connection.transport.pause_reading()
         two.stop()
         await nodes.wait_until(lambda: two.executor.leaving)
-        world.publish_views()
-        slow.release.set()
+        cluster.publish_views()
+        handler.release.set()
         await nodes.wait_until(lambda: two.executor.idle)
         await asyncio.sleep(0.3)
         assert not two.ended.is_set()
         peer.connection.transport.resume_reading()
-        assert [(await each)[0] for each in asking] == [200] * 4
+        assert [(await each)[0] for each in request_tasks] == [200] * 4
         await asyncio.wait_for(two.ended.wait(), nodes.WAIT_SECONDS)
 
 
 class BlockingHandler:
-    """A backend server that answers once it is released."""
+    """A backend server's handler that responds once it is released."""
 
     def __init__(self, body=b""):
         self.body = body
@@ -567,12 +584,16 @@
 
 
 class TestLateRequests:
-    """Requests that are not whole when the node is told to leave."""
+    """Requests that are incomplete when the node starts to leave."""
 
-    async def test_one_whose_body_ends_late_is_refused_unrun(self, world):
-        """It is carried by a node that ends under it."""
-        one = await world.start("one", None, header_timeout=nodes.WAIT_SECONDS)
-        two = await world.start("two", echo)
+    async def test_request_with_a_late_body_is_refused_as_not_run(
+        self, cluster
+    ):
+        """Guards against a call that is aborted when the node ends."""
+        one = await cluster.start(
+            "one", None, header_timeout=nodes.WAIT_SECONDS
+        )
+        two = await cluster.start("two", echo)
         async with RawClient(one.outside_listener.address) as caller:
             caller.send("POST", "/stock/book", b"a", length=2)
             await nodes.wait_until(lambda: one.outside_listener.busy)
@@ -585,28 +606,30 @@
         assert not two.backend_server.requests
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
 
-    async def test_one_that_waits_for_control_is_refused_unrun(self, world):
-        """It is carried by a node that ends under it."""
-        one = await world.start("one", None)
-        two = await world.start("two", echo)
+    async def test_request_that_waited_for_control_is_refused_as_not_run(
+        self, cluster
+    ):
+        """Guards against a call that is aborted when the node ends."""
+        one = await cluster.start("one", None)
+        two = await cluster.start("two", echo)
         one.control.tables.on_next(operationtable.OperationTable())
-        told = asyncio.Event()
+        control_answered = asyncio.Event()
 
         async def interest(service):
-            world.interest_requests.append(service)
-            await told.wait()
-            one.control.tables.on_next(world.make_table())
+            cluster.interest_requests.append(service)
+            await control_answered.wait()
+            one.control.tables.on_next(cluster.make_table())
 
         one.control.interest = interest
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
-        await nodes.wait_until(lambda: world.interest_requests)
+        await nodes.wait_until(lambda: cluster.interest_requests)
         one.stop()
         await asyncio.sleep(0.2)
         assert not one.ended.is_set()
-        told.set()
-        status, _, body = await asking
+        control_answered.set()
+        status, _, body = await request_task
         assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
@@ -615,13 +638,15 @@
 class TestCallsOfBackendServers:
     """Calls that the backend server of a leaving node makes."""
 
-    async def test_those_of_no_run_here_are_refused_unrun(self, world):
-        """New work is taken until the node ends under it."""
-        slow = BlockingHandler()
-        one = await world.start("one", slow)
-        two = await world.start("two", echo)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+    async def test_calls_without_a_parent_run_are_refused_as_not_run(
+        self, cluster
+    ):
+        """Guards against new work that is aborted when the node ends."""
+        handler = BlockingHandler()
+        one = await cluster.start("one", handler)
+        two = await cluster.start("two", echo)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.stop()
@@ -629,22 +654,22 @@
         local = one.local_listener.address
         ended = {"tracestate": "mangobay=0123456789abcdef"}
         for headers in ({}, ended):
-            status, _, body = await world.send(
+            status, _, body = await cluster.send(
                 local, "GET", "/stock/inside", headers=headers
             )
             assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
-        slow.release.set()
-        assert (await asking)[0] == 200
+        handler.release.set()
+        assert (await request_task)[0] == 200
 
-    async def test_those_of_a_run_here_are_taken(self, world):
-        """A run that was taken in time fails, since its calls are refused."""
-        slow = BlockingHandler()
+    async def test_child_calls_of_a_run_are_accepted(self, cluster):
+        """Guards against failing an accepted call by refusing its children."""
+        handler = BlockingHandler()
 
         async def ask_freight(request):
-            await slow.release.wait()
+            await handler.release.wait()
             state = {"tracestate": request.headers["tracestate"]}
-            status, _, body = await world.send(
+            status, _, body = await cluster.send(
                 one.local_listener.address,
                 "GET",
                 "/stock/inside",
@@ -652,26 +677,28 @@
             )
             return web.Response(status=status, body=body)
 
-        one = await world.start("one", ask_freight)
-        two = await world.start("two", echo)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", ask_freight)
+        two = await cluster.start("two", echo)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.stop()
         await nodes.wait_until(lambda: one.executor.leaving)
-        slow.release.set()
-        status, _, body = await asking
+        handler.release.set()
+        status, _, body = await request_task
         assert (status, body) == (200, b"GET /inside")
         assert len(two.backend_server.requests) == 1
-        world.publish_views()
+        cluster.publish_views()
         await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
         assert one.cut == 0
 
-    async def test_one_whose_body_ends_late_is_refused_unrun(self, world):
-        """New work is carried by a node that ends under it."""
-        one = await world.start("one", echo, header_timeout=nodes.WAIT_SECONDS)
-        two = await world.start("two", echo)
+    async def test_call_with_a_late_body_is_refused_as_not_run(self, cluster):
+        """Guards against new work that is aborted when the node ends."""
+        one = await cluster.start(
+            "one", echo, header_timeout=nodes.WAIT_SECONDS
+        )
+        two = await cluster.start("two", echo)
         async with RawClient(one.local_listener.address) as caller:
             caller.send("POST", "/stock/book", b"a", length=2)
             await nodes.wait_until(lambda: one.local_listener.busy)
@@ -683,13 +710,13 @@
         assert not two.backend_server.requests
 
 
-class TestKeptConnections:
-    """What callers on kept connections see of a node that leaves."""
+class TestKeepAliveConnections:
+    """Keep-alive connections of callers to a leaving node."""
 
-    async def test_each_answer_closes_its_connection(self, world):
-        """A caller's next request crosses the end of the process."""
-        slow = BlockingHandler()
-        one = await world.start("one", slow)
+    async def test_each_response_closes_its_connection(self, cluster):
+        """Guards against a next request that meets the end of the process."""
+        handler = BlockingHandler()
+        one = await cluster.start("one", handler)
         address = one.outside_listener.address
         async with RawClient(address) as busy, RawClient(address) as idle:
             idle.send("GET", "/stock/nothing")
@@ -704,15 +731,15 @@
             assert (status, reason_of(body)) == (503, "leaving")
             assert headers["connection"] == "close"
             assert await idle.is_closed()
-            slow.release.set()
+            handler.release.set()
             status, headers, _ = await busy.read_response()
             assert (status, headers["connection"]) == (200, "close")
             assert await busy.is_closed()
 
-    async def test_requests_behind_one_in_flight_are_answered(self, world):
-        """Closed behind the first answer, a caller's others get none."""
-        slow = BlockingHandler()
-        one = await world.start("one", slow)
+    async def test_pipelined_requests_are_answered(self, cluster):
+        """Guards against closing after the first of several responses."""
+        handler = BlockingHandler()
+        one = await cluster.start("one", handler)
         async with RawClient(one.outside_listener.address) as caller:
             caller.send("POST", "/stock/book")
             caller.send("GET", "/stock/price")
@@ -720,17 +747,17 @@
             await nodes.wait_until(lambda: one.backend_server.requests)
             one.stop()
             await nodes.wait_until(lambda: one.executor.leaving)
-            slow.release.set()
-            seen = [await caller.read_response() for _ in range(3)]
-            assert [status for status, _, _ in seen] == [200, 503, 503]
-            closes = ["connection" in headers for _, headers, _ in seen]
+            handler.release.set()
+            responses = [await caller.read_response() for _ in range(3)]
+            assert [status for status, _, _ in responses] == [200, 503, 503]
+            closes = ["connection" in headers for _, headers, _ in responses]
             assert closes == [False, False, True]
             assert await caller.is_closed()
         assert len(one.backend_server.requests) == 1
 
-    async def test_those_of_a_backend_server_are_closed_too(self, world):
-        """Its next call crosses the end of the process."""
-        one = await world.start("one", echo)
+    async def test_connections_of_backend_servers_are_closed(self, cluster):
+        """Guards against a next call that meets the end of the process."""
+        one = await cluster.start("one", echo)
         one.stop()
         await nodes.wait_until(lambda: one.executor.leaving)
         async with RawClient(one.local_listener.address) as caller:
@@ -741,91 +768,99 @@
 
 
 class TestEndOfGrace:
-    """What callers are told of calls that outlast the grace."""
+    """Calls that still run when the grace ends."""
 
-    async def test_a_callers_own_is_answered_as_unknown(self, world):
-        """Its connection ends with no answer."""
-        one = await world.start("one", BlockingHandler(), SHORT_GRACE_SETTINGS)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+    async def test_outside_call_gets_outcome_unknown(self, cluster):
+        """Guards against closing the connection without a response."""
+        one = await cluster.start(
+            "one", BlockingHandler(), SHORT_GRACE_SETTINGS
+        )
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
-        await self.end(one)
-        status, headers, body = await asking
+        await self.stop_and_close(one)
+        status, headers, body = await request_task
         assert (status, reason_of(body)) == (502, "leaving")
         assert headers[httpheaders.OUTCOME] == "unknown"
         assert headers["Connection"] == "close"
 
-    async def test_one_of_another_node_is_answered_as_unknown(self, world):
-        """Its caller is told that it has not run."""
-        one = await world.start("one", None)
-        two = await world.start("two", BlockingHandler(), SHORT_GRACE_SETTINGS)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+    async def test_call_of_another_node_gets_outcome_unknown(self, cluster):
+        """Guards against `not_run` for a call that may have run."""
+        one = await cluster.start("one", None)
+        two = await cluster.start(
+            "two", BlockingHandler(), SHORT_GRACE_SETTINGS
+        )
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: two.backend_server.requests)
-        await self.end(two)
-        _, headers, _ = await asking
+        await self.stop_and_close(two)
+        _, headers, _ = await request_task
         assert headers[httpheaders.OUTCOME] == "unknown"
 
-    async def test_one_of_a_run_here_is_answered_as_unknown(self, world):
-        """The run waits for an answer until its connection ends."""
-        told = []
+    async def test_child_call_gets_outcome_unknown(self, cluster):
+        """Guards against a parent that waits until its connection ends."""
+        child_responses = []
         leaving = asyncio.Event()
 
         async def ask_freight(request):
             await leaving.wait()
             state = {"tracestate": request.headers["tracestate"]}
             local = one.local_listener.address
-            asking = world.send(local, "GET", "/stock/inside", headers=state)
-            told.append(await asking)
+            child_request = cluster.send(
+                local, "GET", "/stock/inside", headers=state
+            )
+            child_responses.append(await child_request)
             return web.Response()
 
-        one = await world.start("one", ask_freight, SHORT_GRACE_SETTINGS)
-        asking = asyncio.create_task(
-            world.send_outside(one, "POST", "/stock/book")
+        one = await cluster.start("one", ask_freight, SHORT_GRACE_SETTINGS)
+        request_task = asyncio.create_task(
+            cluster.send_outside(one, "POST", "/stock/book")
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
-        two = await world.start("two", BlockingHandler())
+        two = await cluster.start("two", BlockingHandler())
         one.stop()
         await nodes.wait_until(lambda: one.executor.leaving)
         leaving.set()
         await nodes.wait_until(lambda: two.backend_server.requests)
-        await self.end(one)
-        await nodes.wait_until(lambda: told)
-        ((status, headers, body),) = told
+        await self.stop_and_close(one)
+        await nodes.wait_until(lambda: child_responses)
+        ((status, headers, body),) = child_responses
         assert (status, reason_of(body)) == (502, "leaving")
         assert headers[httpheaders.OUTCOME] == "unknown"
-        assert (await asking)[0] == 502
+        assert (await request_task)[0] == 502
 
-    async def end(self, node):
-        """Tells a node to leave, and closes it when its grace is over."""
+    async def stop_and_close(self, node):
+        """Stops a node and closes it once its grace is over."""
         node.stop()
         await asyncio.wait_for(node.ended.wait(), nodes.WAIT_SECONDS)
         assert node.cut
         await node.close()
 
-    async def test_calls_that_wait_for_a_slot_are_refused_unrun(self, world):
-        """Their callers are told `unknown`, and dare not send them again."""
-        slow = BlockingHandler()
-        one = await world.start("one", slow, SHORT_GRACE_SETTINGS)
-        asking = [
-            asyncio.create_task(world.send_outside(one, "POST", "/stock/book"))
+    async def test_queued_calls_are_refused_as_not_run(self, cluster):
+        """Guards against `unknown` for calls that are safe to resend."""
+        handler = BlockingHandler()
+        one = await cluster.start("one", handler, SHORT_GRACE_SETTINGS)
+        request_tasks = [
+            asyncio.create_task(
+                cluster.send_outside(one, "POST", "/stock/book")
+            )
             for _ in range(8)
         ]
         await nodes.wait_until(lambda: len(one.dispatcher.in_flight.open) == 8)
         await asyncio.sleep(0.1)
-        await self.end(one)
-        told = [
-            each[1][httpheaders.OUTCOME]
-            for each in await asyncio.gather(*asking)
+        await self.stop_and_close(one)
+        outcomes = [
+            response[1][httpheaders.OUTCOME]
+            for response in await asyncio.gather(*request_tasks)
         ]
-        assert told.count("unknown") == len(one.backend_server.requests)
-        assert told.count("not_run") == 8 - len(one.backend_server.requests)
+        assert outcomes.count("unknown") == len(one.backend_server.requests)
+        assert outcomes.count("not_run") == 8 - len(one.backend_server.requests)
 
-    async def test_a_request_that_is_not_whole_is_not_run(self, world):
-        """It is run by a node that is gone before the answer."""
-        one = await world.start(
+    async def test_incomplete_request_is_refused_as_not_run(self, cluster):
+        """Guards against running it on a node that ends before the response."""
+        one = await cluster.start(
             "one", echo, SHORT_GRACE_SETTINGS, header_timeout=nodes.WAIT_SECONDS
         )
         async with RawClient(one.outside_listener.address) as caller:
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,12 +1,12 @@
-"""The generated messages."""
+"""Tests of the generated messages."""
 
 from mangobay.generated import messages
 
 
 class TestEnvelope:
-    """What one frame holds."""
+    """The envelope in a frame."""
 
-    def test_a_call_survives_the_wire(self):
+    def test_call_round_trips_through_the_encoding(self):
         call = messages.Call(
             service="quotes",
             headers=[messages.Header(name="accept", value="*/*")],
@@ -20,9 +20,9 @@
 
 
 class TestLogEntry:
-    """What the control group agrees on."""
+    """Entries of the control group's replicated log."""
 
-    def test_every_body_survives_the_disk(self):
+    def test_every_log_entry_body_round_trips(self):
         bodies = (
             messages.Noop(),
             messages.SheetChange(version="1"),
--- a/tests/test_operationtable.py
+++ b/tests/test_operationtable.py
@@ -1,4 +1,4 @@
-"""The table of one revision."""
+"""Tests of the operation table."""
 
 import pytest
 
@@ -17,10 +17,10 @@
 
 
 class TestFind:
-    """Which operation a request names."""
+    """Lookup of the operation for a request."""
 
-    def test_literal_segments_go_first(self):
-        rows = make_table(
+    def test_literal_segments_precede_wildcards(self):
+        table = make_table(
             operation("any", "/a/*/*"),
             operation("end", "/a/*/c"),
             operation("start", "/a/b/*"),
@@ -29,27 +29,27 @@
         targets = {"/a/b/c?q": "plain", "/a/b/z": "start"}
         targets |= {"/a/z/c": "end", "/a/z/z": "any"}
         for target, name in targets.items():
-            assert rows.find("units", "GET", target).name == name
+            assert table.find("units", "GET", target).name == name
 
     @pytest.mark.parametrize(
         "target", ["/a/b", "/b/", "/b/..", "/b/%2E%2e", "/b/x%2Fy", "/b/c/d"]
     )
-    def test_no_operation(self, target):
-        """A wildcard takes one honest segment.
+    def test_unsafe_and_unknown_targets_match_no_operation(self, target):
+        """A wildcard matches exactly one safe segment.
 
         A backend server that resolves `..` or `%2F` would serve another path
-        than the one the sheet allows, so such a segment names nothing.
+        than the one that the sheet allows, so such segments match nothing.
         """
-        rows = make_table(operation("one", "/b/*"))
-        assert rows.find("units", "GET", target) is None
-        assert rows.find("units", "POST", "/b/c") is None
-        assert rows.find("other", "GET", "/b/c") is None
+        table = make_table(operation("one", "/b/*"))
+        assert table.find("units", "GET", target) is None
+        assert table.find("units", "POST", "/b/c") is None
+        assert table.find("other", "GET", "/b/c") is None
 
 
 class TestAllows:
-    """Who may reach an operation."""
+    """Callers that may call an operation."""
 
-    def test_callers(self):
+    def test_only_listed_callers_are_allowed(self):
         own = operation("credit", callers=["quotes"])
         everyone = operation("price", callers=[ids.EVERYONE], outside=True)
         allows = operationtable.OperationTable.allows
@@ -61,14 +61,17 @@
 
 
 class TestUpdated:
-    """A new revision is another table."""
+    """Updates from one revision to another."""
 
-    def test_leads_from_one_set_of_rows_to_another(self):
+    def test_update_with_the_difference_gives_the_new_operations(self):
         old = [operation("a", "/a"), operation("b", "/b")]
         new = [operation("b", "/c"), operation("d", "/d", "other")]
-        step = operationtable.difference(old, new)
+        difference = operationtable.difference(old, new)
         update = messages.TableUpdate(
-            revision=2, base=1, changed=step.changed, removed=step.removed
+            revision=2,
+            base=1,
+            changed=difference.changed,
+            removed=difference.removed,
         )
         before = make_table(*old)
         after = before.updated(update)
@@ -77,7 +80,7 @@
         assert after.find("units", "GET", "/b") is None
         assert after.updated(update) is after
 
-    def test_base_zero_replaces_everything(self):
+    def test_base_zero_replaces_all_operations(self):
         update = messages.TableUpdate(
             revision=9, changed=[operation("z", "/z", "other")]
         )
@@ -86,11 +89,11 @@
             == update.changed
         )
 
-    def test_never_to_an_older_revision(self):
-        """A control host that lags hands out the table it still has.
+    def test_older_revision_is_refused(self):
+        """A control host that lags may send an update to an older table.
 
-        The node would let callers in whom a newer sheet shut out.  The
-        update is refused and the newer table stays in force.
+        It could allow callers again that a newer sheet excludes, so the
+        update is refused.
         """
         newer = operationtable.OperationTable(ids.Revision(5))
         with pytest.raises(errors.InvariantError):
