--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -78,62 +78,64 @@
         self.header_names = header_names
         self.call_ids_by_attempt: dict[ids.AttemptId, ids.CallId] = {}
 
-    def find_parent(self, attempt: ids.AttemptId) -> calls.Parent | None:
+    def find_parent(self, attempt_id: ids.AttemptId) -> calls.Parent | None:
         """Returns the run of an attempt at the backend server here."""
-        call_id = self.call_ids_by_attempt.get(attempt)
+        call_id = self.call_ids_by_attempt.get(attempt_id)
         return self.parents.get(call_id) if call_id is not None else None
 
     async def admit_and_run(self, call: messages.Call, *rest) -> messages.Reply:
         """Admits a call and runs it at the backend server."""
-        named = httpheaders.find(
+        header_value = httpheaders.find(
             call.headers, self.header_names.backend.attempt_id
         )
-        attempt = ids.AttemptId(named)
-        self.call_ids_by_attempt[attempt] = call.call_id
+        attempt_id = ids.AttemptId(header_value)
+        self.call_ids_by_attempt[attempt_id] = call.call_id
         try:
             return await super().admit_and_run(call, *rest)
         finally:
-            self.call_ids_by_attempt.pop(attempt, None)
+            self.call_ids_by_attempt.pop(attempt_id, None)
 
     def headers(
-        self, call: messages.Call, place: localservices.LocalService
+        self, call: messages.Call, local_service: localservices.LocalService
     ) -> list[messages.Header]:
         """Returns the fields for the backend server."""
-        words = self.header_names
-        added = [messages.Header(name=words.caller_service, value=call.caller)]
-        if place.announcement.instance:
+        names = self.header_names
+        added = [messages.Header(name=names.caller_service, value=call.caller)]
+        if local_service.announcement.instance:
             # Its address may by now be another's, or another incarnation may
             # run there: that one says so and does not run the request.
             added.append(
                 messages.Header(
-                    name=words.target_instance,
-                    value=place.announcement.instance,
+                    name=names.target_instance,
+                    value=local_service.announcement.instance,
                 )
             )
         return [*call.headers, *added]
 
     def reply_of(
-        self, answer: backend.Response, running: retryallowance.RunningCall
+        self,
+        response: backend.Response,
+        running_call: retryallowance.RunningCall,
     ) -> messages.Reply:
         """Returns the reply that says what a backend server answered."""
-        del running
-        if answer.shed:
+        del running_call
+        if response.shed:
             return calls.not_run_reply(Reason.BACKEND_SHED)
-        if answer.status in NOT_RUN_STATUSES:
+        if response.status in NOT_RUN_STATUSES:
             # Passed on it would tell the caller that the request never ran,
             # which only the field of its own says.
             return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
-        signed = httpheaders.find(
-            answer.headers, self.header_names.backend.signature
+        signature = httpheaders.find(
+            response.headers, self.header_names.backend.signature
         )
-        if answer.status < FIRST_REDIRECT_STATUS and not signed:
+        if response.status < FIRST_REDIRECT_STATUS and not signature:
             return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
         return messages.Reply(
             outcome=Outcome.ANSWERED,
-            status=answer.status,
-            headers=answer.headers,
-            body=answer.body,
-            service_ms=int(answer.seconds * 1000),
+            status=response.status,
+            headers=response.headers,
+            body=response.body,
+            service_ms=int(response.seconds * 1000),
         )
 
 
@@ -153,41 +155,41 @@
         caller: ids.ServiceName,
         find_parent: FindParent,
         dispatcher: dispatch.Dispatcher,
-        counts: metrics.Metrics,
+        call_metrics: metrics.Metrics,
         log: requestlog.RequestLog,
-        times: shutdown.ShutdownSchedule,
+        schedule: shutdown.ShutdownSchedule,
     ):
         self.header_names = header_names
         self.system_header_names = header_names.system_header_names
         self.caller = ids.CallerName(caller)
         self.find_parent = find_parent
         self.dispatcher = dispatcher
-        self.metrics = counts
+        self.metrics = call_metrics
         self.log = log
-        self.shutdown = times
+        self.shutdown = schedule
         self.table: routes.Table | None = None
 
     async def handle(
-        self, request: leanhttp.Request, client: leanserver.Connection
+        self, request: leanhttp.Request, connection: leanserver.Connection
     ) -> leanhttp.Response:
         """Answers one request."""
-        attempt = self.attempt_id_of(request)
-        parent = self.parent_of(attempt)
+        attempt_id = self.attempt_id_of(request)
+        parent = self.parent_of(attempt_id)
         try:
             self.check_accepting(parent)
-            call = self.build_call(request, attempt, client)
+            call = self.build_call(request, attempt_id, connection)
         except calls.RequestError as error:
             reply = calls.not_run_reply(error.reason, error.retry_after)
-            self.log.log_refused(attempt, error, self.table)
+            self.log.log_refused(attempt_id, error, self.table)
             return refusals.from_reply(reply)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         if parent is not None:
             call.inherit_from(parent.call)
-            if not self.shutdown.accepts_work(began):
-                last = self.shutdown.latest_deadline()
-                call.deadline = min(call.deadline, last)
-            parent.running_call.child_started(began)
+            if not self.shutdown.accepts_work(started_at):
+                latest_deadline = self.shutdown.latest_deadline()
+                call.deadline = min(call.deadline, latest_deadline)
+            parent.running_call.child_started(started_at)
         reply = calls.unknown_reply(Reason.CANCELLED)
         try:
             reply = await self.dispatcher.handle(call)
@@ -195,10 +197,10 @@
             now = loop.time()
             if parent is not None:
                 parent.running_call.child_ended(now)
-            seconds = now - began
+            seconds = now - started_at
             self.metrics.ended(call.operation, reply, seconds)
             if not execution.is_success(reply):
-                self.log.log_unanswered(attempt, call, reply, seconds)
+                self.log.log_unanswered(attempt_id, call, reply, seconds)
         if reply.outcome is Outcome.ANSWERED:
             return leanhttp.Response(
                 status=reply.status, headers=reply.headers, body=reply.body
@@ -215,19 +217,23 @@
         """
         now = asyncio.get_running_loop().time()
         if parent is None and not self.shutdown.accepts_work(now):
-            ends_in = max(self.shutdown.abort_at - now, 0)
-            raise calls.RequestError(Reason.LEAVING, "the node ends", ends_in)
+            retry_after = max(self.shutdown.abort_at - now, 0)
+            raise calls.RequestError(
+                Reason.LEAVING, "the node ends", retry_after
+            )
 
     def attempt_id_of(self, request: leanhttp.Request) -> ids.AttemptId:
         """Returns the caller's name of the request, empty without one."""
-        named = request.headers.get(self.header_names.backend.attempt_id, "")
-        return ids.AttemptId(named)
+        header_value = request.headers.get(
+            self.header_names.backend.attempt_id, ""
+        )
+        return ids.AttemptId(header_value)
 
     def build_call(
         self,
         request: leanhttp.Request,
-        attempt: ids.AttemptId,
-        client: leanserver.Connection,
+        attempt_id: ids.AttemptId,
+        connection: leanserver.Connection,
     ) -> calls.Request:
         """Returns the call that a request asks for.
 
@@ -236,14 +242,16 @@
         """
         if self.table is None:
             raise calls.RequestError(Reason.NO_LEASE, "no routes known yet")
-        found = self.table.find(request.headers.get("Host", ""), request.path)
-        if found is None:
+        destination = self.table.find(
+            request.headers.get("Host", ""), request.path
+        )
+        if destination is None:
             raise calls.RequestError(Reason.NO_SUCH_OPERATION, "no route")
-        if not attempt:
+        if not attempt_id:
             raise calls.RequestError(Reason.MALFORMED, "no attempt is named")
-        told = self.seconds_left(request)
-        left = min(told, found.route.timeout)
-        operation = found.next_operation(request.method)
+        caller_timeout = self.seconds_left(request)
+        timeout = min(caller_timeout, destination.route.timeout)
+        operation = destination.next_operation(request.method)
         if operation is None:
             raise calls.RequestError(Reason.NO_BACKEND, "no part has weight")
         return calls.Request(
@@ -255,17 +263,17 @@
             ),
             body=request.body,
             caller=self.caller,
-            client=ids.ClientId(client.remote),
+            client=ids.ClientId(connection.remote),
             importance=operation.importance,
-            depth=int(found.has_spent_time(told)),
-            deadline=asyncio.get_running_loop().time() + left,
+            depth=int(destination.has_spent_time(caller_timeout)),
+            deadline=asyncio.get_running_loop().time() + timeout,
             allowance=retryallowance.RetryAllowance(operation.tries),
             key=ids.IdempotencyKey(""),
             trace=UNTRACED,
             tree=httpheaders.new_tree_id(),
         )
 
-    def parent_of(self, attempt: ids.AttemptId) -> calls.Parent | None:
+    def parent_of(self, attempt_id: ids.AttemptId) -> calls.Parent | None:
         """Returns the run that an attempt is made for, None for no run here.
 
         The call gets its rank: by its own route, a call for an urgent request
@@ -274,7 +282,7 @@
         without its calls becomes known.  A wrong guess by what an id names
         makes no call run twice, nor where it must not.
         """
-        return self.find_parent(self.header_names.parent_attempt_of(attempt))
+        return self.find_parent(self.header_names.parent_attempt_of(attempt_id))
 
     def seconds_left(self, request: leanhttp.Request) -> float:
         """Returns how long the caller waits; without its word, for ever.
@@ -282,14 +290,14 @@
         Raises:
           calls.RequestError: what it says is no time.
         """
-        told = request.headers.get(self.header_names.backend.deadline)
-        if told is None:
+        header_value = request.headers.get(self.header_names.backend.deadline)
+        if header_value is None:
             return float("inf")
         try:
-            milliseconds = int(told)
+            milliseconds = int(header_value)
         except ValueError:
             raise calls.RequestError(
-                Reason.MALFORMED, f"{told!r} is no time left"
+                Reason.MALFORMED, f"{header_value!r} is no time left"
             ) from None
         return milliseconds / 1000
 
--- a/mangobay/httpparse.py
+++ b/mangobay/httpparse.py
@@ -130,9 +130,11 @@
 
     def check_partial_line(self, data: bytes) -> None:
         """Refuses a head whose last line is too long before it ends."""
-        end = data.rfind(b"\n") + 1
+        line_start = data.rfind(b"\n") + 1
         self.partial_line_bytes = (
-            len(data) - end + (0 if end else self.partial_line_bytes)
+            len(data)
+            - line_start
+            + (0 if line_start else self.partial_line_bytes)
         )
         if self.message_completed:
             # The last line may begin anywhere behind a body.
@@ -235,9 +237,9 @@
     def read_start_line(self, message: Message) -> None:
         """Fills in the status."""
         message.status = self.native_parser.get_status_code()
-        coding = message.headers.get("Transfer-Encoding", "").lower()
+        transfer_coding = message.headers.get("Transfer-Encoding", "").lower()
         message.until_eof = (
             "Content-Length" not in message.headers
-            and not coding.endswith("chunked")
+            and not transfer_coding.endswith("chunked")
             and message.status not in NO_BODY_STATUSES
         )
--- a/mangobay/leanclient.py
+++ b/mangobay/leanclient.py
@@ -116,17 +116,17 @@
             # the next answer could not be told from the rest of this one.
             self.abort()
             return
-        waiting = self.message
-        begun = self.parser.feed(data)
-        if waiting is not None and waiting.complete:
+        receiving = self.message
+        new_messages = self.parser.feed(data)
+        if receiving is not None and receiving.complete:
             self.deliver_response()
-        for message in begun:
+        for message in new_messages:
             self.handle_head(message)
         if self.message is not None:
             self.check_size(self.message)
         if self.parser.error is not None:
-            text = f"no answer: {self.parser.error}"
-            self.fail(errors.BackendBrokenError(text))
+            detail = f"no answer: {self.parser.error}"
+            self.fail(errors.BackendBrokenError(detail))
 
     def handle_head(self, message: httpparse.Message) -> None:
         """Takes the head of an answer."""
@@ -135,8 +135,8 @@
         if self.pending is None or self.message is not None:
             self.reusable = False
             return
-        named = message.headers.get(self.header_names.attempt_id)
-        if self.pending.attempt_id and named != self.pending.attempt_id:
+        attempt_id = message.headers.get(self.header_names.attempt_id)
+        if self.pending.attempt_id and attempt_id != self.pending.attempt_id:
             # A second answer to an earlier request: its own answer may still
             # follow, but this connection carries no further request.
             self.reusable = False
@@ -158,24 +158,24 @@
 
     def deliver_response(self) -> None:
         """Hands the whole answer over."""
-        message, sending = self.message, self.pending
-        if message is None or sending is None or not self.check_size(message):
+        message, pending = self.message, self.pending
+        if message is None or pending is None or not self.check_size(message):
             return
         self.message = self.pending = None
         now = self.loop.time()
         self.idle_since = now
         self.update_keep_alive(message)
-        answer = backend.Response(
+        response = backend.Response(
             status=message.status,
             headers=leanhttp.end_to_end_headers(
                 message, self.header_names.private
             ),
             body=b"" if self.head_only else message.body,
-            seconds=now - sending.started_at,
+            seconds=now - pending.started_at,
             shed=self.header_names.not_run in message.headers,
         )
-        if not sending.future.done():
-            sending.future.set_result(answer)
+        if not pending.future.done():
+            pending.future.set_result(response)
 
     def update_keep_alive(self, message: httpparse.Message) -> None:
         """Notes how long the connection may be used again."""
@@ -184,9 +184,9 @@
         elif self.transport.get_write_buffer_size():
             # Answered before the body was out: the rest is still due.
             self.reusable = False
-        told = message.headers.get("Keep-Alive", "")
-        for part in told.split(","):
-            name, _, value = part.strip().partition("=")
+        header = message.headers.get("Keep-Alive", "")
+        for parameter in header.split(","):
+            name, _, value = parameter.strip().partition("=")
             if name.lower() == "timeout" and value.isdecimal():
                 self.keep_alive = int(value) * KEEP_ALIVE_SHARE
 
@@ -201,18 +201,18 @@
             # One that was reset is not whole.
             self.deliver_response()
         if self.pending is not None:
-            kind = errors.BackendBrokenError
+            error_class = errors.BackendBrokenError
             if self.message is not None:
-                kind = errors.IncompleteResponseError
-            self.fail(kind("the connection ended before the answer"))
+                error_class = errors.IncompleteResponseError
+            self.fail(error_class("the connection ended before the answer"))
 
     def fail(self, error: errors.BackendError) -> None:
         """Ends the waiting request and the connection."""
-        sending, self.pending = self.pending, None
+        pending, self.pending = self.pending, None
         self.message = None
         self.abort()
-        if sending is not None and not sending.future.done():
-            sending.future.set_exception(error)
+        if pending is not None and not pending.future.done():
+            pending.future.set_exception(error)
 
     def abort(self) -> None:
         """Ends the connection at once."""
@@ -222,12 +222,12 @@
 
     def is_usable(self, now: float, max_idle_seconds: float) -> bool:
         """Returns whether another request may go over the connection."""
-        idle = now - self.idle_since
+        idle_seconds = now - self.idle_since
         return (
             self.reusable
             and self.transport is not None
             and not self.transport.is_closing()
-            and idle < min(max_idle_seconds, self.keep_alive)
+            and idle_seconds < min(max_idle_seconds, self.keep_alive)
         )
 
 
@@ -298,9 +298,9 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         future = loop.create_future()
-        sending = PendingRequest(self.attempt_id_of(request), future, now)
+        pending = PendingRequest(self.attempt_id_of(request), future, now)
         attempt.sent = True
-        connection.send(self.encode_request(request, now), sending)
+        connection.send(self.encode_request(request, now), pending)
         timer = loop.call_at(request.abort_at, fail_with_timeout, future)
         try:
             return await future
@@ -319,14 +319,14 @@
 
     def encode_request(self, request: backend.Request, now: float) -> bytes:
         """Returns the bytes of a request, with the time that is left."""
-        left = max(int((request.deadline - now) * 1000), 1)
-        named = messages.Header(
-            name=self.header_names.deadline, value=str(left)
+        milliseconds_left = max(int((request.deadline - now) * 1000), 1)
+        deadline_header = messages.Header(
+            name=self.header_names.deadline, value=str(milliseconds_left)
         )
         return leanhttp.encode_request(
             request.method,
             request.target,
-            [*request.headers, named],
+            [*request.headers, deadline_header],
             request.body,
         )
 
@@ -339,23 +339,25 @@
           errors.BackendUnreachableError: there is none, or not in time.
         """
         loop = asyncio.get_running_loop()
-        bodiless = request.method == "HEAD"
-        idle = self.idle_connections[address]
-        longest = self.max_idle_seconds
+        head_only = request.method == "HEAD"
+        idle_connections = self.idle_connections[address]
+        max_idle_seconds = self.max_idle_seconds
         if not request.idempotent:
             # A backend server may drop idle connections without a word; that
             # leaves it open whether a request sent there ran.
-            longest = min(longest, backend.NON_IDEMPOTENT_REUSE_SECONDS)
-        while idle and not bodiless:
-            connection = idle.pop()
-            if connection.is_usable(loop.time(), longest):
+            max_idle_seconds = min(
+                max_idle_seconds, backend.NON_IDEMPOTENT_REUSE_SECONDS
+            )
+        while idle_connections and not head_only:
+            connection = idle_connections.pop()
+            if connection.is_usable(loop.time(), max_idle_seconds):
                 return connection
             connection.abort()
         try:
             async with asyncio.timeout_at(request.abort_at):
                 _, connection = await loop.create_connection(
                     lambda: Connection(
-                        self.header_names, self.max_response_bytes, bodiless
+                        self.header_names, self.max_response_bytes, head_only
                     ),
                     address.ip,
                     address.port,
--- a/mangobay/leanhttp.py
+++ b/mangobay/leanhttp.py
@@ -98,10 +98,13 @@
 
     Names repeat from request to request, so the answers are cached.
     """
-    text = raw_name.decode("utf-8", "surrogateescape")
-    low = text.lower()
+    name = raw_name.decode("utf-8", "surrogateescape")
+    lower_name = name.lower()
     return (
-        "" if low in httpheaders.HOP_BY_HOP_HEADERS or low in excluded else text
+        ""
+        if lower_name in httpheaders.HOP_BY_HOP_HEADERS
+        or lower_name in excluded
+        else name
     )
 
 
@@ -114,25 +117,31 @@
       message: what was received.
       excluded: further names, in lower case, that are not passed on.
     """
-    named = message.headers.get("Connection")
-    if named and named.lower() not in ("close", "keep-alive"):
-        tokens = {token.strip() for token in named.lower().split(",")}
-        excluded = excluded | tokens
-    kept = []
+    connection_header = message.headers.get("Connection")
+    if connection_header and connection_header.lower() not in (
+        "close",
+        "keep-alive",
+    ):
+        connection_options = {
+            token.strip() for token in connection_header.lower().split(",")
+        }
+        excluded = excluded | connection_options
+    headers = []
     for name, value in message.raw_headers:
-        text = forwarded_name(name, excluded)
-        if text:
-            kept.append(
+        forwarded = forwarded_name(name, excluded)
+        if forwarded:
+            headers.append(
                 messages.Header(
-                    name=text, value=value.decode("utf-8", "surrogateescape")
+                    name=forwarded,
+                    value=value.decode("utf-8", "surrogateescape"),
                 )
             )
-    return kept
+    return headers
 
 
 def encode_headers(headers: Headers) -> str:
     """Returns header lines, each ended."""
-    return "".join([f"{each.name}: {each.value}\r\n" for each in headers])
+    return "".join([f"{header.name}: {header.value}\r\n" for header in headers])
 
 
 @functools.lru_cache(maxsize=256)
--- a/mangobay/leanserver.py
+++ b/mangobay/leanserver.py
@@ -153,11 +153,11 @@
             return
         if not self.request_started_at:
             self.request_started_at = self.last_activity
-        waiting = self.exchanges[-1] if self.is_receiving_body() else None
-        begun = self.parser.feed(data)
-        if waiting is not None and waiting.message.complete:
-            self.dispatch(waiting)
-        for message in begun:
+        receiving = self.exchanges[-1] if self.is_receiving_body() else None
+        new_messages = self.parser.feed(data)
+        if receiving is not None and receiving.message.complete:
+            self.dispatch(receiving)
+        for message in new_messages:
             if not self.closing:
                 self.handle_head(message)
         error = self.parser.error
@@ -170,8 +170,8 @@
         """Returns whether the newest request is not whole yet."""
         if not self.exchanges:
             return False
-        last = self.exchanges[-1]
-        return not last.response_bytes and not last.message.complete
+        newest = self.exchanges[-1]
+        return not newest.response_bytes and not newest.message.complete
 
     def handle_head(self, message: httpparse.Message) -> None:
         """Takes a request head; answers once the body has come."""
@@ -207,13 +207,15 @@
         """Refuses a body that is too long before all of it has come."""
         if not self.is_receiving_body():
             return
-        last = self.exchanges[-1]
-        come = max(last.message.content_length, last.message.body_size)
-        if come > self.listener.limits.max_body_bytes:
-            last.response_bytes = leanhttp.encode_response(
+        newest = self.exchanges[-1]
+        body_bytes = max(
+            newest.message.content_length, newest.message.body_size
+        )
+        if body_bytes > self.listener.limits.max_body_bytes:
+            newest.response_bytes = leanhttp.encode_response(
                 self.listener.too_large_response, True, False
             )
-            last.should_close = True
+            newest.should_close = True
             self.closing = True
             self.flush()
 
@@ -242,14 +244,16 @@
     def send_error(self, error: httpparse.ParseError) -> None:
         """Answers bytes that are no request, behind the answers due."""
         self.closing = True
-        answer = leanhttp.encode_response(
+        response_bytes = leanhttp.encode_response(
             leanhttp.Response(status=error.status), True, False
         )
         # A request whose body broke off is answered in its own place.
         if self.is_receiving_body():
             self.exchanges.pop()
-        refused = Exchange(None, response_bytes=answer, should_close=True)
-        self.exchanges.append(refused)
+        exchange = Exchange(
+            None, response_bytes=response_bytes, should_close=True
+        )
+        self.exchanges.append(exchange)
         self.flush()
 
     def flush(self) -> None:
@@ -258,15 +262,21 @@
         if transport is None:
             return
         self.last_activity = self.loop.time()
-        ready = []
-        close = False
-        while self.exchanges and self.exchanges[0].response_bytes and not close:
-            done = self.exchanges.popleft()
-            ready.append(done.response_bytes)
-            close = done.should_close
-        if ready:
-            transport.write(ready[0] if len(ready) == 1 else b"".join(ready))
-        if close:
+        encoded = []
+        should_close = False
+        while (
+            self.exchanges
+            and self.exchanges[0].response_bytes
+            and not should_close
+        ):
+            exchange = self.exchanges.popleft()
+            encoded.append(exchange.response_bytes)
+            should_close = exchange.should_close
+        if encoded:
+            transport.write(
+                encoded[0] if len(encoded) == 1 else b"".join(encoded)
+            )
+        if should_close:
             self.close()
         elif (
             len(self.exchanges) <= MAX_PIPELINED_REQUESTS
@@ -315,25 +325,28 @@
 
     def has_pending_responses(self) -> bool:
         """Returns whether an answer is due, or not yet with the kernel."""
-        if any(each.task or each.response_bytes for each in self.exchanges):
+        if any(
+            exchange.task or exchange.response_bytes
+            for exchange in self.exchanges
+        ):
             return True
         transport = self.transport
         return transport is not None and transport.get_write_buffer_size() > 0
 
-    def is_slow(self, oldest: float) -> bool:
+    def is_slow(self, cutoff: float) -> bool:
         """Returns whether a request began before a loop time and is not whole.
 
         A caller that sends a byte now and then would hold a connection, and
         what has come of its request, for ever.
         """
         return (
-            0 < self.request_started_at < oldest
+            0 < self.request_started_at < cutoff
             and self.half_close_timer is None
         )
 
-    def is_idle(self, oldest: float) -> bool:
+    def is_idle(self, cutoff: float) -> bool:
         """Returns whether no request is open since a loop time."""
-        return not self.exchanges and self.last_activity < oldest
+        return not self.exchanges and self.last_activity < cutoff
 
 
 class Listener:
@@ -366,14 +379,16 @@
           errors.StartError: the address is in use or not of this host.
         """
         loop = asyncio.get_running_loop()
-        opening = loop.create_server(
+        server_coroutine = loop.create_server(
             lambda: Connection(self),
             self.address.ip,
             self.address.port,
             backlog=BACKLOG,
             reuse_address=True,
         )
-        self.server = await listening.open_server(self.address, opening)
+        self.server = await listening.open_server(
+            self.address, server_coroutine
+        )
         self.address = listening.bound_to(self.address, self.server)
 
     @property
@@ -381,19 +396,20 @@
         """Its connections."""
         return self.rounds.items
 
-    def check_connection(self, client: Connection) -> None:
+    def check_connection(self, connection: Connection) -> None:
         """Closes a connection that was idle, or sends, for too long."""
         now = asyncio.get_running_loop().time()
-        if client.is_slow(now - self.limits.read_timeout):
-            client.time_out()
-        elif client.is_idle(now - self.limits.idle_timeout):
-            client.close()
+        if connection.is_slow(now - self.limits.read_timeout):
+            connection.time_out()
+        elif connection.is_idle(now - self.limits.idle_timeout):
+            connection.close()
 
     @property
     def busy(self) -> bool:
         """Whether a caller waits for an answer, or has not taken one."""
         return any(
-            client.has_pending_responses() for client in self.connections
+            connection.has_pending_responses()
+            for connection in self.connections
         )
 
     async def close(self, seconds: float = 0.0) -> int:
@@ -410,18 +426,19 @@
         self.server.close()
         self.leaving = True
         loop = asyncio.get_running_loop()
-        patience = loop.time() + seconds
-        while self.busy and loop.time() < patience:
+        deadline = loop.time() + seconds
+        while self.busy and loop.time() < deadline:
             await asyncio.sleep(CLOSE_POLL)
-        not_taken = sum(
-            client.has_pending_responses() for client in self.connections
+        undelivered = sum(
+            connection.has_pending_responses()
+            for connection in self.connections
         )
-        for client in list(self.connections):
-            client.close()
-        patience = min(patience, loop.time() + SHUTDOWN_HALF_CLOSE_SECONDS)
-        while self.connections and loop.time() < patience:
+        for connection in list(self.connections):
+            connection.close()
+        deadline = min(deadline, loop.time() + SHUTDOWN_HALF_CLOSE_SECONDS)
+        while self.connections and loop.time() < deadline:
             await asyncio.sleep(CLOSE_POLL)
-        for client in list(self.connections):
-            client.transport.close()
+        for connection in list(self.connections):
+            connection.transport.close()
         await asyncio.sleep(0)
-        return not_taken
+        return undelivered
--- a/mangobay/routednode.py
+++ b/mangobay/routednode.py
@@ -111,7 +111,7 @@
         self.outside_listener.too_large_response = (
             refusals.retry_later_response()
         )
-        small = (
+        internal = (
             (
                 config.listen.heartbeats,
                 self.adapter.heartbeat_api(self.heartbeat_receiver),
@@ -125,8 +125,8 @@
         self.listeners = [
             self.outside_listener,
             *(
-                leanserver.Listener(address, handle, leanserver.Limits())
-                for addresses, handle in small
+                leanserver.Listener(address, handler, leanserver.Limits())
+                for addresses, handler in internal
                 for address in addresses
             ),
         ]
@@ -148,16 +148,16 @@
         self.control.views.subscribe(self.set_node_count)
         self.control.routes.subscribe(self.apply_routes)
         self.control.draining.subscribe(self.drained)
-        for work in (self.control.run(), self.local_services.run_expiry()):
-            self.tasks.append(asyncio.create_task(work))
+        for coroutine in (self.control.run(), self.local_services.run_expiry()):
+            self.tasks.append(asyncio.create_task(coroutine))
         logs.say(logs.Part.NODE, "started", host=self.process.host)
 
     def set_node_count(
         self, views: dict[ids.ServiceName, messages.ServiceView]
     ) -> None:
         """Takes the number of nodes from the views."""
-        nodes = sum(len(view.members) for view in views.values())
-        self.dispatcher.dependencies.retry_budget.set_node_count(nodes)
+        node_count = sum(len(view.members) for view in views.values())
+        self.dispatcher.dependencies.retry_budget.set_node_count(node_count)
 
     def apply_routes(self, change: messages.RoutesChange) -> None:
         """Puts a routes document in force."""
@@ -192,11 +192,11 @@
         config = self.config.leaving
         logs.say(logs.Part.NODE, "leaving", grace=config.grace)
         self.outside_listener.leaving = True
-        times = self.executor.shutdown
-        times.start(self.told_at, config.grace, config.linger)
-        linger = times.accept_until - self.told_at
+        schedule = self.executor.shutdown
+        schedule.start(self.told_at, config.grace, config.linger)
+        linger = schedule.accept_until - self.told_at
         try:
-            async with asyncio.timeout_at(times.abort_at):
+            async with asyncio.timeout_at(schedule.abort_at):
                 await asyncio.sleep(max(linger - LEAVE_NOTICE_SECONDS, 0))
                 self.control.leaving = True
                 await asyncio.sleep(min(linger, LEAVE_NOTICE_SECONDS))
