--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -1,4 +1,4 @@
-"""The edge where requests are matched with routes."""
+"""HTTP gateway of a routed node: turns requests into calls by their routes."""
 
 import asyncio
 import dataclasses
@@ -29,22 +29,23 @@
 
 UNTRACED = httpheaders.TraceContext("", "", False)
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses by which callers take a request for one that never ran."""
+"""Statuses from which callers conclude that a request was not run."""
 FIRST_REDIRECT_STATUS = 300
 
 FindParent = typing.Callable[[ids.AttemptId], calls.Parent | None]
+"""Returns the running call of an attempt id, None if it does not run here."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HeaderNames:
-    """The fields that callers and backend servers use.
+    """Names of the headers that callers and backend servers use.
 
     Attributes:
-      backend: in exchanges with backend servers.
-      caller_service: names the service on whose host a request began.
-      target_instance: names the incarnation that alone may run a request.
-      parent_attempt_of: returns the attempt that a call's own id names as the one that
-        it is made for, empty where it names none.
+      backend: headers exchanged with backend servers.
+      caller_service: the service on whose host a request entered.
+      target_instance: the only incarnation that may run a request.
+      parent_attempt_of: returns the id of the parent attempt that is part of
+        the attempt id of a child call, empty if there is none.
     """
 
     backend: leanclient.BackendHeaderNames
@@ -54,7 +55,7 @@
 
     @property
     def system_header_names(self) -> frozenset[str]:
-        """Fields of a request that the system sets itself, lower case."""
+        """Lower-case names of the request headers that only the system sets."""
         return frozenset(
             name.lower()
             for name in (
@@ -66,11 +67,11 @@
 
 
 class RoutedCallExecutor(execution.CallExecutor):
-    """Runs calls at a backend server that speaks in a vocabulary.
+    """Runs calls at a backend server that uses the given header names.
 
     Attributes:
-      header_names: the fields it uses.
-      call_ids_by_attempt: calls that wait or run here, by the attempt that they are of.
+      header_names: names of the headers exchanged with the backend server.
+      call_ids_by_attempt: queued and running calls by attempt id.
     """
 
     def __init__(self, header_names: HeaderNames, *parts):
@@ -79,7 +80,7 @@
         self.call_ids_by_attempt: dict[ids.AttemptId, ids.CallId] = {}
 
     def find_parent(self, attempt_id: ids.AttemptId) -> calls.Parent | None:
-        """Returns the run of an attempt at the backend server here."""
+        """Returns the running call of an attempt, None if it does not run."""
         call_id = self.call_ids_by_attempt.get(attempt_id)
         return self.parents.get(call_id) if call_id is not None else None
 
@@ -98,12 +99,12 @@
     def headers(
         self, call: messages.Call, local_service: localservices.LocalService
     ) -> list[messages.Header]:
-        """Returns the fields for the backend server."""
+        """Returns the headers of the request to the backend server."""
         names = self.header_names
         added = [messages.Header(name=names.caller_service, value=call.caller)]
         if local_service.announcement.instance:
-            # Its address may by now be another's, or another incarnation may
-            # run there: that one says so and does not run the request.
+            # By now another service or another incarnation may run at the
+            # address. It reports the mismatch and does not run the request.
             added.append(
                 messages.Header(
                     name=names.target_instance,
@@ -117,13 +118,13 @@
         response: backend.Response,
         running_call: retryallowance.RunningCall,
     ) -> messages.Reply:
-        """Returns the reply that says what a backend server answered."""
+        """Returns the reply for a response of the backend server."""
         del running_call
         if response.shed:
             return calls.not_run_reply(Reason.BACKEND_SHED)
         if response.status in NOT_RUN_STATUSES:
-            # Passed on it would tell the caller that the request never ran,
-            # which only the field of its own says.
+            # Forwarded, the status would tell the caller that the request was
+            # not run. Only the `not_run` header says that.
             return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
         signature = httpheaders.find(
             response.headers, self.header_names.backend.signature
@@ -140,13 +141,13 @@
 
 
 class Gateway:
-    """Takes requests of clients and of the backend server on this host.
+    """Accepts requests of clients and of the backend server on this host.
 
     Attributes:
       table: the routes in force; None before the first document.
       caller: the service on this host.
-      find_parent: finds what runs at the backend server here, by attempt.
-      shutdown: when the node takes no more requests.
+      find_parent: returns the running call of an attempt.
+      shutdown: tells when the node stops accepting requests.
     """
 
     def __init__(
@@ -172,7 +173,7 @@
     async def handle(
         self, request: leanhttp.Request, connection: leanserver.Connection
     ) -> leanhttp.Response:
-        """Answers one request."""
+        """Handles a request; returns its response."""
         attempt_id = self.attempt_id_of(request)
         parent = self.parent_of(attempt_id)
         try:
@@ -208,22 +209,23 @@
         return refusals.from_reply(reply)
 
     def check_accepting(self, parent: calls.Parent | None) -> None:
-        """Refuses new requests of a node that is about to end.
+        """Checks that the node still accepts requests.
 
-        A call that a run here makes belongs to work that was taken before.
+        A child call of a call that runs here is always accepted, because it
+        belongs to work that was accepted before the shutdown.
 
         Raises:
-          calls.RequestError: the node takes no more.
+          calls.RequestError: the node is shutting down.
         """
         now = asyncio.get_running_loop().time()
         if parent is None and not self.shutdown.accepts_work(now):
             retry_after = max(self.shutdown.abort_at - now, 0)
             raise calls.RequestError(
-                Reason.LEAVING, "the node ends", retry_after
+                Reason.LEAVING, "the node is shutting down", retry_after
             )
 
     def attempt_id_of(self, request: leanhttp.Request) -> ids.AttemptId:
-        """Returns the caller's name of the request, empty without one."""
+        """Returns the attempt id of the request, empty if it has none."""
         header_value = request.headers.get(
             self.header_names.backend.attempt_id, ""
         )
@@ -235,25 +237,33 @@
         attempt_id: ids.AttemptId,
         connection: leanserver.Connection,
     ) -> calls.Request:
-        """Returns the call that a request asks for.
+        """Returns the call for a request.
 
         Raises:
-          calls.RequestError: it became no call.
+          calls.RequestError: the request is invalid or cannot be routed.
         """
         if self.table is None:
-            raise calls.RequestError(Reason.NO_LEASE, "no routes known yet")
+            raise calls.RequestError(
+                Reason.NO_LEASE, "no routes document received yet"
+            )
         destination = self.table.find(
             request.headers.get("Host", ""), request.path
         )
         if destination is None:
-            raise calls.RequestError(Reason.NO_SUCH_OPERATION, "no route")
+            raise calls.RequestError(
+                Reason.NO_SUCH_OPERATION, "no route matches host and path"
+            )
         if not attempt_id:
-            raise calls.RequestError(Reason.MALFORMED, "no attempt is named")
+            raise calls.RequestError(
+                Reason.MALFORMED, "attempt id header is missing"
+            )
         caller_timeout = self.seconds_left(request)
         timeout = min(caller_timeout, destination.route.timeout)
         operation = destination.next_operation(request.method)
         if operation is None:
-            raise calls.RequestError(Reason.NO_BACKEND, "no part has weight")
+            raise calls.RequestError(
+                Reason.NO_BACKEND, "no service of the route has weight"
+            )
         return calls.Request(
             operation=operation,
             revision=ids.Revision(self.table.document.version),
@@ -274,21 +284,23 @@
         )
 
     def parent_of(self, attempt_id: ids.AttemptId) -> calls.Parent | None:
-        """Returns the run that an attempt is made for, None for no run here.
-
-        The call gets its rank: by its own route, a call for an urgent request
-        waits behind others, or is refused in place of them, and the urgent
-        request fails with all that was done for it.  And the run's time
-        without its calls becomes known.  A wrong guess by what an id names
-        makes no call run twice, nor where it must not.
+        """Returns the running call that makes an attempt, None if not here.
+
+        The attempt inherits the importance and depth of that parent call.  By
+        those of its own route, a child call of an urgent request would wait
+        behind other calls, or be refused in place of them, and the urgent
+        request would fail with all the work done for it.  The parent also
+        makes it possible to measure the time of the run without its child
+        calls.  If the id names a wrong parent, no call runs twice, or where it
+        must not.
         """
         return self.find_parent(self.header_names.parent_attempt_of(attempt_id))
 
     def seconds_left(self, request: leanhttp.Request) -> float:
-        """Returns how long the caller waits; without its word, for ever.
+        """Returns how long the caller waits, infinity if it does not say.
 
         Raises:
-          calls.RequestError: what it says is no time.
+          calls.RequestError: the deadline header is not a whole number.
         """
         header_value = request.headers.get(self.header_names.backend.deadline)
         if header_value is None:
@@ -297,13 +309,13 @@
             milliseconds = int(header_value)
         except ValueError:
             raise calls.RequestError(
-                Reason.MALFORMED, f"{header_value!r} is no time left"
+                Reason.MALFORMED, f"{header_value!r} is not a deadline in ms"
             ) from None
         return milliseconds / 1000
 
 
 class RoutesDecoder(typing.Protocol):
-    """Reads a routes document in the operator's format."""
+    """Parses a routes document in the operator's format."""
 
     def __call__(self, data: bytes) -> routes.Document:
-        """Returns the document; it was checked when it was accepted."""
+        """Returns the document, which was validated when it was accepted."""
--- a/mangobay/httpparse.py
+++ b/mangobay/httpparse.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 messages out of bytes, strictly, one parser for each connection.
+"""Strict incremental parsers of HTTP/1.1 messages, one for each connection.
 
-The parser proper is llhttp in its strict mode, by `httptools`.  What it does not
-bound is bounded here: lines, the number of fields, and a line that never ends.
+The bytes are parsed by llhttp in its strict mode, through `httptools`.  This
+module adds the limits that llhttp lacks: on the length of lines, including
+lines that never end, and on the number of headers.
 """
 
 import dataclasses
@@ -12,19 +13,20 @@
 
 MAX_HEADERS = 128
 SINGLETON_HEADERS = ("Content-Length", "Host")
-"""Fields whose repetition lets two servers read two different requests."""
+"""Headers that must not repeat: two servers could read different requests from
+the same bytes (request smuggling)."""
 TARGET_PREFIXES = ("/", "http://", "https://")
 NO_BODY_STATUSES = frozenset({204, 304})
-"""Statuses of answers without a body."""
+"""Statuses of responses that never have a body."""
 
 
 @dataclasses.dataclass(slots=True)
 class ParseError(Exception):
-    """Bytes that are no message.
+    """The received bytes are not a valid message.
 
     Attributes:
-      status: that answers them.
-      text: what is wrong.
+      status: status of the error response.
+      text: description of the error.
     """
 
     status: int
@@ -36,20 +38,20 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Message:
-    """A message as far as it has come.
+    """A message as far as it has been received.
 
     Attributes:
-      method: in capitals; empty in an answer.
-      status: of an answer; 0 in a request.
-      target: path and query, as received; empty in an answer.
-      headers: by name in any case.
-      raw_headers: every field, as received.
-      body_parts: the body, as it came.
-      body_size: bytes of the body that have come.
-      content_length: bytes of the body by its head, 0 where that does not say.
-      should_close: the connection ends behind the message.
-      until_eof: an answer whose body ends with its connection.
-      complete: the message has come to its end.
+      method: in upper case; empty in a response.
+      status: status of a response; 0 in a request.
+      target: path and query, as received; empty in a response.
+      headers: case-insensitive by name.
+      raw_headers: all headers, as received.
+      body_parts: the body in the pieces in which it was received.
+      body_size: bytes of the body received so far.
+      content_length: value of Content-Length, 0 without that header.
+      should_close: the connection is closed after the message.
+      until_eof: the body of the response ends when the connection closes.
+      complete: the end of the message has been received.
     """
 
     method: str = ""
@@ -70,7 +72,7 @@
 
     @property
     def body(self) -> bytes:
-        """The body as far as it has come."""
+        """The body as far as it has been received."""
         return (
             self.body_parts[0]
             if len(self.body_parts) == 1
@@ -79,12 +81,19 @@
 
 
 class Parser:
-    """Takes bytes and gives messages; subclasses read the first line.
+    """Turns bytes into messages; subclasses read the start line.
 
     Attributes:
-      max_line_bytes: longest first line, and longest field.
-      error: why nothing more is read; None while all is well.
-      new_messages: messages whose heads came whole with the last bytes.
+      max_line_bytes: limit of the start line, and of each header.
+      error: why parsing has stopped; None while there was no error.
+      new_messages: messages whose heads were completed by the last `feed`.
+      message: the message that is being received, None between messages.
+      in_head: the start line or the headers of `message` are incomplete.
+      message_completed: a message was completed by the last `feed`.
+      partial_line_bytes: length of the last line, which is not ended yet.
+      header_count: headers and trailers of `message` so far.
+      target_parts: the request target in the pieces received so far.
+      native_parser: the llhttp parser, which calls the `on_` methods.
     """
 
     def __init__(self, max_line_bytes: int):
@@ -100,11 +109,11 @@
         self.native_parser = self.make_native_parser()
 
     def make_native_parser(self) -> typing.Any:
-        """Returns the parser proper."""
+        """Returns the llhttp parser."""
         raise NotImplementedError
 
     def feed(self, data: bytes) -> list[Message]:
-        """Takes bytes; returns the messages whose heads are now whole."""
+        """Parses bytes; returns the messages whose heads they complete."""
         if self.error is not None:
             return []
         self.new_messages = []
@@ -112,8 +121,8 @@
         try:
             self.native_parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # What follows would be in another protocol, which is not spoken.
-            self.error = ParseError(400, "no upgrade is spoken")
+            # The bytes that follow belong to a protocol that is not supported.
+            self.error = ParseError(400, "protocol upgrades are not supported")
         except httptools.HttpParserCallbackError as error:
             if not isinstance(error.__context__, ParseError):
                 raise
@@ -125,11 +134,11 @@
         return self.new_messages
 
     def close(self) -> None:
-        """Lets go of the parser proper, which refers back to this one."""
+        """Releases the llhttp parser, which refers back to this object."""
         self.native_parser = None
 
     def check_partial_line(self, data: bytes) -> None:
-        """Refuses a head whose last line is too long before it ends."""
+        """Rejects a head whose last line exceeds the limit before it ends."""
         line_start = data.rfind(b"\n") + 1
         self.partial_line_bytes = (
             len(data)
@@ -137,33 +146,33 @@
             + (0 if line_start else self.partial_line_bytes)
         )
         if self.message_completed:
-            # The last line may begin anywhere behind a body.
+            # The bytes after the last line feed may include a body.
             self.partial_line_bytes = 0
         if self.in_head and self.partial_line_bytes > self.max_line_bytes:
-            self.error = ParseError(431, "a line is too long")
+            self.error = ParseError(431, "a line of the head is too long")
 
     def on_message_begin(self) -> None:
-        """Starts a message."""
+        """Starts a new message."""
         self.message = Message()
         self.in_head = True
         self.target_parts = []
         self.header_count = 0
 
     def on_url(self, data: bytes) -> None:
-        """Takes a part of the target."""
+        """Stores a piece of the request target."""
         self.target_parts.append(data)
         if sum(map(len, self.target_parts)) > self.max_line_bytes:
-            raise ParseError(431, "the target is too long")
+            raise ParseError(431, "request target is too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a field."""
+        """Stores a header; ignores a trailer."""
         if len(name) + len(value) > self.max_line_bytes:
-            raise ParseError(431, "a field is too long")
+            raise ParseError(431, "header is too long")
         self.header_count += 1
         if self.header_count > MAX_HEADERS:
-            raise ParseError(431, "too many fields")
+            raise ParseError(431, "too many headers")
         if not self.in_head:
-            # Behind the body, where nobody looks for what a field decides.
+            # A trailer comes after the decisions that headers are read for.
             return
         value = value.strip(b" \t")
         self.message.raw_headers.append((name, value))
@@ -173,12 +182,12 @@
         )
 
     def on_headers_complete(self) -> None:
-        """Gives the message, whose body may yet come."""
+        """Hands out the message, whose body may still follow."""
         message = self.message
         self.in_head = False
         for name in SINGLETON_HEADERS:
             if len(message.headers.getall(name, ())) > 1:
-                raise ParseError(400, f"several fields {name}")
+                raise ParseError(400, f"duplicate header {name}")
         self.read_start_line(message)
         message.content_length = int(message.headers.get("Content-Length", "0"))
         message.should_close = (
@@ -188,16 +197,16 @@
         self.new_messages.append(message)
 
     def read_start_line(self, message: Message) -> None:
-        """Fills in what the first line says."""
+        """Fills in the values of the start line."""
         raise NotImplementedError
 
     def on_body(self, data: bytes) -> None:
-        """Takes a part of the body."""
+        """Stores a piece of the body."""
         self.message.body_parts.append(data)
         self.message.body_size += len(data)
 
     def on_message_complete(self) -> None:
-        """Ends the message."""
+        """Marks the message as complete."""
         self.message.complete = True
         self.message = None
         self.in_head = False
@@ -205,33 +214,33 @@
 
 
 class RequestParser(Parser):
-    """Reads the requests of one connection."""
+    """Parses the requests of one connection."""
 
     def make_native_parser(self) -> httptools.HttpRequestParser:
-        """Returns the parser proper."""
+        """Returns the llhttp parser."""
         return httptools.HttpRequestParser(self)
 
     def read_start_line(self, message: Message) -> None:
-        """Fills in method and target."""
+        """Fills in the method and the target."""
         message.method = self.native_parser.get_method().decode("ascii")
         message.target = b"".join(self.target_parts).decode(
             "utf-8", "surrogateescape"
         )
         if not message.target.startswith(TARGET_PREFIXES):
-            raise ParseError(400, "the target is no path")
+            raise ParseError(400, "request target must be a path or HTTP URL")
         if "Host" not in message.headers and not self.is_http10():
-            raise ParseError(400, "no field Host")
+            raise ParseError(400, "Host header is missing")
 
     def is_http10(self) -> bool:
-        """Returns whether the request is of a version without Host."""
+        """Returns whether the request is HTTP/1.0, which lacks Host."""
         return self.native_parser.get_http_version() == "1.0"
 
 
 class ResponseParser(Parser):
-    """Reads the answers of one connection."""
+    """Parses the responses of one connection."""
 
     def make_native_parser(self) -> httptools.HttpResponseParser:
-        """Returns the parser proper."""
+        """Returns the llhttp parser."""
         return httptools.HttpResponseParser(self)
 
     def read_start_line(self, message: Message) -> None:
--- a/mangobay/leanclient.py
+++ b/mangobay/leanclient.py
@@ -1,8 +1,8 @@
-"""Lean HTTP/1.1 connections to the backend server on this host.
+"""Lean HTTP/1.1 client for the backend server on this host.
 
-A request is written once and never again: whether it may go to another
-backend server is decided by whoever knows what may be repeated.  An answer is
-taken only where it is whole and names the request that it belongs to.
+A request is written once and never retried here: only the callers of this
+module know whether it may be sent to another backend server.  A response is
+accepted only if it is complete and carries the id of its request.
 """
 
 import asyncio
@@ -22,22 +22,22 @@
 from mangobay.generated import messages
 
 KEEP_ALIVE_SHARE = 0.5
-"""Share of the time told in Keep-Alive after which a connection is not used
-again: the rest covers a close that is already on its way."""
+"""Share of the Keep-Alive timeout for which an idle connection is reused; the
+rest covers a close that is already on its way."""
 FIRST_FINAL_STATUS = 200
-"""Statuses below are interim answers."""
+"""Responses with lower statuses are interim responses."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class BackendHeaderNames:
-    """Fields by which a backend server's answers are read.
+    """Names of the headers exchanged with backend servers.
 
     Attributes:
-      attempt_id: names the request, in requests and answers.
-      deadline: milliseconds left.
-      signature: stands in whole answers of a backend server.
-      not_run: stands in answers to requests that were not run.
-      private: fields of answers that callers do not get, lower case.
+      attempt_id: id of the request, in requests and responses.
+      deadline: milliseconds left for the response, in requests.
+      signature: present in complete responses of a backend server.
+      not_run: present in responses to requests that were not run.
+      private: lower-case names of response headers that callers do not get.
     """
 
     attempt_id: str
@@ -49,12 +49,12 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class PendingRequest:
-    """One request that waits for its answer.
+    """A request that awaits its response.
 
     Attributes:
-      attempt_id: what the answer has to name; empty takes any.
-      future: gets the answer.
-      started_at: loop time of the first byte.
+      attempt_id: id that the response must carry; empty accepts any response.
+      future: receives the response.
+      started_at: loop time of the first byte of the request.
     """
 
     attempt_id: ids.AttemptId
@@ -63,15 +63,17 @@
 
 
 class Connection(leanhttp.BaseConnection):
-    """One connection; it carries one request at a time.
+    """One connection to the backend server; carries one request at a time.
 
     Attributes:
-      pending: the request that waits, None where the connection is idle.
-      message: its answer as it comes, None before its head.
-      head_only: no answer has a body, whatever its head says.
+      header_names: names of the headers exchanged with the backend server.
+      max_response_bytes: limit of a response body.
+      pending: the request that awaits its response, None while idle.
+      message: the response being received, None before its head is complete.
+      head_only: carries a HEAD request, whose response never has a body.
       reusable: another request may follow.
-      idle_since: loop time of the last answer.
-      keep_alive: seconds that it may stand idle, by the backend server's word.
+      idle_since: loop time of the last response.
+      keep_alive: idle timeout in seconds that the backend server announced.
     """
 
     __slots__ = (
@@ -105,15 +107,15 @@
         self.keep_alive = float("inf")
 
     def send(self, data: bytes, pending: PendingRequest) -> None:
-        """Writes a whole request."""
+        """Writes a complete request."""
         self.pending = pending
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of an answer."""
+        """Parses bytes of a response."""
         if self.pending is None:
-            # Nobody asked: what comes belongs to no request, and behind it
-            # the next answer could not be told from the rest of this one.
+            # The bytes belong to no request. The response to a later request
+            # could not be told apart from the rest of them.
             self.abort()
             return
         receiving = self.message
@@ -125,11 +127,11 @@
         if self.message is not None:
             self.check_size(self.message)
         if self.parser.error is not None:
-            detail = f"no answer: {self.parser.error}"
+            detail = f"malformed response: {self.parser.error}"
             self.fail(errors.BackendBrokenError(detail))
 
     def handle_head(self, message: httpparse.Message) -> None:
-        """Takes the head of an answer."""
+        """Accepts a response whose head is complete."""
         if message.status < FIRST_FINAL_STATUS:
             return
         if self.pending is None or self.message is not None:
@@ -137,8 +139,8 @@
             return
         attempt_id = message.headers.get(self.header_names.attempt_id)
         if self.pending.attempt_id and attempt_id != self.pending.attempt_id:
-            # A second answer to an earlier request: its own answer may still
-            # follow, but this connection carries no further request.
+            # A duplicate response to an earlier request. The response to this
+            # request may still follow, but the connection is not reused.
             self.reusable = False
             return
         self.message = message
@@ -146,18 +148,18 @@
             self.deliver_response()
 
     def check_size(self, message: httpparse.Message) -> bool:
-        """Ends an answer that is too long; returns whether it may be taken."""
+        """Returns whether a response is within the limit; fails it if not."""
         if message.body_size <= self.max_response_bytes:
             return True
         self.fail(
             errors.ResponseTooLargeError(
-                f"an answer above {self.max_response_bytes} bytes"
+                f"response body exceeds {self.max_response_bytes} bytes"
             )
         )
         return False
 
     def deliver_response(self) -> None:
-        """Hands the whole answer over."""
+        """Completes the pending request with its response."""
         message, pending = self.message, self.pending
         if message is None or pending is None or not self.check_size(message):
             return
@@ -178,11 +180,11 @@
             pending.future.set_result(response)
 
     def update_keep_alive(self, message: httpparse.Message) -> None:
-        """Notes how long the connection may be used again."""
+        """Updates whether and for how long the connection may be reused."""
         if message.should_close or not self.transport:
             self.reusable = False
         elif self.transport.get_write_buffer_size():
-            # Answered before the body was out: the rest is still due.
+            # The response came before the request body was fully written.
             self.reusable = False
         header = message.headers.get("Keep-Alive", "")
         for parameter in header.split(","):
@@ -191,23 +193,25 @@
                 self.keep_alive = int(value) * KEEP_ALIVE_SHARE
 
     def connection_lost(self, exc) -> None:
-        """Ends the answer that is on its way, whole or not."""
+        """Completes or fails the pending request."""
         super().connection_lost(exc)
         self.parser.close()
         self.reusable = False
         if self.pending is None:
             return
         if exc is None and self.message is not None and self.message.until_eof:
-            # One that was reset is not whole.
+            # Without an error: a response cut by a reset is not complete.
             self.deliver_response()
         if self.pending is not None:
             error_class = errors.BackendBrokenError
             if self.message is not None:
                 error_class = errors.IncompleteResponseError
-            self.fail(error_class("the connection ended before the answer"))
+            self.fail(
+                error_class("connection closed before the end of the response")
+            )
 
     def fail(self, error: errors.BackendError) -> None:
-        """Ends the waiting request and the connection."""
+        """Fails the pending request and closes the connection."""
         pending, self.pending = self.pending, None
         self.message = None
         self.abort()
@@ -215,13 +219,13 @@
             pending.future.set_exception(error)
 
     def abort(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection immediately."""
         self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
     def is_usable(self, now: float, max_idle_seconds: float) -> bool:
-        """Returns whether another request may go over the connection."""
+        """Returns whether the connection may carry another request."""
         idle_seconds = now - self.idle_since
         return (
             self.reusable
@@ -232,11 +236,15 @@
 
 
 class Backend:
-    """Connections to the backend server on this host.
+    """Connection pool for the backend server on this host.
 
     Attributes:
-      inflight: requests that hold a connection.
-      idle_connections: connections that carry no request, the newest last.
+      header_names: names of the headers exchanged with the backend server.
+      max_connections: limit of requests that hold a connection.
+      max_idle_seconds: idle connections are not reused after this time.
+      max_response_bytes: limit of a response body.
+      inflight: number of requests that hold a connection.
+      idle_connections: idle connections by address, most recently used last.
     """
 
     def __init__(
@@ -261,18 +269,21 @@
         request: backend.Request,
         attempt: backend.Attempt,
     ) -> backend.Response:
-        """Returns the whole answer to one request.
+        """Sends a request and returns its complete response.
 
-        Cancelling the task ends the connection, and with it the work.
+        Cancelling the task closes the connection, which also stops the work of
+        the backend server.
 
         Raises:
           errors.BackendUnreachableError: no byte was sent.
-          errors.BackendBrokenError: sent, but no whole answer came.
-          errors.BackendTimeoutError: the time to give up came.
-          Exception: whatever the gate raises; no byte was sent.
+          errors.BackendBrokenError: sent, but no complete response arrived.
+          errors.BackendTimeoutError: sent, but no response until `abort_at`.
+          Exception: raised by `before_send`; no byte was sent.
         """
         if self.inflight >= self.max_connections:
-            raise errors.BackendUnreachableError("every connection is in use")
+            raise errors.BackendUnreachableError(
+                "no free connection to the backend server"
+            )
         self.inflight += 1
         connection = None
         try:
@@ -281,7 +292,7 @@
                 await attempt.before_send()
             if connection.transport is None:
                 raise errors.BackendUnreachableError(
-                    "closed before the request"
+                    "connection closed before the request was sent"
                 )
             return await self.round_trip(connection, request, attempt)
         finally:
@@ -294,7 +305,7 @@
         request: backend.Request,
         attempt: backend.Attempt,
     ) -> backend.Response:
-        """Writes the request and returns its answer."""
+        """Writes the request and returns its response."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         future = loop.create_future()
@@ -312,13 +323,13 @@
             timer.cancel()
 
     def attempt_id_of(self, request: backend.Request) -> ids.AttemptId:
-        """Returns the name of the request, empty where it has none."""
+        """Returns the attempt id of the request, empty if it has none."""
         return ids.AttemptId(
             httpheaders.find(request.headers, self.header_names.attempt_id)
         )
 
     def encode_request(self, request: backend.Request, now: float) -> bytes:
-        """Returns the bytes of a request, with the time that is left."""
+        """Returns the bytes of a request, including the time left for it."""
         milliseconds_left = max(int((request.deadline - now) * 1000), 1)
         deadline_header = messages.Header(
             name=self.header_names.deadline, value=str(milliseconds_left)
@@ -333,18 +344,18 @@
     async def acquire_connection(
         self, address: options.Address, request: backend.Request
     ) -> Connection:
-        """Returns a connection that carries no request.
+        """Returns an idle connection or opens a new one.
 
         Raises:
-          errors.BackendUnreachableError: there is none, or not in time.
+          errors.BackendUnreachableError: the connection failed or timed out.
         """
         loop = asyncio.get_running_loop()
         head_only = request.method == "HEAD"
         idle_connections = self.idle_connections[address]
         max_idle_seconds = self.max_idle_seconds
         if not request.idempotent:
-            # A backend server may drop idle connections without a word; that
-            # leaves it open whether a request sent there ran.
+            # A backend server may drop an idle connection silently. It is then
+            # unknown whether a request sent over that connection ran.
             max_idle_seconds = min(
                 max_idle_seconds, backend.NON_IDEMPOTENT_REUSE_SECONDS
             )
@@ -364,7 +375,7 @@
                 )
         except TimeoutError:
             raise errors.BackendUnreachableError(
-                "no connection in time"
+                "timed out while connecting to the backend server"
             ) from None
         except OSError as error:
             raise errors.BackendUnreachableError(str(error)) from None
@@ -373,7 +384,7 @@
     def release_connection(
         self, address: options.Address, connection: Connection | None
     ) -> None:
-        """Keeps a connection for the next request, or ends it."""
+        """Returns a connection to the pool, or closes it."""
         if connection is None or connection.transport is None:
             return
         if connection.reusable and connection.pending is None:
@@ -382,7 +393,7 @@
             connection.transport.close()
 
     async def close(self) -> None:
-        """Ends every idle connection."""
+        """Closes all idle connections."""
         for connections in self.idle_connections.values():
             for connection in connections:
                 connection.abort()
@@ -390,6 +401,6 @@
 
 
 def fail_with_timeout(future: asyncio.Future) -> None:
-    """Fails a request whose time has passed."""
+    """Fails a request that has no response yet."""
     if not future.done():
-        future.set_exception(errors.BackendTimeoutError("no answer in time"))
+        future.set_exception(errors.BackendTimeoutError("no response in time"))
--- a/mangobay/leanhttp.py
+++ b/mangobay/leanhttp.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 messages as the lean edges hold them.
+"""HTTP/1.1 messages and connections of the lean server and client.
 
-A request and its answer through `aiohttp.web` and `ClientSession` take several
-times the processor time, and their start as much as that of all else.
+A request handled by `aiohttp.web` and `ClientSession` takes several times the
+processor time that it takes here, and their start takes as much as that of the
+rest of the process.
 """
 
 import asyncio
@@ -14,18 +15,18 @@
 from mangobay.generated import messages
 
 MAX_LINE_BYTES = 16 * 1024
-"""Bytes of a request line or one header field; the usual bound of servers."""
+"""Bytes of a request line or a header field; the usual limit of servers."""
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 Headers = typing.Sequence[messages.Header]
 
 
 class BaseConnection(asyncio.Protocol):
-    """One connection.
+    """Base class of the server's and the client's connections.
 
     Attributes:
-      transport: None before it stands and after it ended.
-      writing_paused: the other side does not read.
+      transport: None before the connection opens and after it is closed.
+      writing_paused: the write buffer is full because the peer does not read.
     """
 
     __slots__ = ("loop", "transport", "writing_paused")
@@ -36,24 +37,24 @@
         self.writing_paused = False
 
     def connection_made(self, transport) -> None:
-        """Takes the connection."""
+        """Stores the transport of the new connection."""
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Lets go of the connection."""
+        """Releases the transport."""
         self.transport = None
 
     def pause_writing(self) -> None:
-        """Notes that the other side does not read."""
+        """Records that the write buffer is full."""
         self.writing_paused = True
 
     def resume_writing(self) -> None:
-        """Notes that the other side reads again."""
+        """Records that the write buffer has room again."""
         self.writing_paused = False
 
 
 class ParsedMessage(typing.Protocol):
-    """What is needed of a message that was parsed."""
+    """The parts of a parsed message that forwarding needs."""
 
     headers: typing.Mapping[str, str]
     raw_headers: typing.Sequence[tuple[bytes, bytes]]
@@ -61,14 +62,14 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Request:
-    """A whole request.
+    """A complete request.
 
     Attributes:
-      method: in capitals.
+      method: in upper case.
       target: path and query, as received.
-      headers: by name in any case; of a repeated field, the first.
-      raw_headers: every field, as received.
-      body: the whole body.
+      headers: case-insensitive by name; the first value of a repeated header.
+      raw_headers: all headers, as received.
+      body: the complete body.
     """
 
     method: str
@@ -79,13 +80,13 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.partition("?")[0]
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Response:
-    """A whole answer; its length is added when it is written."""
+    """A complete response; `encode_response` adds its Content-Length."""
 
     status: int
     headers: Headers = ()
@@ -94,9 +95,9 @@
 
 @functools.lru_cache(maxsize=4096)
 def forwarded_name(raw_name: bytes, excluded: frozenset[str]) -> str:
-    """Returns the name of a field that is passed on, empty for another.
+    """Returns the name of a header that is forwarded, empty for others.
 
-    Names repeat from request to request, so the answers are cached.
+    Names repeat from request to request, so the results are cached.
     """
     name = raw_name.decode("utf-8", "surrogateescape")
     lower_name = name.lower()
@@ -111,11 +112,11 @@
 def end_to_end_headers(
     message: ParsedMessage, excluded: frozenset[str]
 ) -> list[messages.Header]:
-    """Returns the fields that are passed on.
+    """Returns the headers of a message that are forwarded.
 
     Args:
-      message: what was received.
-      excluded: further names, in lower case, that are not passed on.
+      message: the received message.
+      excluded: lower-case names of further headers that are not forwarded.
     """
     connection_header = message.headers.get("Connection")
     if connection_header and connection_header.lower() not in (
@@ -140,13 +141,13 @@
 
 
 def encode_headers(headers: Headers) -> str:
-    """Returns header lines, each ended."""
+    """Returns the header lines, each with its line terminator."""
     return "".join([f"{header.name}: {header.value}\r\n" for header in headers])
 
 
 @functools.lru_cache(maxsize=256)
 def status_line(status: int) -> str:
-    """Returns the first line of an answer."""
+    """Returns the status line of a response."""
     try:
         phrase = http.HTTPStatus(status).phrase
     except ValueError:
@@ -157,12 +158,12 @@
 def encode_response(
     response: Response, should_close: bool, head_only: bool
 ) -> bytes:
-    """Returns the bytes of an answer.
+    """Returns the bytes of a response.
 
     Args:
-      response: the answer.
-      should_close: the connection ends behind it.
-      head_only: it answers a HEAD request.
+      response: the response.
+      should_close: the connection is closed after it.
+      head_only: the request was a HEAD request, so the body is left out.
     """
     head = status_line(response.status) + encode_headers(response.headers)
     if response.status not in (204, 304):
--- a/mangobay/leanserver.py
+++ b/mangobay/leanserver.py
@@ -1,4 +1,4 @@
-"""A lean HTTP/1.1 listener: whole requests in, whole answers out, in order."""
+"""Lean HTTP/1.1 server: handles complete requests, responds in their order."""
 
 import asyncio
 import collections
@@ -21,31 +21,31 @@
 ]
 
 BACKLOG = 1024
-"""Connections that wait to be accepted; a burst of callers opens hundreds."""
+"""Connections in the accept queue; a burst of callers opens hundreds."""
 MAX_PIPELINED_REQUESTS = 64
-"""Requests of one connection that are answered at once; more wait unread."""
+"""Requests of one connection handled concurrently; reading pauses above it."""
 TOO_LARGE_RESPONSE = leanhttp.Response(status=413)
 HALF_CLOSE_SECONDS = 1.0
-"""How long a caller has to close a connection that was ended, above a round trip
-between far regions."""
+"""Seconds that a caller has to close a half-closed connection; more than a
+round trip between distant regions."""
 SHUTDOWN_HALF_CLOSE_SECONDS = 0.2
-"""The same when the process ends."""
+"""Seconds for the same when the process shuts down."""
 CLOSE_POLL = 0.01
-"""Seconds between two looks whether the last answers have left."""
+"""Seconds between checks whether the last responses have been sent."""
 SWEEP_SECONDS = 1.0
-"""How often idle connections are looked for."""
+"""Seconds between checks for idle and slow connections."""
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Limits:
-    """Bounds on what a caller may send.
+    """Limits on what callers may send.
 
     Attributes:
-      max_line_bytes: of the request line, and of one header field.
-      max_body_bytes: of a whole body.
-      read_timeout: from the first byte of a request to its last.
-      idle_timeout: a connection without a request is closed after this time.
-      max_connections: taken at once.
+      max_line_bytes: limit of the request line, and of each header.
+      max_body_bytes: limit of a request body.
+      read_timeout: seconds from the first byte of a request to its last.
+      idle_timeout: seconds until a connection without requests is closed.
+      max_connections: connections that may be open at the same time.
     """
 
     max_line_bytes: int = leanhttp.MAX_LINE_BYTES
@@ -57,13 +57,13 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Exchange:
-    """One request of a connection and its answer.
+    """One request of a connection and its response.
 
     Attributes:
-      message: the request as it comes; None where it is none.
-      task: answers the request; None until the body is whole.
-      response_bytes: the bytes to write; empty until there are some.
-      should_close: the connection ends behind the answer.
+      message: the request as received so far; None if it was malformed.
+      task: handles the request; None until the body is complete.
+      response_bytes: the encoded response; empty until it is available.
+      should_close: the connection is closed after the response.
     """
 
     message: httpparse.Message | None
@@ -73,15 +73,16 @@
 
 
 class Connection(leanhttp.BaseConnection):
-    """One connection of a caller.
+    """One connection from a caller.
 
     Attributes:
-      remote: IP number of the caller.
-      exchanges: requests whose answers were not written, oldest first.
-      last_activity: loop time of the last byte either way.
-      request_started_at: loop time at which a request began that is not whole, or 0.
-      closing: no further request is taken.
-      half_close_timer: set once nothing more is written; closes the connection.
+      remote: IP address of the caller.
+      exchanges: requests whose responses are not written yet, oldest first.
+      last_activity: loop time at which bytes were last received or written.
+      request_started_at: loop time of the first byte of an incomplete request,
+        or 0.
+      closing: no further requests are accepted.
+      half_close_timer: set once the connection is half-closed; closes it.
     """
 
     __slots__ = (
@@ -108,7 +109,7 @@
         self.half_close_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport) -> None:
-        """Counts the connection; one too many is closed."""
+        """Registers the connection; closes it if there are too many."""
         super().connection_made(transport)
         peer = transport.get_extra_info("peername")
         self.remote = peer[0] if peer else ""
@@ -120,7 +121,7 @@
             transport.close()
 
     def connection_lost(self, exc) -> None:
-        """Gives up what the caller no longer waits for."""
+        """Cancels the requests whose responses the caller no longer awaits."""
         super().connection_lost(exc)
         self.parser.close()
         if self.half_close_timer is not None:
@@ -132,22 +133,22 @@
         self.exchanges.clear()
 
     def pause_writing(self) -> None:
-        """Reads no more while the caller does not read its answers.
+        """Pauses reading while the caller does not read its responses.
 
-        Each answer not taken counts towards the memory of this process.
+        Responses that are not read take up memory of this process.
         """
         super().pause_writing()
         if self.transport is not None:
             self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Reads again."""
+        """Resumes reading."""
         super().resume_writing()
         if self.transport is not None and not self.closing:
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes; starts what is whole."""
+        """Parses bytes and dispatches the requests that they complete."""
         self.last_activity = self.loop.time()
         if self.closing and not self.is_receiving_body():
             return
@@ -167,14 +168,14 @@
         self.check_body_size()
 
     def is_receiving_body(self) -> bool:
-        """Returns whether the newest request is not whole yet."""
+        """Returns whether the body of the newest request is incomplete."""
         if not self.exchanges:
             return False
         newest = self.exchanges[-1]
         return not newest.response_bytes and not newest.message.complete
 
     def handle_head(self, message: httpparse.Message) -> None:
-        """Takes a request head; answers once the body has come."""
+        """Registers a request and dispatches it if it is complete."""
         exchange = Exchange(message, should_close=message.should_close)
         self.exchanges.append(exchange)
         self.closing = self.closing or exchange.should_close
@@ -186,7 +187,7 @@
             self.transport.write(leanhttp.CONTINUE_RESPONSE)
 
     def dispatch(self, exchange: Exchange) -> None:
-        """Has a whole request answered."""
+        """Starts handling a complete request."""
         self.request_started_at = 0.0
         message = exchange.message
         request = leanhttp.Request(
@@ -204,7 +205,7 @@
         exchange.task = eager.start(self.loop, self.respond(exchange, request))
 
     def check_body_size(self) -> None:
-        """Refuses a body that is too long before all of it has come."""
+        """Rejects a body above the limit before all of it is received."""
         if not self.is_receiving_body():
             return
         newest = self.exchanges[-1]
@@ -222,7 +223,7 @@
     async def respond(
         self, exchange: Exchange, request: leanhttp.Request
     ) -> None:
-        """Answers one request."""
+        """Runs the handler on a request and writes its response."""
         try:
             response = await self.listener.handler(request, self)
         except asyncio.CancelledError:
@@ -230,8 +231,8 @@
         except Exception as error:  # noqa: BLE001
             logs.say(logs.Part.CALL, "request failed", why=repr(error))
             response = leanhttp.Response(status=502)
-        # Closed before the answers behind it, requests that run already would
-        # be sent again by their caller.
+        # Only the newest response closes the connection. If requests that
+        # already run lost their responses, their caller would send them again.
         newest = self.exchanges[-1] if self.exchanges else None
         if self.listener.leaving and newest is exchange:
             exchange.should_close = True
@@ -242,12 +243,12 @@
         self.flush()
 
     def send_error(self, error: httpparse.ParseError) -> None:
-        """Answers bytes that are no request, behind the answers due."""
+        """Responds to malformed input after the responses that are due."""
         self.closing = True
         response_bytes = leanhttp.encode_response(
             leanhttp.Response(status=error.status), True, False
         )
-        # A request whose body broke off is answered in its own place.
+        # The error response takes the place of a request with a malformed body.
         if self.is_receiving_body():
             self.exchanges.pop()
         exchange = Exchange(
@@ -257,7 +258,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes the answers that are due, in the order of the requests."""
+        """Writes the available responses in the order of the requests."""
         transport = self.transport
         if transport is None:
             return
@@ -285,9 +286,9 @@
             transport.resume_reading()
 
     def time_out(self) -> None:
-        """Gives up a request that does not come to its end.
+        """Drops an incomplete request that takes too long.
 
-        Those before it are answered.
+        The requests before it still get their responses.
         """
         self.closing = True
         if self.is_receiving_body():
@@ -299,11 +300,13 @@
         self.flush()
 
     def close(self) -> None:
-        """Ends the connection; requests behind the answer were not run.
+        """Half-closes the connection and cancels requests without response.
 
-        Closed with bytes that nobody has read, it would be reset, and the
-        reset destroys answers that the caller has not taken yet.  So it is
-        only closed for writing, and what still comes is thrown away.
+        Requests received after a closing response have not been run.
+
+        Closing a socket that holds unread bytes resets the connection, and the
+        reset discards responses that the caller has not read yet.  So only the
+        write side is closed, and further input is discarded.
         """
         self.closing = True
         for exchange in self.exchanges:
@@ -320,11 +323,11 @@
         transport.resume_reading()
 
     def eof_received(self) -> bool:
-        """Takes a caller that sends no more for one that is gone."""
+        """Closes the connection: a caller that sends no more counts as gone."""
         return False
 
     def has_pending_responses(self) -> bool:
-        """Returns whether an answer is due, or not yet with the kernel."""
+        """Returns whether a response is due or still in the write buffer."""
         if any(
             exchange.task or exchange.response_bytes
             for exchange in self.exchanges
@@ -334,10 +337,10 @@
         return transport is not None and transport.get_write_buffer_size() > 0
 
     def is_slow(self, cutoff: float) -> bool:
-        """Returns whether a request began before a loop time and is not whole.
+        """Returns whether an incomplete request began before a loop time.
 
-        A caller that sends a byte now and then would hold a connection, and
-        what has come of its request, for ever.
+        A caller that sends a byte now and then would otherwise hold a
+        connection, and the memory of its partial request, forever.
         """
         return (
             0 < self.request_started_at < cutoff
@@ -345,18 +348,18 @@
         )
 
     def is_idle(self, cutoff: float) -> bool:
-        """Returns whether no request is open since a loop time."""
+        """Returns whether the connection has been idle since a loop time."""
         return not self.exchanges and self.last_activity < cutoff
 
 
 class Listener:
-    """One HTTP listener.
+    """Accepts HTTP connections on one address.
 
     Attributes:
-      address: where it listens; with port 0, the port taken once started.
-      rounds: looks at its connections.
-      leaving: every answer closes its connection.
-      too_large_response: the answer to a body above the limit.
+      address: address to listen on; port 0 is replaced by the actual port.
+      rounds: checks the connections periodically.
+      leaving: connections are closed after their last response.
+      too_large_response: response to a body above the limit.
     """
 
     def __init__(
@@ -373,7 +376,7 @@
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Opens the socket.
+        """Opens the listening socket.
 
         Raises:
           errors.StartError: the address is in use or not of this host.
@@ -393,11 +396,11 @@
 
     @property
     def connections(self) -> set[Connection]:
-        """Its connections."""
+        """The open connections."""
         return self.rounds.items
 
     def check_connection(self, connection: Connection) -> None:
-        """Closes a connection that was idle, or sends, for too long."""
+        """Closes a connection that is idle or sends a request too slowly."""
         now = asyncio.get_running_loop().time()
         if connection.is_slow(now - self.limits.read_timeout):
             connection.time_out()
@@ -406,20 +409,20 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a caller waits for an answer, or has not taken one."""
+        """Whether a response is due or not yet sent on any connection."""
         return any(
             connection.has_pending_responses()
             for connection in self.connections
         )
 
     async def close(self, seconds: float = 0.0) -> int:
-        """Stops accepting, answers what is due and ends every connection.
+        """Stops accepting, completes due responses, closes all connections.
 
         Args:
-          seconds: longest wait for callers to take their answers.
+          seconds: maximum wait for callers to read their responses.
 
         Returns:
-          How many callers have not taken theirs.
+          Number of connections with a response that was not delivered.
         """
         if self.server is None:
             return 0
--- a/mangobay/routednode.py
+++ b/mangobay/routednode.py
@@ -1,4 +1,4 @@
-"""A node whose operations come from a routes document."""
+"""A node whose operations are defined by a routes document."""
 
 import asyncio
 import dataclasses
@@ -23,20 +23,22 @@
 from mangobay.generated import messages, settings
 
 LEAVE_NOTICE_SECONDS = 0.7
-"""Seconds before it takes no more calls that a leaving node has the others told:
-a renewal, an entry of the log and the renewals of the others, with room for a
-lost packet."""
+"""Seconds between a leaving node's notice to the others and its first refusal.
+
+Enough for its renewal, a log entry and the renewals of the other nodes, with
+room for a lost packet.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformAdapter:
-    """How callers, backend servers and operators are spoken with.
+    """Formats and APIs of a platform: callers, backend servers, operators.
 
     Attributes:
-      header_names: the fields of requests and answers.
-      decode: reads a routes document.
-      heartbeat_api: makes the handler of heartbeats.
-      ready_api: makes the handler that tells whether the node is ready.
+      header_names: names of the headers in requests and responses.
+      decode: parses a routes document.
+      heartbeat_api: returns the handler of heartbeats.
+      ready_api: returns the handler of readiness checks.
     """
 
     header_names: gateway.HeaderNames
@@ -51,8 +53,8 @@
     """One node; attributes as in `basenode.BaseNode`.
 
     Attributes:
-      adapter: how others are spoken with.
-      listeners: for callers, heartbeats and readiness.
+      adapter: formats and APIs of the platform.
+      listeners: for callers, heartbeats, readiness checks and metrics.
     """
 
     def __init__(self, config: settings.Node, adapter: PlatformAdapter):
@@ -60,13 +62,13 @@
         super().__init__(config)
 
     def make_peers(self) -> None:
-        """Makes what speaks to other processes."""
+        """Creates the clients and listeners for other processes."""
         super().make_peers()
         self.control.every_service = self.config.control.follow == "all"
         self.control.keyless = True
 
     def make_backend(self) -> None:
-        """Makes the connections to the backend server here."""
+        """Creates the client of the backend server on this host."""
         config = self.config
         self.backend = leanclient.Backend(
             self.adapter.header_names.backend,
@@ -88,7 +90,7 @@
         )
 
     def make_edges(self) -> None:
-        """Makes the listeners."""
+        """Creates the gateway and the HTTP listeners."""
         config = self.config
         self.gateway = gateway.Gateway(
             self.adapter.header_names,
@@ -107,7 +109,8 @@
         self.outside_listener = leanserver.Listener(
             config.listen.outside, self.gateway.handle, limits
         )
-        # The limit is not known before the routes are.
+        # The body limit comes with the routes. Before, callers are told to
+        # retry: they never resend a request that was refused as too large.
         self.outside_listener.too_large_response = (
             refusals.retry_later_response()
         )
@@ -132,11 +135,11 @@
         ]
 
     def is_ready(self) -> bool:
-        """Returns whether callers should be sent here."""
+        """Returns whether the node is ready for callers."""
         return self.gateway.table is not None and self.leaving is None
 
     async def start(self) -> None:
-        """Opens the listeners and starts the parts.
+        """Opens the listeners and starts the background tasks.
 
         Raises:
           errors.StartError: an address cannot be used.
@@ -155,7 +158,7 @@
     def set_node_count(
         self, views: dict[ids.ServiceName, messages.ServiceView]
     ) -> None:
-        """Takes the number of nodes from the views."""
+        """Tells the retry budget the number of nodes in the views."""
         node_count = sum(len(view.members) for view in views.values())
         self.dispatcher.dependencies.retry_budget.set_node_count(node_count)
 
@@ -180,14 +183,14 @@
         )
 
     async def leave(self) -> None:
-        """Serves on until everybody knows that this node leaves, and ends.
-
-        Callers learn it only after some time: until then they are served,
-        and each connection is closed behind an answer.  Other nodes are
-        served meanwhile too, where the answer comes before the end: where no
-        other host of the data centre has the service, its callers would
-        wait for answers from further away, or be refused.  After that time,
-        only the calls that runs here make are still taken.
+        """Keeps serving until the others know that the node leaves, then ends.
+
+        Callers notice it only after some time.  Until then they are served,
+        and each connection is closed after a response.  Calls of other nodes
+        are served as well if the response comes before the end: if no other
+        host of the data centre has the service, their callers would wait for
+        responses from further away, or be refused.  After that time, only
+        child calls of calls that run here are accepted.
         """
         config = self.config.leaving
         logs.say(logs.Part.NODE, "leaving", grace=config.grace)
@@ -210,11 +213,11 @@
         self.ended.set()
 
     def busy(self) -> bool:
-        """Returns whether a call, a request or an answer is in flight."""
+        """Returns whether a call, a request or a response is in flight."""
         return super().busy() or bool(self.peer_listener.owed)
 
     def caller_listeners(self) -> list[leanserver.Listener]:
-        """Returns the listeners on which calls come in."""
+        """Returns the listeners that accept calls."""
         return [self.outside_listener]
 
     async def close(self) -> None:
@@ -224,18 +227,18 @@
         logs.say(logs.Part.NODE, "stopped", host=self.process.host)
 
     async def close_peers(self) -> None:
-        """Ends the node's tasks and its connections to other processes."""
+        """Stops the node's tasks and closes its connections to others."""
         await self.peer_listener.close()
         await self.end_tasks()
         await self.close_connections()
 
 
 def only_address(addresses: tuple[options.Address, ...]) -> options.Address:
-    """Returns the one address that a setting must hold.
+    """Returns the only address of the setting `[backend] address`.
 
     Raises:
-      errors.StartError: it holds none or several.
+      errors.StartError: the setting holds no or several addresses.
     """
     if len(addresses) != 1:
-        raise errors.StartError("[backend] address: give one address")
+        raise errors.StartError("[backend] address: expected one address")
     return addresses[0]
