--- a/tests/platformfakes.py
+++ b/tests/platformfakes.py
@@ -76,9 +76,9 @@
         async with asyncio.timeout(3):
             reader, writer = await asyncio.open_connection(ip, port)
             writer.write(data)
-            answer = await read_response(reader)
+            response = await read_response(reader)
             writer.close()
-            return answer
+            return response
     except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
         return Response(0, repr(error), b"")
 
@@ -91,11 +91,11 @@
     return Response(status, head, await reader.readexactly(length))
 
 
-def request_bytes(service, name, milliseconds):
+def request_bytes(service, attempt_id, milliseconds):
     """Returns the bytes of a request."""
     head = (
         f"GET /x HTTP/1.1\r\nHost: {service}.example\r\n"
-        f"X-Mangobay-Attempt-Id: {name}\r\n"
+        f"X-Mangobay-Attempt-Id: {attempt_id}\r\n"
         f"X-Mangobay-Deadline-Ms: {milliseconds}\r\n\r\n"
     )
     return head.encode()
@@ -104,10 +104,10 @@
 async def call_rpc(ip, port, call, body, subject="", base=None):
     """Returns the answer to a call by name."""
     data = json.dumps(body).encode()
-    extra = f"X-Mangobay-Base-Version: {base}\r\n" if base else ""
+    extra_headers = f"X-Mangobay-Base-Version: {base}\r\n" if base else ""
     head = (
         f"POST /-/rpc?call={call}&of={subject} HTTP/1.1\r\nHost: x\r\n"
-        f"{extra}Content-Length: {len(data)}\r\n\r\n"
+        f"{extra_headers}Content-Length: {len(data)}\r\n\r\n"
     )
     return await send_request(ip, port, head.encode() + data)
 
@@ -182,14 +182,16 @@
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
-                name = head.partition("attempt-id: ")[2].split()[0]
-                self.run_counts[name] = self.run_counts.get(name, 0) + 1
-                left = head.partition("deadline-ms: ")[2].split()[0]
-                self.deadlines_ms[name] = int(left)
+                attempt_id = head.partition("attempt-id: ")[2].split()[0]
+                self.run_counts[attempt_id] = (
+                    self.run_counts.get(attempt_id, 0) + 1
+                )
+                left_ms = head.partition("deadline-ms: ")[2].split()[0]
+                self.deadlines_ms[attempt_id] = int(left_ms)
                 await asyncio.sleep(self.delay_seconds)
                 writer.write(
                     b"HTTP/1.1 200 OK\r\nX-Mangobay-Attempt-Id: "
-                    + name.encode()
+                    + attempt_id.encode()
                     + b"\r\nX-Mangobay-Response-Signature: s\r\n"
                     b"Content-Length: 5\r\n\r\nhello"
                 )
@@ -211,9 +213,9 @@
         self.reader = reader
         self.writer = writer
 
-    def send(self, service, name, milliseconds=8000):
+    def send(self, service, attempt_id, milliseconds=8000):
         """Sends a request without waiting for what comes before it."""
-        self.writer.write(request_bytes(service, name, milliseconds))
+        self.writer.write(request_bytes(service, attempt_id, milliseconds))
 
     async def read_response(self):
         """Returns the next answer; status 0 says why none came."""
@@ -230,15 +232,15 @@
     def __init__(self, folder, seeds=3, voters=5):
         self.folder = folder
         # Runs of the tests side by side must not share IP numbers.
-        self.block = random.SystemRandom().randrange(1, 250)
-        self.net = random.SystemRandom().randrange(1, 250)
+        self.second_octet = random.SystemRandom().randrange(1, 250)
+        self.third_octet = random.SystemRandom().randrange(1, 250)
         self.voters = voters
         self.seed_count = seeds
         self.processes = {}
         self.backends = []
 
     def ip(self, number):
-        return f"127.{self.block}.{self.net}.{number}"
+        return f"127.{self.second_octet}.{self.third_octet}.{number}"
 
     @property
     def seeds(self):
@@ -327,9 +329,9 @@
         """Reads the configuration back at a control host."""
         return await call_rpc(self.ip(number), OPERATOR, "config.describe", {})
 
-    async def request(self, number, service, name, milliseconds=2000):
+    async def request(self, number, service, attempt_id, milliseconds=2000):
         """Sends a request to a node."""
-        data = request_bytes(service, name, milliseconds)
+        data = request_bytes(service, attempt_id, milliseconds)
         return await send_request(self.ip(number), OUTSIDE, data)
 
     async def connect(self, number):
@@ -338,17 +340,17 @@
 
     async def ready(self, number):
         """Returns whether a node says that it is ready."""
-        answer = await send_request(
+        response = await send_request(
             self.ip(number), READY, b"GET /-/readyz HTTP/1.1\r\nHost: x\r\n\r\n"
         )
-        return answer.status == 200
+        return response.status == 200
 
 
 async def wait_until(check, seconds=WAIT_SECONDS):
     """Returns the first true result of an asynchronous check."""
     async with asyncio.timeout(seconds):
         while True:
-            found = await check()
-            if found:
-                return found
+            result = await check()
+            if result:
+                return result
             await asyncio.sleep(0.1)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -26,9 +26,9 @@
 CRITICAL = messages.Importance.CRITICAL
 NORMAL = messages.Importance.NORMAL
 SLOTS = 10
-INNER_SECONDS = 0.03
-INNER_CALLS = 4
-CLIENT = types.SimpleNamespace(remote="10.0.0.1")
+CHILD_SECONDS = 0.03
+CHILD_CALLS = 4
+CONNECTION = types.SimpleNamespace(remote="10.0.0.1")
 
 
 class FakeDispatcher:
@@ -42,11 +42,11 @@
             random.Random(3),
         )
         self.admission.set_slots(SLOTS)
-        self.seen = []
+        self.requests = []
 
     async def handle(self, request):
-        self.seen.append(request)
-        ticket = admissionrequest.AdmissionRequest(
+        self.requests.append(request)
+        admission_request = admissionrequest.AdmissionRequest(
             importance=request.importance,
             depth=request.depth,
             deadline=request.deadline,
@@ -56,29 +56,29 @@
             max_wait=0.15,
         )
         try:
-            permit = await self.admission.acquire(ticket)
+            permit = await self.admission.acquire(admission_request)
         except admissionrequest.ShedError as error:
             return calls.not_run_reply(error.reason, error.retry_after)
-        await asyncio.sleep(INNER_SECONDS)
-        permit.release(INNER_SECONDS, ok=True)
+        await asyncio.sleep(CHILD_SECONDS)
+        permit.release(CHILD_SECONDS, ok=True)
         return messages.Reply(outcome=messages.Outcome.ANSWERED, status=200)
 
 
-class World:
+class GatewayHarness:
     """A gateway beside a backend server that makes calls of its own."""
 
     def __init__(self):
         self.dispatcher = FakeDispatcher()
-        self.departure = shutdown.ShutdownSchedule()
-        self.runs = {}
+        self.schedule = shutdown.ShutdownSchedule()
+        self.parents = {}
         self.gateway = gateway.Gateway(
             words.HEADER_NAMES,
             ids.ServiceName("front"),
-            self.runs.get,
+            self.parents.get,
             self.dispatcher,
             metrics.Metrics(),
             requestlog.RequestLog(),
-            self.departure,
+            self.schedule,
         )
         route = routes.Route(
             name="inner",
@@ -96,114 +96,126 @@
         )
         self.gateway.table = routes.Table(document)
 
-    async def call(self, attempt):
+    async def call(self, attempt_id):
         """Returns the status of a call of the backend server."""
-        fields = {
+        headers = {
             "Host": "below.example",
-            words.HEADER_NAMES.backend.attempt_id: attempt,
+            words.HEADER_NAMES.backend.attempt_id: attempt_id,
             words.HEADER_NAMES.backend.deadline: "700",
         }
         request = leanhttp.Request(
-            method="GET", target="/x", headers=fields, raw_headers=[], body=b""
+            method="GET", target="/x", headers=headers, raw_headers=[], body=b""
         )
-        answer = await self.gateway.handle(request, CLIENT)
-        return answer.status
+        response = await self.gateway.handle(request, CONNECTION)
+        return response.status
 
-    async def run(self, attempt, importance):
+    async def run(self, attempt_id, importance):
         """Runs a request that needs some calls; returns whether all came."""
-        self.runs[attempt] = calls.Parent(
-            call=messages.Call(importance=importance, tree=f"tree-{attempt}"),
+        self.parents[attempt_id] = calls.Parent(
+            call=messages.Call(
+                importance=importance, tree=f"tree-{attempt_id}"
+            ),
             deadline=0.0,
             running_call=retryallowance.RunningCall(
                 retryallowance.RetryAllowance(0)
             ),
         )
         try:
-            for number in range(INNER_CALLS):
-                if await self.call(f"{attempt}.{number}") != 200:
+            for number in range(CHILD_CALLS):
+                if await self.call(f"{attempt_id}.{number}") != 200:
                     return False
             return True
         finally:
-            del self.runs[attempt]
+            del self.parents[attempt_id]
 
 
 @pytest.mark.looptime
-class TestCallsOfBackendServers:
+class TestChildCalls:
     """Calls that a running request makes."""
 
-    async def test_a_call_has_the_rank_of_the_request_it_is_for(self):
-        world = World()
-        assert await world.run("a1", CRITICAL)
-        assert {each.importance for each in world.dispatcher.seen} == {CRITICAL}
-        assert {each.tree for each in world.dispatcher.seen} == {"tree-a1"}
-        assert {each.depth for each in world.dispatcher.seen} == {1}
+    async def test_child_call_inherits_importance_tree_and_depth(self):
+        harness = GatewayHarness()
+        assert await harness.run("a1", CRITICAL)
+        assert {
+            request.importance for request in harness.dispatcher.requests
+        } == {CRITICAL}
+        assert {request.tree for request in harness.dispatcher.requests} == {
+            "tree-a1"
+        }
+        assert {request.depth for request in harness.dispatcher.requests} == {1}
 
-    async def test_a_run_does_not_work_while_it_waits_for_its_calls(self):
+    async def test_waiting_for_child_calls_is_not_service_time(self):
         """A backend server seems to slow down as the services below do.
 
         Its runs last longer, and taken for its own time that would lower the
         number of runs that it is given, though its slots are only held.
         """
-        world = World()
-        running = asyncio.create_task(world.run("a1", CRITICAL))
-        await asyncio.sleep(0.5 * INNER_SECONDS)
-        parent = world.runs["a1"]
-        await running
-        awaited = parent.running_call.child_wait_seconds
-        assert awaited == pytest.approx(INNER_CALLS * INNER_SECONDS, rel=0.1)
-
-    async def test_an_id_that_names_nothing_here_leaves_the_routes_rank(self):
-        world = World()
-        assert await world.call("unknown.7") == 200
-        assert await world.call("plain") == 200
-        ranks = {each.importance for each in world.dispatcher.seen}
-        assert ranks == {messages.Importance.HIGH}
-
-    async def test_urgent_requests_end_though_the_service_below_is_full(self):
+        harness = GatewayHarness()
+        task = asyncio.create_task(harness.run("a1", CRITICAL))
+        await asyncio.sleep(0.5 * CHILD_SECONDS)
+        parent = harness.parents["a1"]
+        await task
+        child_wait_seconds = parent.running_call.child_wait_seconds
+        assert child_wait_seconds == pytest.approx(
+            CHILD_CALLS * CHILD_SECONDS, rel=0.1
+        )
+
+    async def test_unknown_parent_leaves_importance_of_the_route(self):
+        harness = GatewayHarness()
+        assert await harness.call("unknown.7") == 200
+        assert await harness.call("plain") == 200
+        importances = {
+            request.importance for request in harness.dispatcher.requests
+        }
+        assert importances == {messages.Importance.HIGH}
+
+    async def test_critical_requests_complete_while_downstream_is_full(self):
         """Bookings fail half-way while the service below serves others.
 
         Bookings and readers each need four calls of a service that has slots
         for two thirds of them.  All these calls go over one route: by its rank
         alone, the calls of bookings are refused as often as those of readers.
         """
-        world = World()
-        ended = {CRITICAL: [], NORMAL: []}
+        harness = GatewayHarness()
+        tasks_by_importance = {CRITICAL: [], NORMAL: []}
 
-        async def arrive(importance, name, pause):
-            for number in range(int(6 / pause)):
-                run = world.run(f"{name}{number}", importance)
-                ended[importance].append(asyncio.create_task(run))
-                await asyncio.sleep(pause)
+        async def arrive(importance, name, interval):
+            for number in range(int(6 / interval)):
+                request = harness.run(f"{name}{number}", importance)
+                tasks_by_importance[importance].append(
+                    asyncio.create_task(request)
+                )
+                await asyncio.sleep(interval)
 
         await asyncio.gather(
             arrive(CRITICAL, "b", 1 / 40), arrive(NORMAL, "r", 1 / 85)
         )
-        shares = {}
-        for importance, tasks in ended.items():
-            answered = await asyncio.gather(*tasks)
-            shares[importance] = sum(answered) / len(answered)
-        assert shares[CRITICAL] > 0.97
-        assert shares[NORMAL] > 0.3
+        success_rates = {}
+        for importance, tasks in tasks_by_importance.items():
+            results = await asyncio.gather(*tasks)
+            success_rates[importance] = sum(results) / len(results)
+        assert success_rates[CRITICAL] > 0.97
+        assert success_rates[NORMAL] > 0.3
 
 
 @pytest.mark.looptime
-class TestDeparture:
+class TestShutdown:
     """Requests to a node that was told to stop."""
 
-    async def test_a_node_about_to_end_takes_nothing_new(self):
+    async def test_new_requests_are_refused_after_linger(self):
         """A request taken last is cut when the process ends."""
-        world = World()
+        harness = GatewayHarness()
         now = asyncio.get_running_loop().time()
-        world.departure.start(now, grace=6, linger=2)
-        assert await world.call("while-lingering") == 200
+        harness.schedule.start(now, grace=6, linger=2)
+        assert await harness.call("while-lingering") == 200
         await asyncio.sleep(2)
-        assert await world.call("late") == 503
-        assert len(world.dispatcher.seen) == 1
+        assert await harness.call("late") == 503
+        assert len(harness.dispatcher.requests) == 1
 
-    async def test_the_calls_of_a_run_here_are_still_taken(self):
+    async def test_child_calls_are_accepted_after_linger(self):
         """A run that was taken in time fails, since its calls are refused."""
-        world = World()
+        harness = GatewayHarness()
         now = asyncio.get_running_loop().time()
-        world.departure.start(now, grace=6, linger=2)
+        harness.schedule.start(now, grace=6, linger=2)
         await asyncio.sleep(2)
-        assert await world.run("a1", CRITICAL)
+        assert await harness.run("a1", CRITICAL)
--- a/tests/test_httpparse.py
+++ b/tests/test_httpparse.py
@@ -19,11 +19,11 @@
 def parse(*data):
     """Returns the messages in the bytes, and the parser."""
     parser = httpparse.RequestParser(LINE_BYTES)
-    messages = [message for part in data for message in parser.feed(part)]
+    messages = [message for chunk in data for message in parser.feed(chunk)]
     return messages, parser
 
 
-REFUSED = {
+MALFORMED_REQUESTS = {
     "a line feed alone": b"GET / HTTP/1.1\nHost: h\n\n",
     "a line feed alone behind a field": b"GET / HTTP/1.1\r\nHost: h\n\r\n",
     "a space before the colon": request(b"Host : h\r\n"),
@@ -78,14 +78,16 @@
 class TestStrictness:
     """What is refused, so that nothing is smuggled past this parser."""
 
-    @pytest.mark.parametrize("data", REFUSED.values(), ids=REFUSED)
-    def test_is_refused_and_never_whole(self, data):
+    @pytest.mark.parametrize(
+        "data", MALFORMED_REQUESTS.values(), ids=MALFORMED_REQUESTS
+    )
+    def test_is_rejected_and_never_complete(self, data):
         messages, parser = parse(data)
         assert parser.error.status == 400
         assert not any(message.complete for message in messages)
         assert parser.feed(request()) == []
 
-    def test_trailers_are_not_fields(self):
+    def test_trailers_are_not_headers(self):
         """Guards against fields that are set behind the body."""
         (message,), parser = parse(
             request(CHUNKED, b"3\r\nabc\r\n0\r\nX-Caller: y\r\n\r\n")
@@ -95,7 +97,7 @@
         assert "X-Caller" not in message.headers
         assert len(message.raw_headers) == 2
 
-    def test_what_follows_an_upgrade_is_not_read(self):
+    def test_bytes_after_an_upgrade_are_not_parsed(self):
         upgrade = HOST + b"Upgrade: h2c\r\nConnection: Upgrade\r\n"
         (message,), parser = parse(request(upgrade), request())
         assert message.complete
@@ -103,34 +105,34 @@
         assert parser.error is not None
 
 
-class TestBounds:
+class TestLimits:
     """How long a head may be."""
 
-    def test_a_long_field(self):
+    def test_header_above_the_limit(self):
         _, parser = parse(request(HOST + b"X: " + b"x" * LINE_BYTES + b"\r\n"))
         assert parser.error.status == 431
 
-    def test_a_long_target(self):
+    def test_target_above_the_limit(self):
         _, parser = parse(b"GET /" + b"x" * LINE_BYTES + b" HTTP/1.1\r\n")
         assert parser.error.status == 431
 
-    def test_many_fields(self):
-        fields = b"X: y\r\n" * httpparse.MAX_HEADERS
-        _, parser = parse(request(HOST + fields))
+    def test_header_count_above_the_limit(self):
+        headers = b"X: y\r\n" * httpparse.MAX_HEADERS
+        _, parser = parse(request(HOST + headers))
         assert parser.error.status == 431
 
-    def test_many_trailers(self):
+    def test_trailer_count_above_the_limit(self):
         trailers = b"X: y\r\n" * httpparse.MAX_HEADERS
         _, parser = parse(request(CHUNKED, b"0\r\n" + trailers))
         assert parser.error.status == 431
 
-    def test_a_line_that_never_ends(self):
+    def test_unterminated_line_above_the_limit(self):
         """Guards against memory that a caller fills byte by byte."""
-        parts = [b"GET / HTTP/1.1\r\nX: "] + [b"x"] * LINE_BYTES
-        _, parser = parse(*parts)
+        chunks = [b"GET / HTTP/1.1\r\nX: "] + [b"x"] * LINE_BYTES
+        _, parser = parse(*chunks)
         assert parser.error.status == 431
 
-    def test_a_long_body_is_no_long_line(self):
+    def test_body_may_exceed_the_line_limit(self):
         body = b"x" * LINE_BYTES * 2
         head = HOST + b"Content-Length: %d\r\n" % len(body)
         data = request(head, body)
@@ -139,7 +141,7 @@
         assert [message.body for message in messages] == [body, body]
 
 
-class TestSplits:
+class TestFragmentation:
     """Bytes come in any pieces."""
 
     STREAM = (
@@ -153,24 +155,32 @@
             strategies.integers(0, len(STREAM)), max_size=12, unique=True
         ).map(sorted)
     )
-    def test_the_same_messages_come_out(self, cuts):
-        edges = [0, *cuts, len(self.STREAM)]
-        parts = [
+    def test_fragmentation_does_not_change_the_messages(self, cut_points):
+        boundaries = [0, *cut_points, len(self.STREAM)]
+        chunks = [
             self.STREAM[start:end]
-            for start, end in zip(edges, edges[1:], strict=False)
+            for start, end in zip(boundaries, boundaries[1:], strict=False)
         ]
-        messages, parser = parse(*parts)
+        messages, parser = parse(*chunks)
         assert parser.error is None
         assert all(message.complete for message in messages)
-        assert [m.body for m in messages] == [b"hello", b"abcde", b""]
-        assert [m.should_close for m in messages] == [False, False, True]
+        assert [message.body for message in messages] == [
+            b"hello",
+            b"abcde",
+            b"",
+        ]
+        assert [message.should_close for message in messages] == [
+            False,
+            False,
+            True,
+        ]
         assert messages[2].raw_headers[1] == (b"X", b"a b")
 
 
-class TestAnswers:
+class TestResponses:
     """Messages of backend servers."""
 
-    def answer(self, data):
+    def parse_response(self, data):
         """Returns the message in the bytes, and the parser."""
         parser = httpparse.ResponseParser(LINE_BYTES)
         (message,) = parser.feed(data)
@@ -186,13 +196,13 @@
             (b"200 OK\r\nTransfer-Encoding: gzip\r\n", True),
         ],
     )
-    def test_where_an_answer_ends(self, head, until_eof):
-        message, _ = self.answer(b"HTTP/1.1 " + head + b"\r\n")
+    def test_end_of_a_response_body(self, head, until_eof):
+        message, _ = self.parse_response(b"HTTP/1.1 " + head + b"\r\n")
         assert message.until_eof == until_eof
         assert message.should_close == until_eof
 
-    def test_bytes_behind_an_answer_leave_it_whole(self):
-        message, parser = self.answer(
+    def test_bytes_after_a_response_leave_it_complete(self):
+        message, parser = self.parse_response(
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokmore"
         )
         assert message.complete
--- a/tests/test_leanserver.py
+++ b/tests/test_leanserver.py
@@ -11,40 +11,40 @@
 LOOPBACK = options.Address("127.0.0.1", 0)
 
 
-class Answers:
+class RecordingHandler:
     """Answers each path when told to, and notes what was asked."""
 
     def __init__(self):
-        self.asked: list[leanhttp.Request] = []
-        self.cancelled: list[str] = []
-        self.holds: dict[str, asyncio.Event] = {}
-
-    async def handle(self, request, client):
-        del client
-        self.asked.append(request)
-        hold = self.holds.get(request.path)
+        self.requests: list[leanhttp.Request] = []
+        self.cancelled_paths: list[str] = []
+        self.release_events: dict[str, asyncio.Event] = {}
+
+    async def handle(self, request, connection):
+        del connection
+        self.requests.append(request)
+        release_event = self.release_events.get(request.path)
         try:
-            if hold is not None:
-                await hold.wait()
+            if release_event is not None:
+                await release_event.wait()
         except asyncio.CancelledError:
-            self.cancelled.append(request.path)
+            self.cancelled_paths.append(request.path)
             raise
         return leanhttp.Response(status=200, body=request.path.encode())
 
 
 @pytest.fixture
-async def answers():
-    return Answers()
+async def recorder():
+    return RecordingHandler()
 
 
 @pytest.fixture
-async def listener(answers):
-    made = leanserver.Listener(
-        LOOPBACK, answers.handle, leanserver.Limits(max_body_bytes=100)
+async def listener(recorder):
+    started = leanserver.Listener(
+        LOOPBACK, recorder.handle, leanserver.Limits(max_body_bytes=100)
     )
-    await made.start()
-    yield made
-    await made.close()
+    await started.start()
+    yield started
+    await started.close()
 
 
 async def connect(listener):
@@ -57,13 +57,13 @@
     return f"GET {path} HTTP/1.1\r\nHost: h\r\n{extra}\r\n".encode()
 
 
-async def answer_of(reader):
+async def read_response(reader):
     """Returns head and body of the next answer."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     lines = head.lower().split("\r\n")
-    length = [x for x in lines if x.startswith("content-length")]
-    size = int(length[0].split(":")[1]) if length else 0
-    return head, await reader.readexactly(size)
+    length_lines = [line for line in lines if line.startswith("content-length")]
+    length = int(length_lines[0].split(":")[1]) if length_lines else 0
+    return head, await reader.readexactly(length)
 
 
 async def small_buffer_connection(ip, port):
@@ -75,55 +75,59 @@
     return await asyncio.open_connection(sock=sock, limit=16 * 1024)
 
 
-class TestOrder:
+class TestPipelining:
     """Requests sent behind each other."""
 
-    async def test_answers_come_in_the_order_of_the_requests(
-        self, listener, answers
+    async def test_responses_keep_the_order_of_requests(
+        self, listener, recorder
     ):
         """A caller takes the answer to its second request for the first's.
 
         It sends three requests at once; the first takes longest.
         """
-        answers.holds["/1"] = asyncio.Event()
+        recorder.release_events["/1"] = asyncio.Event()
         reader, writer = await connect(listener)
         writer.write(get("/1") + get("/2") + get("/3"))
         await asyncio.sleep(0.05)
-        assert [each.path for each in answers.asked] == ["/1", "/2", "/3"]
-        answers.holds["/1"].set()
-        bodies = [(await answer_of(reader))[1] for _ in range(3)]
+        assert [request.path for request in recorder.requests] == [
+            "/1",
+            "/2",
+            "/3",
+        ]
+        recorder.release_events["/1"].set()
+        bodies = [(await read_response(reader))[1] for _ in range(3)]
         assert bodies == [b"/1", b"/2", b"/3"]
         writer.close()
 
-    async def test_nothing_behind_a_closing_request_is_read(
-        self, listener, answers
+    async def test_requests_after_connection_close_are_ignored(
+        self, listener, recorder
     ):
         reader, writer = await connect(listener)
         writer.write(get("/1", "Connection: close\r\n") + get("/2"))
-        head, _ = await answer_of(reader)
+        head, _ = await read_response(reader)
         assert "connection: close" in head.lower()
         assert await reader.read() == b""
-        assert "/2" not in [each.path for each in answers.asked]
+        assert "/2" not in [request.path for request in recorder.requests]
 
-    async def test_a_leaving_node_closes_behind_the_last_answer(
-        self, listener, answers
+    async def test_leaving_listener_closes_after_the_newest_response(
+        self, listener, recorder
     ):
         """A caller sends again what runs already, since its node is stopped.
 
         Two requests are on one connection when the node is told to leave;
         closing behind the first answer would cut the second.
         """
-        answers.holds["/1"] = asyncio.Event()
+        recorder.release_events["/1"] = asyncio.Event()
         reader, writer = await connect(listener)
         writer.write(get("/1") + get("/2"))
         await asyncio.sleep(0.05)
         listener.leaving = True
-        answers.holds["/1"].set()
-        heads = [(await answer_of(reader))[0].lower() for _ in range(2)]
-        closes = ["connection: close" in head for head in heads]
-        assert closes == [False, False]
+        recorder.release_events["/1"].set()
+        heads = [(await read_response(reader))[0].lower() for _ in range(2)]
+        close_headers = ["connection: close" in head for head in heads]
+        assert close_headers == [False, False]
         writer.write(get("/3"))
-        head, body = await answer_of(reader)
+        head, body = await read_response(reader)
         assert body == b"/3"
         assert "connection: close" in head.lower()
 
@@ -131,24 +135,24 @@
 class TestClosing:
     """Connections that the listener ends."""
 
-    async def test_a_slow_second_request_cuts_no_answer(
-        self, listener, answers
+    async def test_timeout_of_second_request_keeps_first_response(
+        self, listener, recorder
     ):
         """A caller loses the answer to a request that runs, for a later one."""
         listener.limits.read_timeout = 0.1
-        answers.holds["/1"] = asyncio.Event()
+        recorder.release_events["/1"] = asyncio.Event()
         reader, writer = await connect(listener)
         writer.write(get("/1"))
         await asyncio.sleep(0.05)
         writer.write(b"GET /2 HTT")
         await asyncio.sleep(0.2 + leanserver.SWEEP_SECONDS)
-        answers.holds["/1"].set()
-        _, body = await answer_of(reader)
+        recorder.release_events["/1"].set()
+        _, body = await read_response(reader)
         assert body == b"/1"
         assert await reader.read() == b""
-        assert answers.cancelled == []
+        assert recorder.cancelled_paths == []
 
-    async def test_a_slow_last_request_is_given_up(self, listener):
+    async def test_slow_body_times_out(self, listener):
         """A sender of one byte now and then holds a connection for ever."""
         listener.limits.read_timeout = 0.1
         reader, writer = await connect(listener)
@@ -158,57 +162,57 @@
             assert await reader.read() == b""
         writer.close()
 
-    async def test_bytes_behind_the_last_request_cut_no_answer(self, answers):
+    async def test_unread_input_does_not_reset_the_response(self, recorder):
         """A reset for bytes that nobody reads destroys the answer before it."""
 
-        async def handle(request, client):
-            await answers.handle(request, client)
+        async def handle(request, connection):
+            await recorder.handle(request, connection)
             return leanhttp.Response(status=200, body=bytes(8_000_000))
 
-        made = leanserver.Listener(LOOPBACK, handle, leanserver.Limits())
-        await made.start()
-        reader, writer = await connect(made)
+        listener = leanserver.Listener(LOOPBACK, handle, leanserver.Limits())
+        await listener.start()
+        reader, writer = await connect(listener)
         writer.write(get("/1", "Connection: close\r\n"))
         await asyncio.sleep(0.1)
         writer.write(get("/2"))
         await asyncio.sleep(0.1)
-        _, body = await answer_of(reader)
+        _, body = await read_response(reader)
         assert len(body) == 8_000_000
-        assert [each.path for each in answers.asked] == ["/1"]
+        assert [request.path for request in recorder.requests] == ["/1"]
         writer.close()
-        await made.close()
+        await listener.close()
 
-    @pytest.mark.parametrize(("seconds", "not_taken"), [(20, 0), (0.1, 1)])
-    async def test_a_listener_waits_for_its_readers_within_a_bound(
-        self, seconds, not_taken
+    @pytest.mark.parametrize(("seconds", "undelivered"), [(20, 0), (0.1, 1)])
+    async def test_close_waits_for_slow_readers_up_to_a_limit(
+        self, seconds, undelivered
     ):
         """An answer that is being read is cut when its process ends."""
 
-        async def handle(request, client):
-            del request, client
+        async def handle(request, connection):
+            del request, connection
             return leanhttp.Response(status=200, body=bytes(8_000_000))
 
-        made = leanserver.Listener(LOOPBACK, handle, leanserver.Limits())
-        await made.start()
-        reader, writer = await small_buffer_connection(*made.address)
+        listener = leanserver.Listener(LOOPBACK, handle, leanserver.Limits())
+        await listener.start()
+        reader, writer = await small_buffer_connection(*listener.address)
         writer.write(get("/1"))
         await asyncio.sleep(0.1)
-        closing = asyncio.create_task(made.close(seconds))
+        closing = asyncio.create_task(listener.close(seconds))
         await asyncio.sleep(0.5)
-        if not not_taken:
-            _, body = await answer_of(reader)
+        if not undelivered:
+            _, body = await read_response(reader)
             assert len(body) == 8_000_000
-        assert await closing == not_taken
+        assert await closing == undelivered
         writer.close()
 
-    async def test_a_caller_that_never_closes_is_closed(
+    async def test_half_closed_connection_is_closed_after_a_timeout(
         self, listener, monkeypatch
     ):
         """Connections that were ended use up those that a listener takes."""
         monkeypatch.setattr(leanserver, "HALF_CLOSE_SECONDS", 0.05)
         reader, writer = await connect(listener)
         writer.write(get("/1", "Connection: close\r\n"))
-        await answer_of(reader)
+        await read_response(reader)
         await asyncio.sleep(0.2)
         assert not listener.connections
         writer.close()
@@ -217,31 +221,34 @@
 class TestBodies:
     """Bodies of requests."""
 
-    async def test_length_and_chunks(self, listener, answers):
+    async def test_content_length_and_chunked_bodies(self, listener, recorder):
         reader, writer = await connect(listener)
         head = b"POST /p HTTP/1.1\r\nHost: h\r\n"
         writer.write(head + b"Content-Length: 5\r\n\r\nhel")
         await asyncio.sleep(0.02)
-        assert answers.asked == []
+        assert recorder.requests == []
         writer.write(b"lo")
-        await answer_of(reader)
+        await read_response(reader)
         chunks = b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         writer.write(head + chunks)
-        await answer_of(reader)
-        assert [each.body for each in answers.asked] == [b"hello", b"abcde"]
+        await read_response(reader)
+        assert [request.body for request in recorder.requests] == [
+            b"hello",
+            b"abcde",
+        ]
         writer.close()
 
-    async def test_one_that_is_too_long(self, listener, answers):
+    async def test_body_above_the_limit_is_rejected(self, listener, recorder):
         reader, writer = await connect(listener)
         writer.write(
             b"POST /p HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\nx"
         )
-        head, _ = await answer_of(reader)
+        head, _ = await read_response(reader)
         assert " 413 " in head
         assert await reader.read() == b""
-        assert answers.asked == []
+        assert recorder.requests == []
 
-    async def test_expect(self, listener, answers):
+    async def test_expect_100_continue(self, listener, recorder):
         reader, writer = await connect(listener)
         writer.write(
             b"POST /p HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n"
@@ -249,11 +256,11 @@
         )
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
         writer.write(b"ab")
-        assert (await answer_of(reader))[1] == b"/p"
+        assert (await read_response(reader))[1] == b"/p"
         writer.close()
 
 
-class TestBadInput:
+class TestMalformedInput:
     """What is no request."""
 
     @pytest.mark.parametrize(
@@ -267,27 +274,31 @@
             b"zz\r\n",
         ],
     )
-    async def test_is_answered_400_and_closed(self, listener, answers, data):
+    async def test_gets_status_400_and_is_closed(
+        self, listener, recorder, data
+    ):
         reader, writer = await connect(listener)
         writer.write(data)
-        head, _ = await answer_of(reader)
+        head, _ = await read_response(reader)
         assert " 400 " in head
         assert await reader.read() == b""
-        assert answers.asked == []
+        assert recorder.requests == []
         writer.close()
 
-    async def test_a_head_that_is_too_long(self, listener, answers):
+    async def test_header_above_the_limit_gets_status_431(
+        self, listener, recorder
+    ):
         reader, writer = await connect(listener)
         writer.write(get("/", f"X: {'x' * 20_000}\r\n"))
-        head, _ = await answer_of(reader)
+        head, _ = await read_response(reader)
         assert " 431 " in head
         writer.close()
 
 
-class TestLeaving:
+class TestConnectionEnd:
     """Callers that go, and listeners that close."""
 
-    async def test_a_connection_that_ended_leaves_no_cycle(self, listener):
+    async def test_closed_connection_leaves_no_reference_cycle(self, listener):
         """Guards against memory that only the collector gives back."""
         gc.collect()
         gc.disable()
@@ -295,7 +306,7 @@
             for _ in range(20):
                 reader, writer = await connect(listener)
                 writer.write(get("/1"))
-                await answer_of(reader)
+                await read_response(reader)
                 writer.close()
                 await writer.wait_closed()
             await asyncio.sleep(0.05)
@@ -308,37 +319,35 @@
         finally:
             gc.enable()
 
-    async def test_a_caller_that_goes_is_given_up(self, listener, answers):
-        answers.holds["/1"] = asyncio.Event()
+    async def test_disconnect_cancels_the_handler(self, listener, recorder):
+        recorder.release_events["/1"] = asyncio.Event()
         _, writer = await connect(listener)
         writer.write(get("/1"))
         await asyncio.sleep(0.02)
         writer.close()
         await asyncio.sleep(0.05)
-        assert answers.cancelled == ["/1"]
+        assert recorder.cancelled_paths == ["/1"]
 
-    async def test_an_idle_connection_is_closed(self, listener):
+    async def test_idle_connection_is_closed(self, listener):
         listener.limits.idle_timeout = 0.01
         reader, _ = await connect(listener)
         async with asyncio.timeout(5):
             assert await reader.read() == b""
 
-    async def test_a_request_that_never_ends_is_given_up(
-        self, listener, answers
-    ):
+    async def test_incomplete_head_times_out(self, listener, recorder):
         listener.limits.read_timeout = 0.01
         reader, writer = await connect(listener)
         writer.write(b"GET /slow HTT")
         async with asyncio.timeout(5):
             assert await reader.read() == b""
-        assert answers.asked == []
+        assert recorder.requests == []
 
-    async def test_a_long_answer_is_no_slow_request(self, listener, answers):
+    async def test_slow_handler_is_no_read_timeout(self, listener, recorder):
         listener.limits.read_timeout = 0.01
-        answers.holds["/1"] = asyncio.Event()
+        recorder.release_events["/1"] = asyncio.Event()
         reader, writer = await connect(listener)
         writer.write(get("/1"))
         await asyncio.sleep(leanserver.SWEEP_SECONDS * 1.5)
-        answers.holds["/1"].set()
-        assert (await answer_of(reader))[1] == b"/1"
+        recorder.release_events["/1"].set()
+        assert (await read_response(reader))[1] == b"/1"
         writer.close()
