--- a/tests/platformfakes.py
+++ b/tests/platformfakes.py
@@ -1,7 +1,7 @@
-"""The real programs on loopback, as the platform would start them.
+"""Runs the real programs on loopback, started as the platform starts them.
 
-Every host has an IP number of its own in 127.0.0.0/8, so that all use the same
-ports, as they do on the platform.
+Every host has its own IP address in 127.0.0.0/8, so that all hosts use the
+same ports, as they do on the platform.
 """
 
 import asyncio
@@ -15,9 +15,10 @@
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-PEER, OUTSIDE, READY, BEATS, OPERATOR, BACKEND = range(7620, 7626)
+PEER, OUTSIDE, READY, HEARTBEATS, OPERATOR, BACKEND = range(7620, 7626)
+"""Ports of the listeners, the same on every host."""
 WAIT_SECONDS = 20.0
-"""Longest wait for something that a busy machine is slow to do."""
+"""Maximum wait in seconds, long enough for a busy machine."""
 
 CONTROL_SETTINGS = """[host]
 name = c{number}
@@ -42,7 +43,7 @@
 local = 127.0.0.1:1
 peer = {ip}:{PEER}
 ready = {ip}:{READY}
-heartbeats = {ip}:{BEATS}
+heartbeats = {ip}:{HEARTBEATS}
 [control]
 hosts = {seeds}
 seeds = {seeds}
@@ -63,7 +64,7 @@
 
 @dataclasses.dataclass
 class Response:
-    """One HTTP answer."""
+    """An HTTP response."""
 
     status: int
     head: str
@@ -71,7 +72,7 @@
 
 
 async def send_request(ip, port, data):
-    """Returns the answer to a request; status 0 says why none came."""
+    """Returns the response to a request; status 0 with the error if none."""
     try:
         async with asyncio.timeout(3):
             reader, writer = await asyncio.open_connection(ip, port)
@@ -84,7 +85,7 @@
 
 
 async def read_response(reader):
-    """Returns the next answer of a connection."""
+    """Returns the next response on a connection."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
     length = int(head.partition("content-length: ")[2].split()[0])
     status = int(head.split()[1])
@@ -102,7 +103,7 @@
 
 
 async def call_rpc(ip, port, call, body, subject="", base=None):
-    """Returns the answer to a call by name."""
+    """Returns the response to an RPC of the platform."""
     data = json.dumps(body).encode()
     extra_headers = f"X-Mangobay-Base-Version: {base}\r\n" if base else ""
     head = (
@@ -147,7 +148,7 @@
 
 
 class BackendServer:
-    """Answers every request after a while; counts the runs of each id."""
+    """Responds to each request after a delay; counts runs by attempt id."""
 
     def __init__(self, ip, service, delay_seconds=0.02):
         self.ip = ip
@@ -176,7 +177,7 @@
             "status": {"state": self.state, "sequence": self.sequence},
         }
         call = "instances.heartbeat"
-        return await call_rpc(self.ip, BEATS, call, body, f"i-{self.ip}")
+        return await call_rpc(self.ip, HEARTBEATS, call, body, f"i-{self.ip}")
 
     async def serve(self, reader, writer):
         try:
@@ -198,7 +199,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
         except asyncio.CancelledError:
-            # The test is over; asyncio would log what it means by that.
+            # The test has ended; asyncio would log the cancellation.
             return
 
     async def close(self):
@@ -207,18 +208,18 @@
 
 
 class Caller:
-    """One connection of a caller, kept open."""
+    """A caller's connection that stays open."""
 
     def __init__(self, reader, writer):
         self.reader = reader
         self.writer = writer
 
     def send(self, service, attempt_id, milliseconds=8000):
-        """Sends a request without waiting for what comes before it."""
+        """Sends a request without waiting for earlier responses."""
         self.writer.write(request_bytes(service, attempt_id, milliseconds))
 
     async def read_response(self):
-        """Returns the next answer; status 0 says why none came."""
+        """Returns the next response; status 0 with the error if none."""
         try:
             async with asyncio.timeout(WAIT_SECONDS):
                 return await read_response(self.reader)
@@ -227,11 +228,11 @@
 
 
 class Fleet:
-    """Control hosts and nodes; every process started here is ended here."""
+    """Control hosts and nodes; stops every process that it starts."""
 
     def __init__(self, folder, seeds=3, voters=5):
         self.folder = folder
-        # Runs of the tests side by side must not share IP numbers.
+        # Test runs at the same time must not share IP addresses.
         self.second_octet = random.SystemRandom().randrange(1, 250)
         self.third_octet = random.SystemRandom().randrange(1, 250)
         self.voters = voters
@@ -255,7 +256,7 @@
         if not path.exists() or values:
             ports = {
                 key: globals()[key]
-                for key in ("PEER", "OUTSIDE", "READY", "BEATS")
+                for key in ("PEER", "OUTSIDE", "READY", "HEARTBEATS")
                 + ("OPERATOR", "BACKEND")
             }
             text = template.format(
@@ -295,11 +296,11 @@
         return backend
 
     def restart(self, name, program):
-        """Starts a process again with the settings it had."""
+        """Starts a process again with its previous settings."""
         self.start(name, "", program)
 
     async def stop(self, name, signal_number=signal.SIGTERM):
-        """Ends a process; returns its exit code."""
+        """Sends a signal to a process; returns its exit code."""
         process = self.processes[name]
         process.send_signal(signal_number)
         return await asyncio.to_thread(process.wait, WAIT_SECONDS)
@@ -326,7 +327,7 @@
         )
 
     async def describe_config(self, number):
-        """Reads the configuration back at a control host."""
+        """Reads the configuration from a control host."""
         return await call_rpc(self.ip(number), OPERATOR, "config.describe", {})
 
     async def request(self, number, service, attempt_id, milliseconds=2000):
@@ -335,11 +336,11 @@
         return await send_request(self.ip(number), OUTSIDE, data)
 
     async def connect(self, number):
-        """Returns a caller's connection to a node, to be kept open."""
+        """Returns a caller's connection to a node."""
         return Caller(*await asyncio.open_connection(self.ip(number), OUTSIDE))
 
     async def ready(self, number):
-        """Returns whether a node says that it is ready."""
+        """Returns whether a node reports that it is ready."""
         response = await send_request(
             self.ip(number), READY, b"GET /-/readyz HTTP/1.1\r\nHost: x\r\n\r\n"
         )
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""What the gateway makes of a call that a backend server makes."""
+"""Child calls and shutdown at the gateway of a routed node."""
 
 import asyncio
 import random
@@ -32,7 +32,7 @@
 
 
 class FakeDispatcher:
-    """Runs calls at one service below, which has a few slots."""
+    """Runs calls at one downstream service, which has a few slots."""
 
     def __init__(self):
         self.admission = admission.AdmissionController(
@@ -65,7 +65,7 @@
 
 
 class GatewayHarness:
-    """A gateway beside a backend server that makes calls of its own."""
+    """A gateway beside a backend server that makes child calls."""
 
     def __init__(self):
         self.dispatcher = FakeDispatcher()
@@ -97,7 +97,7 @@
         self.gateway.table = routes.Table(document)
 
     async def call(self, attempt_id):
-        """Returns the status of a call of the backend server."""
+        """Returns the status of a call made by the backend server."""
         headers = {
             "Host": "below.example",
             words.HEADER_NAMES.backend.attempt_id: attempt_id,
@@ -110,7 +110,7 @@
         return response.status
 
     async def run(self, attempt_id, importance):
-        """Runs a request that needs some calls; returns whether all came."""
+        """Runs a request with child calls; returns whether all succeeded."""
         self.parents[attempt_id] = calls.Parent(
             call=messages.Call(
                 importance=importance, tree=f"tree-{attempt_id}"
@@ -131,7 +131,7 @@
 
 @pytest.mark.looptime
 class TestChildCalls:
-    """Calls that a running request makes."""
+    """Calls that a running request makes to other services."""
 
     async def test_child_call_inherits_importance_tree_and_depth(self):
         harness = GatewayHarness()
@@ -145,10 +145,10 @@
         assert {request.depth for request in harness.dispatcher.requests} == {1}
 
     async def test_waiting_for_child_calls_is_not_service_time(self):
-        """A backend server seems to slow down as the services below do.
+        """A backend server seems to slow down when downstream services do.
 
-        Its runs last longer, and taken for its own time that would lower the
-        number of runs that it is given, though its slots are only held.
+        Its runs take longer.  If that counted as its own service time, its
+        concurrency limit would fall although its slots only wait.
         """
         harness = GatewayHarness()
         task = asyncio.create_task(harness.run("a1", CRITICAL))
@@ -170,11 +170,12 @@
         assert importances == {messages.Importance.HIGH}
 
     async def test_critical_requests_complete_while_downstream_is_full(self):
-        """Bookings fail half-way while the service below serves others.
+        """Bookings fail half-way while the downstream service serves others.
 
         Bookings and readers each need four calls of a service that has slots
-        for two thirds of them.  All these calls go over one route: by its rank
-        alone, the calls of bookings are refused as often as those of readers.
+        for two thirds of them.  All these calls use one route.  By the route's
+        importance alone, the calls of bookings would be refused as often as
+        those of readers.
         """
         harness = GatewayHarness()
         tasks_by_importance = {CRITICAL: [], NORMAL: []}
@@ -203,7 +204,7 @@
     """Requests to a node that was told to stop."""
 
     async def test_new_requests_are_refused_after_linger(self):
-        """A request taken last is cut when the process ends."""
+        """A request accepted too late is cut when the process ends."""
         harness = GatewayHarness()
         now = asyncio.get_running_loop().time()
         harness.schedule.start(now, grace=6, linger=2)
@@ -213,7 +214,7 @@
         assert len(harness.dispatcher.requests) == 1
 
     async def test_child_calls_are_accepted_after_linger(self):
-        """A run that was taken in time fails, since its calls are refused."""
+        """A request accepted in time fails because its calls are refused."""
         harness = GatewayHarness()
         now = asyncio.get_running_loop().time()
         harness.schedule.start(now, grace=6, linger=2)
--- a/tests/test_httpparse.py
+++ b/tests/test_httpparse.py
@@ -24,15 +24,15 @@
 
 
 MALFORMED_REQUESTS = {
-    "a line feed alone": b"GET / HTTP/1.1\nHost: h\n\n",
-    "a line feed alone behind a field": b"GET / HTTP/1.1\r\nHost: h\n\r\n",
+    "a bare line feed": b"GET / HTTP/1.1\nHost: h\n\n",
+    "a bare line feed after a header": b"GET / HTTP/1.1\r\nHost: h\n\r\n",
     "a space before the colon": request(b"Host : h\r\n"),
-    "a folded field": request(HOST + b"X: a\r\n b\r\n"),
-    "a first field behind a space": request(b" Host: h\r\n"),
-    "a field without a name": request(HOST + b": a\r\n"),
-    "a field without a colon": request(HOST + b"X\r\n"),
+    "a folded header": request(HOST + b"X: a\r\n b\r\n"),
+    "a space before the first header": request(b" Host: h\r\n"),
+    "a header without a name": request(HOST + b": a\r\n"),
+    "a header without a colon": request(HOST + b"X\r\n"),
     "a zero byte": request(HOST + b"X: a\x00b\r\n"),
-    "a name that is no token": request(HOST + b"X\xe9: a\r\n"),
+    "a header name that is no token": request(HOST + b"X\xe9: a\r\n"),
     "no Host": request(b""),
     "two Hosts": request(HOST + HOST),
     "two lengths": request(
@@ -46,7 +46,9 @@
     "a length that overflows": request(
         HOST + b"Content-Length: " + b"9" * 30 + b"\r\n"
     ),
-    "length and chunks": request(CHUNKED + b"Content-Length: 3\r\n", b"0\r\n"),
+    "length and chunked coding": request(
+        CHUNKED + b"Content-Length: 3\r\n", b"0\r\n"
+    ),
     "a coding that is not chunked": request(
         HOST + b"Transfer-Encoding: gzip\r\n", b"0\r\n\r\n"
     ),
@@ -64,19 +66,19 @@
     "a negative chunk size": request(CHUNKED, b"-1\r\nabc\r\n"),
     "a chunk size that overflows": request(CHUNKED, b"f" * 18 + b"\r\n"),
     "a chunk that is too long": request(CHUNKED, b"3\r\nabcd\r\n0\r\n\r\n"),
-    "a chunk line with a line feed alone": request(CHUNKED, b"3\nabc\r\n"),
+    "a chunk line with a bare line feed": request(CHUNKED, b"3\nabc\r\n"),
     "an unknown method": request(line=b"FOO / HTTP/1.1"),
-    "a method in small letters": request(line=b"get / HTTP/1.1"),
+    "a method in lower case": request(line=b"get / HTTP/1.1"),
     "a target with a space": request(line=b"GET /a b HTTP/1.1"),
     "a target with a control byte": request(line=b"GET /\x01 HTTP/1.1"),
     "a target that is no path": request(line=b"GET * HTTP/1.1"),
     "a tunnel": request(line=b"CONNECT h:1 HTTP/1.1"),
-    "words behind the version": request(line=b"GET / HTTP/1.1x"),
+    "text after the version": request(line=b"GET / HTTP/1.1x"),
 }
 
 
 class TestStrictness:
-    """What is refused, so that nothing is smuggled past this parser."""
+    """Input that is rejected to prevent request smuggling."""
 
     @pytest.mark.parametrize(
         "data", MALFORMED_REQUESTS.values(), ids=MALFORMED_REQUESTS
@@ -88,7 +90,7 @@
         assert parser.feed(request()) == []
 
     def test_trailers_are_not_headers(self):
-        """Guards against fields that are set behind the body."""
+        """A header is set by a trailer, after it was checked."""
         (message,), parser = parse(
             request(CHUNKED, b"3\r\nabc\r\n0\r\nX-Caller: y\r\n\r\n")
         )
@@ -106,7 +108,7 @@
 
 
 class TestLimits:
-    """How long a head may be."""
+    """Limits on the size of a head."""
 
     def test_header_above_the_limit(self):
         _, parser = parse(request(HOST + b"X: " + b"x" * LINE_BYTES + b"\r\n"))
@@ -127,7 +129,7 @@
         assert parser.error.status == 431
 
     def test_unterminated_line_above_the_limit(self):
-        """Guards against memory that a caller fills byte by byte."""
+        """A caller fills the memory byte by byte with a line without end."""
         chunks = [b"GET / HTTP/1.1\r\nX: "] + [b"x"] * LINE_BYTES
         _, parser = parse(*chunks)
         assert parser.error.status == 431
@@ -142,7 +144,7 @@
 
 
 class TestFragmentation:
-    """Bytes come in any pieces."""
+    """Messages received in arbitrary pieces."""
 
     STREAM = (
         request(HOST + b"Content-Length: 5\r\n", b"hello")
@@ -178,7 +180,7 @@
 
 
 class TestResponses:
-    """Messages of backend servers."""
+    """Responses of backend servers."""
 
     def parse_response(self, data):
         """Returns the message in the bytes, and the parser."""
--- a/tests/test_leanclient.py
+++ b/tests/test_leanclient.py
@@ -1,4 +1,4 @@
-"""Lean connections to a backend server, one of which misbehaves."""
+"""The lean HTTP client against a scripted, partly faulty backend server."""
 
 import asyncio
 import socket
@@ -21,9 +21,9 @@
 
 
 class ScriptedBackendServer:
-    """Answers by a script: bytes to send, None to close, RESET to reset.
+    """Responds by a script: bytes to send, None to close, RESET to reset.
 
-    `{id}` in the bytes stands for the id of the request.
+    `{id}` in the bytes is replaced by the attempt id of the request.
     """
 
     RESET = "reset"
@@ -68,7 +68,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             return
         except asyncio.CancelledError:
-            # The test is over; asyncio would log what it means by that.
+            # The test has ended; asyncio would log the cancellation.
             return
 
     async def send(
@@ -89,7 +89,7 @@
 
 
 def response_bytes(body=b"hello", extra=b""):
-    """Returns an answer that names its request."""
+    """Returns a complete response with the placeholder of the attempt id."""
     length = str(len(body)).encode()
     return (
         b"HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSignature: s\r\n"
@@ -102,7 +102,7 @@
 
 
 class TestResponses:
-    """Whole answers, and what only looks like one."""
+    """Complete, interim, incomplete and duplicate responses."""
 
     async def test_complete_responses_reuse_the_connection(self):
         async with ScriptedBackendServer(
@@ -128,9 +128,9 @@
             assert (await server.send()).body == b"all"
 
     async def test_response_without_length_cut_by_reset_fails(self):
-        """A caller gets half of an answer and takes it for the whole.
+        """A caller takes half of a response for the complete one.
 
-        The answer tells no length, and its connection is reset on the way.
+        The response has no length, and its connection is reset on the way.
         """
         head = b"HTTP/1.1 200 OK\r\nAttempt: {id}\r\nSignature: s\r\n\r\n"
         script = [head, b"half", ScriptedBackendServer.RESET]
@@ -154,10 +154,10 @@
             assert server.attempt.sent
 
     async def test_duplicate_response_is_not_taken_for_the_next(self):
-        """A caller gets the answer to somebody else's request.
+        """A caller gets the response to another caller's request.
 
-        A backend server answers a request twice; the second answer arrives
-        when the next request on the connection waits for its own.
+        A backend server responds to a request twice.  The duplicate arrives
+        while the next request on the connection awaits its response.
         """
         first_response = [response_bytes(b"one")]
         duplicate_then_second = [
@@ -191,7 +191,7 @@
 
 
 class TestConnections:
-    """Which connection carries a request."""
+    """Reuse, failure and closing of connections."""
 
     async def test_connection_close_prevents_reuse(self):
         close_header = b"Connection: close\r\n"
@@ -205,10 +205,10 @@
     async def test_non_idempotent_request_avoids_a_long_idle_connection(
         self, monkeypatch
     ):
-        """A booking is answered 502, though it may never have run.
+        """A booking gets status 502 although it may never have run.
 
-        The backend server forgets an idle connection without a word, just as
-        the booking is sent over it.
+        The backend server silently drops an idle connection just when the
+        booking is sent over it.
         """
         monkeypatch.setattr(backend, "NON_IDEMPOTENT_REUSE_SECONDS", 0.0)
         async with ScriptedBackendServer(
--- a/tests/test_leanserver.py
+++ b/tests/test_leanserver.py
@@ -1,4 +1,4 @@
-"""The lean HTTP listener, by what callers see on their sockets."""
+"""The lean HTTP server, tested through the sockets of callers."""
 
 import asyncio
 import gc
@@ -12,7 +12,7 @@
 
 
 class RecordingHandler:
-    """Answers each path when told to, and notes what was asked."""
+    """Records requests; delays those to paths that have a release event."""
 
     def __init__(self):
         self.requests: list[leanhttp.Request] = []
@@ -53,12 +53,12 @@
 
 
 def get(path, extra=""):
-    """Returns the bytes of a GET."""
+    """Returns the bytes of a GET request."""
     return f"GET {path} HTTP/1.1\r\nHost: h\r\n{extra}\r\n".encode()
 
 
 async def read_response(reader):
-    """Returns head and body of the next answer."""
+    """Returns the head and the body of the next response."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     lines = head.lower().split("\r\n")
     length_lines = [line for line in lines if line.startswith("content-length")]
@@ -67,7 +67,7 @@
 
 
 async def small_buffer_connection(ip, port):
-    """Returns a connection whose kernel takes little that is not read."""
+    """Returns a connection with a small kernel receive buffer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16 * 1024)
     sock.setblocking(False)
@@ -76,14 +76,14 @@
 
 
 class TestPipelining:
-    """Requests sent behind each other."""
+    """Several requests sent on one connection without waiting."""
 
     async def test_responses_keep_the_order_of_requests(
         self, listener, recorder
     ):
-        """A caller takes the answer to its second request for the first's.
+        """A caller takes the response to its second request for the first.
 
-        It sends three requests at once; the first takes longest.
+        It sends three requests at once, and the first takes longest.
         """
         recorder.release_events["/1"] = asyncio.Event()
         reader, writer = await connect(listener)
@@ -112,10 +112,10 @@
     async def test_leaving_listener_closes_after_the_newest_response(
         self, listener, recorder
     ):
-        """A caller sends again what runs already, since its node is stopped.
+        """A caller resends a request that already runs on a stopped node.
 
-        Two requests are on one connection when the node is told to leave;
-        closing behind the first answer would cut the second.
+        Two requests are open on one connection when the node is told to leave.
+        Closing after the first response would cut the second.
         """
         recorder.release_events["/1"] = asyncio.Event()
         reader, writer = await connect(listener)
@@ -133,12 +133,12 @@
 
 
 class TestClosing:
-    """Connections that the listener ends."""
+    """Connections that the listener closes."""
 
     async def test_timeout_of_second_request_keeps_first_response(
         self, listener, recorder
     ):
-        """A caller loses the answer to a request that runs, for a later one."""
+        """A slow second request costs the caller the first one's response."""
         listener.limits.read_timeout = 0.1
         recorder.release_events["/1"] = asyncio.Event()
         reader, writer = await connect(listener)
@@ -153,7 +153,7 @@
         assert recorder.cancelled_paths == []
 
     async def test_slow_body_times_out(self, listener):
-        """A sender of one byte now and then holds a connection for ever."""
+        """A caller that sends byte by byte holds a connection forever."""
         listener.limits.read_timeout = 0.1
         reader, writer = await connect(listener)
         head = b"POST /1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
@@ -163,7 +163,7 @@
         writer.close()
 
     async def test_unread_input_does_not_reset_the_response(self, recorder):
-        """A reset for bytes that nobody reads destroys the answer before it."""
+        """A reset caused by unread input discards the response before it."""
 
         async def handle(request, connection):
             await recorder.handle(request, connection)
@@ -186,7 +186,7 @@
     async def test_close_waits_for_slow_readers_up_to_a_limit(
         self, seconds, undelivered
     ):
-        """An answer that is being read is cut when its process ends."""
+        """A response that is still being read is cut when the process ends."""
 
         async def handle(request, connection):
             del request, connection
@@ -208,7 +208,7 @@
     async def test_half_closed_connection_is_closed_after_a_timeout(
         self, listener, monkeypatch
     ):
-        """Connections that were ended use up those that a listener takes."""
+        """Half-closed connections use up the listener's connection limit."""
         monkeypatch.setattr(leanserver, "HALF_CLOSE_SECONDS", 0.05)
         reader, writer = await connect(listener)
         writer.write(get("/1", "Connection: close\r\n"))
@@ -219,7 +219,7 @@
 
 
 class TestBodies:
-    """Bodies of requests."""
+    """Request bodies."""
 
     async def test_content_length_and_chunked_bodies(self, listener, recorder):
         reader, writer = await connect(listener)
@@ -261,7 +261,7 @@
 
 
 class TestMalformedInput:
-    """What is no request."""
+    """Bytes that are not a valid request."""
 
     @pytest.mark.parametrize(
         "data",
@@ -296,10 +296,10 @@
 
 
 class TestConnectionEnd:
-    """Callers that go, and listeners that close."""
+    """Callers that disconnect, and connections that time out."""
 
     async def test_closed_connection_leaves_no_reference_cycle(self, listener):
-        """Guards against memory that only the collector gives back."""
+        """Memory of closed connections is only freed by the cycle collector."""
         gc.collect()
         gc.disable()
         try:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: what it reads, and that nobody else knows its words."""
+"""The platform adapter: its formats, and that only it knows them."""
 
 import json
 import pathlib
@@ -19,7 +19,7 @@
 
 
 def configuration(**changes):
-    """Returns a configuration as the platform writes it."""
+    """Returns a configuration in the platform's format."""
     columns = [
         "name",
         "hostname",
@@ -56,7 +56,7 @@
 
 
 def configuration_with_cell(column, value):
-    """Returns a configuration whose first route has another cell."""
+    """Returns a configuration with another cell in its first route."""
     config = configuration()
     table = config["routes"]
     table["rows"][0][table["columns"].index(column)] = value
@@ -64,7 +64,7 @@
 
 
 class TestDocuments:
-    """Configurations."""
+    """Parsing and checking of configurations."""
 
     def test_valid_configuration(self):
         document = documents.decode(json.dumps(configuration()).encode())
@@ -154,7 +154,7 @@
 
 
 def rpc_request(call, subject, body):
-    """Returns a call by name."""
+    """Returns a request for an RPC of the platform."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     return leanhttp.Request(
         method="POST",
@@ -166,7 +166,7 @@
 
 
 class FakeLocalServices:
-    """Notes what is announced."""
+    """Records the current announcement."""
 
     def __init__(self):
         self.announcement = None
@@ -180,7 +180,7 @@
 
 
 class TestRoutes:
-    """How requests are matched with routes."""
+    """Matching of requests with routes."""
 
     def setup_method(self):
         self.table = routes.Table(documents.document_of(configuration()))
@@ -207,7 +207,7 @@
 
 
 class TestHeartbeats:
-    """Heartbeats of the backend server, and of others."""
+    """Heartbeats of current, former and foreign backend servers."""
 
     def setup_method(self):
         self.local_services = FakeLocalServices()
@@ -247,10 +247,10 @@
         assert await self.send(call) == 400
 
     async def test_stale_heartbeat_is_acknowledged_and_ignored(self):
-        """The backend server drains, and still gets requests.
+        """A draining backend server still gets requests.
 
-        Its last heartbeat before that was held back on the way and arrives
-        behind the one that says it drains.
+        A heartbeat from before it drained was delayed and arrives after the
+        one that reports draining.
         """
         await self.send(heartbeat())
         status = {"state": "draining", "sequence": 5, "cold_remaining": "0ms"}
@@ -259,10 +259,10 @@
         assert self.local_services.announcement is None
 
     async def test_heartbeat_of_a_former_incarnation_is_ignored(self):
-        """Requests go to a backend server that crashed.
+        """Requests are sent to a backend server that crashed.
 
-        A cut holds its heartbeat back; it crashes, another one starts at the
-        address, and then the old heartbeat arrives.
+        Its heartbeat is delayed by a network failure.  The server crashes,
+        another one starts at the address, and then the old heartbeat arrives.
         """
         old_heartbeat = heartbeat(born=5)
         await self.send(heartbeat(born=9))
@@ -281,7 +281,7 @@
 
 
 class TestBoundary:
-    """What speaks to the platform stays in its folder."""
+    """Platform-specific code stays in the adapter package."""
 
     def test_platform_terms_stay_in_the_adapter(self):
         found = {
