--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -74,8 +74,8 @@
       call_ids_by_attempt: queued and running calls by attempt id.
     """
 
-    def __init__(self, header_names: HeaderNames, *parts):
-        super().__init__(*parts)
+    def __init__(self, header_names: HeaderNames, *args):
+        super().__init__(*args)
         self.header_names = header_names
         self.call_ids_by_attempt: dict[ids.AttemptId, ids.CallId] = {}
 
@@ -84,7 +84,7 @@
         call_id = self.call_ids_by_attempt.get(attempt_id)
         return self.parents.get(call_id) if call_id is not None else None
 
-    async def admit_and_run(self, call: messages.Call, *rest) -> messages.Reply:
+    async def admit_and_run(self, call: messages.Call, *args) -> messages.Reply:
         """Admits a call and runs it at the backend server."""
         header_value = httpheaders.find(
             call.headers, self.header_names.backend.attempt_id
@@ -92,7 +92,7 @@
         attempt_id = ids.AttemptId(header_value)
         self.call_ids_by_attempt[attempt_id] = call.call_id
         try:
-            return await super().admit_and_run(call, *rest)
+            return await super().admit_and_run(call, *args)
         finally:
             self.call_ids_by_attempt.pop(attempt_id, None)
 
