--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -1,4 +1,4 @@
-"""The edge where requests are matched with routes."""
+"""HTTP gateway of a routed node: turns requests into calls by their routes."""
 
 import asyncio
 import dataclasses
@@ -29,22 +29,23 @@
 
 UNTRACED = httpheaders.TraceContext("", "", False)
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses by which callers take a request for one that never ran."""
+"""Statuses from which callers conclude that a request was not run."""
 FIRST_REDIRECT_STATUS = 300
 
 FindParent = typing.Callable[[ids.AttemptId], calls.Parent | None]
+"""Returns the running call of an attempt id, None if it does not run here."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HeaderNames:
-    """The fields that callers and backend servers use.
+    """Names of the headers that callers and backend servers use.
 
     Attributes:
-      backend: in exchanges with backend servers.
-      caller_service: names the service on whose host a request began.
-      target_instance: names the incarnation that alone may run a request.
-      parent_attempt_of: returns the attempt that a call's own id names as the one that
-        it is made for, empty where it names none.
+      backend: headers exchanged with backend servers.
+      caller_service: the service on whose host a request entered.
+      target_instance: the only incarnation that may run a request.
+      parent_attempt_of: returns the id of the parent attempt that is part of
+        the attempt id of a child call, empty if there is none.
     """
 
     backend: leanclient.BackendHeaderNames
@@ -54,7 +55,7 @@
 
     @property
     def system_header_names(self) -> frozenset[str]:
-        """Fields of a request that the system sets itself, lower case."""
+        """Lower-case names of the request headers that only the system sets."""
         return frozenset(
             name.lower()
             for name in (
@@ -66,85 +67,87 @@
 
 
 class RoutedCallExecutor(execution.CallExecutor):
-    """Runs calls at a backend server that speaks in a vocabulary.
+    """Runs calls at a backend server that uses the given header names.
 
     Attributes:
-      header_names: the fields it uses.
-      call_ids_by_attempt: calls that wait or run here, by the attempt that they are of.
+      header_names: names of the headers exchanged with the backend server.
+      call_ids_by_attempt: queued and running calls by attempt id.
     """
 
-    def __init__(self, header_names: HeaderNames, *parts):
-        super().__init__(*parts)
+    def __init__(self, header_names: HeaderNames, *args):
+        super().__init__(*args)
         self.header_names = header_names
         self.call_ids_by_attempt: dict[ids.AttemptId, ids.CallId] = {}
 
-    def find_parent(self, attempt: ids.AttemptId) -> calls.Parent | None:
-        """Returns the run of an attempt at the backend server here."""
-        call_id = self.call_ids_by_attempt.get(attempt)
+    def find_parent(self, attempt_id: ids.AttemptId) -> calls.Parent | None:
+        """Returns the running call of an attempt, None if it does not run."""
+        call_id = self.call_ids_by_attempt.get(attempt_id)
         return self.parents.get(call_id) if call_id is not None else None
 
-    async def admit_and_run(self, call: messages.Call, *rest) -> messages.Reply:
+    async def admit_and_run(self, call: messages.Call, *args) -> messages.Reply:
         """Admits a call and runs it at the backend server."""
-        named = httpheaders.find(
+        header_value = httpheaders.find(
             call.headers, self.header_names.backend.attempt_id
         )
-        attempt = ids.AttemptId(named)
-        self.call_ids_by_attempt[attempt] = call.call_id
+        attempt_id = ids.AttemptId(header_value)
+        self.call_ids_by_attempt[attempt_id] = call.call_id
         try:
-            return await super().admit_and_run(call, *rest)
+            return await super().admit_and_run(call, *args)
         finally:
-            self.call_ids_by_attempt.pop(attempt, None)
+            self.call_ids_by_attempt.pop(attempt_id, None)
 
     def headers(
-        self, call: messages.Call, place: localservices.LocalService
+        self, call: messages.Call, local_service: localservices.LocalService
     ) -> list[messages.Header]:
-        """Returns the fields for the backend server."""
-        words = self.header_names
-        added = [messages.Header(name=words.caller_service, value=call.caller)]
-        if place.announcement.instance:
-            # Its address may by now be another's, or another incarnation may
-            # run there: that one says so and does not run the request.
+        """Returns the headers of the request to the backend server."""
+        names = self.header_names
+        added = [messages.Header(name=names.caller_service, value=call.caller)]
+        if local_service.announcement.instance:
+            # By now another service or another incarnation may run at the
+            # address. It reports the mismatch and does not run the request.
             added.append(
                 messages.Header(
-                    name=words.target_instance,
-                    value=place.announcement.instance,
+                    name=names.target_instance,
+                    value=local_service.announcement.instance,
                 )
             )
         return [*call.headers, *added]
 
     def reply_of(
-        self, answer: backend.Response, running: retryallowance.RunningCall
+        self,
+        response: backend.Response,
+        running_call: retryallowance.RunningCall,
     ) -> messages.Reply:
-        """Returns the reply that says what a backend server answered."""
-        del running
-        if answer.shed:
+        """Returns the reply for a response of the backend server."""
+        del running_call
+        if response.shed:
             return calls.not_run_reply(Reason.BACKEND_SHED)
-        if answer.status in NOT_RUN_STATUSES:
-            # Passed on it would tell the caller that the request never ran,
-            # which only the field of its own says.
+        if response.status in NOT_RUN_STATUSES:
+            # Forwarded, the status would tell the caller that the request was
+            # not run. Only the `not_run` header says that.
             return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
-        signed = httpheaders.find(
-            answer.headers, self.header_names.backend.signature
+        signature = httpheaders.find(
+            response.headers, self.header_names.backend.signature
         )
-        if answer.status < FIRST_REDIRECT_STATUS and not signed:
+        if response.status < FIRST_REDIRECT_STATUS and not signature:
             return calls.unknown_reply(Reason.INCOMPLETE_ANSWER)
         return messages.Reply(
             outcome=Outcome.ANSWERED,
-            status=answer.status,
-            headers=answer.headers,
-            body=answer.body,
-            service_ms=int(answer.seconds * 1000),
+            status=response.status,
+            headers=response.headers,
+            body=response.body,
+            service_ms=int(response.seconds * 1000),
         )
 
 
 class Gateway:
-    """Takes requests of clients and of the backend server on this host.
+    """Accepts requests of clients and of the backend server on this host.
 
     Attributes:
       table: the routes in force; None before the first document.
       caller: the service on this host.
-      find_parent: finds what runs at the backend server here, by attempt.
-      shutdown: when the node takes no more requests.
+      find_parent: returns the running call of an attempt.
+      shutdown: tells when the node stops accepting requests.
     """
 
     def __init__(
@@ -153,41 +156,41 @@
         caller: ids.ServiceName,
         find_parent: FindParent,
         dispatcher: dispatch.Dispatcher,
-        counts: metrics.Metrics,
+        call_metrics: metrics.Metrics,
         log: requestlog.RequestLog,
-        times: shutdown.ShutdownSchedule,
+        schedule: shutdown.ShutdownSchedule,
     ):
         self.header_names = header_names
         self.system_header_names = header_names.system_header_names
         self.caller = ids.CallerName(caller)
         self.find_parent = find_parent
         self.dispatcher = dispatcher
-        self.metrics = counts
+        self.metrics = call_metrics
         self.log = log
-        self.shutdown = times
+        self.shutdown = schedule
         self.table: routes.Table | None = None
 
     async def handle(
-        self, request: leanhttp.Request, client: leanserver.Connection
+        self, request: leanhttp.Request, connection: leanserver.Connection
     ) -> leanhttp.Response:
-        """Answers one request."""
-        attempt = self.attempt_id_of(request)
-        parent = self.parent_of(attempt)
+        """Handles a request; returns its response."""
+        attempt_id = self.attempt_id_of(request)
+        parent = self.parent_of(attempt_id)
         try:
             self.check_accepting(parent)
-            call = self.build_call(request, attempt, client)
+            call = self.build_call(request, attempt_id, connection)
         except calls.RequestError as error:
             reply = calls.not_run_reply(error.reason, error.retry_after)
-            self.log.log_refused(attempt, error, self.table)
+            self.log.log_refused(attempt_id, error, self.table)
             return refusals.from_reply(reply)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         if parent is not None:
             call.inherit_from(parent.call)
-            if not self.shutdown.accepts_work(began):
-                last = self.shutdown.latest_deadline()
-                call.deadline = min(call.deadline, last)
-            parent.running_call.child_started(began)
+            if not self.shutdown.accepts_work(started_at):
+                latest_deadline = self.shutdown.latest_deadline()
+                call.deadline = min(call.deadline, latest_deadline)
+            parent.running_call.child_started(started_at)
         reply = calls.unknown_reply(Reason.CANCELLED)
         try:
             reply = await self.dispatcher.handle(call)
@@ -195,10 +198,10 @@
             now = loop.time()
             if parent is not None:
                 parent.running_call.child_ended(now)
-            seconds = now - began
+            seconds = now - started_at
             self.metrics.ended(call.operation, reply, seconds)
             if not execution.is_success(reply):
-                self.log.log_unanswered(attempt, call, reply, seconds)
+                self.log.log_unanswered(attempt_id, call, reply, seconds)
         if reply.outcome is Outcome.ANSWERED:
             return leanhttp.Response(
                 status=reply.status, headers=reply.headers, body=reply.body
@@ -206,46 +209,61 @@
         return refusals.from_reply(reply)
 
     def check_accepting(self, parent: calls.Parent | None) -> None:
-        """Refuses new requests of a node that is about to end.
+        """Checks that the node still accepts requests.
 
-        A call that a run here makes belongs to work that was taken before.
+        A child call of a call that runs here is always accepted, because it
+        belongs to work that was accepted before the shutdown.
 
         Raises:
-          calls.RequestError: the node takes no more.
+          calls.RequestError: the node is shutting down.
         """
         now = asyncio.get_running_loop().time()
         if parent is None and not self.shutdown.accepts_work(now):
-            ends_in = max(self.shutdown.abort_at - now, 0)
-            raise calls.RequestError(Reason.LEAVING, "the node ends", ends_in)
+            retry_after = max(self.shutdown.abort_at - now, 0)
+            raise calls.RequestError(
+                Reason.LEAVING, "the node is shutting down", retry_after
+            )
 
     def attempt_id_of(self, request: leanhttp.Request) -> ids.AttemptId:
-        """Returns the caller's name of the request, empty without one."""
-        named = request.headers.get(self.header_names.backend.attempt_id, "")
-        return ids.AttemptId(named)
+        """Returns the attempt id of the request, empty if it has none."""
+        header_value = request.headers.get(
+            self.header_names.backend.attempt_id, ""
+        )
+        return ids.AttemptId(header_value)
 
     def build_call(
         self,
         request: leanhttp.Request,
-        attempt: ids.AttemptId,
-        client: leanserver.Connection,
+        attempt_id: ids.AttemptId,
+        connection: leanserver.Connection,
     ) -> calls.Request:
-        """Returns the call that a request asks for.
+        """Returns the call for a request.
 
         Raises:
-          calls.RequestError: it became no call.
+          calls.RequestError: the request is invalid or cannot be routed.
         """
         if self.table is None:
-            raise calls.RequestError(Reason.NO_LEASE, "no routes known yet")
-        found = self.table.find(request.headers.get("Host", ""), request.path)
-        if found is None:
-            raise calls.RequestError(Reason.NO_SUCH_OPERATION, "no route")
-        if not attempt:
-            raise calls.RequestError(Reason.MALFORMED, "no attempt is named")
-        told = self.seconds_left(request)
-        left = min(told, found.route.timeout)
-        operation = found.next_operation(request.method)
+            raise calls.RequestError(
+                Reason.NO_LEASE, "no routes document received yet"
+            )
+        destination = self.table.find(
+            request.headers.get("Host", ""), request.path
+        )
+        if destination is None:
+            raise calls.RequestError(
+                Reason.NO_SUCH_OPERATION, "no route matches host and path"
+            )
+        if not attempt_id:
+            raise calls.RequestError(
+                Reason.MALFORMED, "attempt id header is missing"
+            )
+        caller_timeout = self.seconds_left(request)
+        timeout = min(caller_timeout, destination.route.timeout)
+        operation = destination.next_operation(request.method)
         if operation is None:
-            raise calls.RequestError(Reason.NO_BACKEND, "no part has weight")
+            raise calls.RequestError(
+                Reason.NO_BACKEND, "no service of the route has weight"
+            )
         return calls.Request(
             operation=operation,
             revision=ids.Revision(self.table.document.version),
@@ -255,47 +273,49 @@
             ),
             body=request.body,
             caller=self.caller,
-            client=ids.ClientId(client.remote),
+            client=ids.ClientId(connection.remote),
             importance=operation.importance,
-            depth=int(found.has_spent_time(told)),
-            deadline=asyncio.get_running_loop().time() + left,
+            depth=int(destination.has_spent_time(caller_timeout)),
+            deadline=asyncio.get_running_loop().time() + timeout,
             allowance=retryallowance.RetryAllowance(operation.tries),
             key=ids.IdempotencyKey(""),
             trace=UNTRACED,
             tree=httpheaders.new_tree_id(),
         )
 
-    def parent_of(self, attempt: ids.AttemptId) -> calls.Parent | None:
-        """Returns the run that an attempt is made for, None for no run here.
+    def parent_of(self, attempt_id: ids.AttemptId) -> calls.Parent | None:
+        """Returns the running call that makes an attempt, None if not here.
 
-        The call gets its rank: by its own route, a call for an urgent request
-        waits behind others, or is refused in place of them, and the urgent
-        request fails with all that was done for it.  And the run's time
-        without its calls becomes known.  A wrong guess by what an id names
-        makes no call run twice, nor where it must not.
+        The attempt inherits the importance and depth of that parent call.  By
+        those of its own route, a child call of an urgent request would wait
+        behind other calls, or be refused in place of them, and the urgent
+        request would fail with all the work done for it.  The parent also
+        makes it possible to measure the time of the run without its child
+        calls.  If the id names a wrong parent, no call runs twice, or where it
+        must not.
         """
-        return self.find_parent(self.header_names.parent_attempt_of(attempt))
+        return self.find_parent(self.header_names.parent_attempt_of(attempt_id))
 
     def seconds_left(self, request: leanhttp.Request) -> float:
-        """Returns how long the caller waits; without its word, for ever.
+        """Returns how long the caller waits, infinity if it does not say.
 
         Raises:
-          calls.RequestError: what it says is no time.
+          calls.RequestError: the deadline header is not a whole number.
         """
-        told = request.headers.get(self.header_names.backend.deadline)
-        if told is None:
+        header_value = request.headers.get(self.header_names.backend.deadline)
+        if header_value is None:
             return float("inf")
         try:
-            milliseconds = int(told)
+            milliseconds = int(header_value)
         except ValueError:
             raise calls.RequestError(
-                Reason.MALFORMED, f"{told!r} is no time left"
+                Reason.MALFORMED, f"{header_value!r} is not a deadline in ms"
             ) from None
         return milliseconds / 1000
 
 
 class RoutesDecoder(typing.Protocol):
-    """Reads a routes document in the operator's format."""
+    """Parses a routes document in the operator's format."""
 
     def __call__(self, data: bytes) -> routes.Document:
-        """Returns the document; it was checked when it was accepted."""
+        """Returns the document, which was validated when it was accepted."""
