--- a/mangobay/edges.py
+++ b/mangobay/edges.py
@@ -331,7 +331,7 @@
             raise calls.RequestError(
                 Reason.MALFORMED,
                 f"announce the calling service first, and name it in "
-                f"{httpheaders.SERVICE} if several are announced",
+                f"{httpheaders.SERVICE} where several are announced",
             )
         return ids.CallerName(names[0])
 
--- a/mangobay/inbound.py
+++ b/mangobay/inbound.py
@@ -21,9 +21,7 @@
       calls.RequestError: the target is not a path, such as an absolute URL.
     """
     if not raw_path.startswith("/"):
-        raise calls.RequestError(
-            Reason.MALFORMED, "request target is not a path"
-        )
+        raise calls.RequestError(Reason.MALFORMED, "not a path")
     path, separator, query = raw_path.partition("?")
     service, _, rest = path[1:].partition("/")
     return ids.ServiceName(service), f"/{rest}{separator}{query}"
--- a/mangobay/localapi.py
+++ b/mangobay/localapi.py
@@ -89,7 +89,7 @@
         service = document.get("service") if isinstance(document, dict) else ""
         if not self.local_services.withdraw(service):
             raise calls.RequestError(
-                Reason.MALFORMED, "service: not announced on this host"
+                Reason.MALFORMED, "service: not announced here"
             )
         return json_response({})
 
--- a/mangobay/localservices.py
+++ b/mangobay/localservices.py
@@ -66,21 +66,19 @@
         fault.
     """
     if not isinstance(document, dict):
-        raise malformed_error(["the announcement must be a JSON object"])
+        raise malformed_error(["not a JSON object"])
     faults = []
     service = document.get("service")
     if not isinstance(service, str) or not SERVICE_NAME_PATTERN.fullmatch(
         service
     ):
-        faults.append(
-            "service: expected a name of letters, digits, '.', '_' and '-'"
-        )
+        faults.append("service: a name of letters, digits, '.', '_' and '-'")
     slots = document.get("slots")
     if type(slots) is not int or not 1 <= slots <= MAX_SLOTS:
-        faults.append(f"slots: expected an integer from 1 to {MAX_SLOTS}")
+        faults.append(f"slots: a whole number from 1 to {MAX_SLOTS}")
     healthy = document.get("healthy", True)
     if not isinstance(healthy, bool):
-        faults.append("healthy: expected true or false")
+        faults.append("healthy: true or false")
     address = options.Address("", 0)
     try:
         address = options.parse_address(str(document.get("address")))
@@ -128,11 +126,7 @@
         local_service = self.by_name.get(announcement.service)
         if local_service is None:
             if len(self.by_name) >= MAX_SERVICES:
-                raise malformed_error(
-                    [
-                        f"more than {MAX_SERVICES} services are announced on this host"
-                    ]
-                )
+                raise malformed_error([f"more than {MAX_SERVICES} services"])
             local_service = LocalService(
                 announcement=announcement,
                 renewed_at=now,
