--- a/mangobay/admission.py
+++ b/mangobay/admission.py
@@ -65,14 +65,14 @@
         admission: "AdmissionController",
         operation: ids.OperationName,
         level: int,
-        began: float,
-        waited: float,
+        admitted_at: float,
+        queue_seconds: float,
     ):
         self.admission = admission
         self.operation = operation
         self.level = level
-        self.admitted_at = began
-        self.queue_seconds = waited
+        self.admitted_at = admitted_at
+        self.queue_seconds = queue_seconds
         self.concurrency = admission.running
         self.held = True
 
@@ -102,9 +102,16 @@
         )
         if backend_shed:
             self.admission.limiter.observe_shed(self.admission.running, now)
-        used = child_wait_seconds > 0 or downstream_threshold > levels.ADMIT_ALL
+        made_child_call = (
+            child_wait_seconds > 0 or downstream_threshold > levels.ADMIT_ALL
+        )
         self.admission.downstreams.observe(
-            self.operation, self.level, downstream_threshold, used, ok, now
+            self.operation,
+            self.level,
+            downstream_threshold,
+            made_child_call,
+            ok,
+            now,
         )
         self.admission.release_slot(now)
 
@@ -217,8 +224,10 @@
         """
         self.update_threshold(now)
         self.overload.arrivals[level // overload.LEVELS_PER_GROUP] += 1
-        below = self.downstreams.threshold(request.operation, now)
-        if level < max(self.overload.threshold, below):
+        downstream_threshold = self.downstreams.threshold(
+            request.operation, now
+        )
+        if level < max(self.overload.threshold, downstream_threshold):
             raise self.make_shed_error(messages.Reason.OVERLOADED, level)
         if (
             now + self.service_times[request.operation].seconds_at(now)
@@ -231,11 +240,11 @@
         operation: ids.OperationName,
         level: int,
         now: float,
-        waited: float,
+        queue_seconds: float,
     ) -> Permit:
         """Takes a slot."""
         self.running += 1
-        return Permit(self, operation, level, now, waited)
+        return Permit(self, operation, level, now, queue_seconds)
 
     def enqueue(
         self,
@@ -254,15 +263,20 @@
         if self.queue.length >= self.settings.queue_length:
             self.make_room(level, rank)
         now = loop.time()
-        latest = request.deadline - self.service_times[
+        latest_start = request.deadline - self.service_times[
             request.operation
         ].seconds_at(now)
         waiter = callqueue.Waiter(
-            request.operation, rank, level, now, latest, loop.create_future()
+            request.operation,
+            rank,
+            level,
+            now,
+            latest_start,
+            loop.create_future(),
         )
         self.queue.add(waiter)
-        end = min(now + self.max_wait(request, now), latest)
-        waiter.timer = loop.call_at(end, self.time_out, waiter)
+        timeout_at = min(now + self.max_wait(request, now), latest_start)
+        waiter.timer = loop.call_at(timeout_at, self.time_out, waiter)
         return waiter
 
     def make_room(self, level: int, rank: int) -> None:
@@ -271,9 +285,11 @@
         Raises:
           tickets.ShedError: the new call is the worst.
         """
-        worst = self.queue.worst_rank()
-        better = rank > worst or (rank == worst and self.queue.newest_first)
-        if worst < 0 or not better:
+        worst_rank = self.queue.worst_rank()
+        is_better = rank > worst_rank or (
+            rank == worst_rank and self.queue.newest_first
+        )
+        if worst_rank < 0 or not is_better:
             raise self.make_shed_error(messages.Reason.OVERLOADED, level)
         self.refuse(self.queue.pop_worst(), messages.Reason.OVERLOADED)
 
@@ -336,9 +352,9 @@
         if not self.queue.remove(waiter):
             return
         now = asyncio.get_running_loop().time()
-        late = now >= waiter.latest_start
+        missed_deadline = now >= waiter.latest_start
         reason = messages.Reason.QUEUE_TIMEOUT
-        if late:
+        if missed_deadline:
             reason = messages.Reason.DEADLINE_EXCEEDED
         self.refuse(waiter, reason)
         self.update_threshold(now)
@@ -348,17 +364,19 @@
         permit: Permit,
         seconds: float,
         ok: bool,
-        awaited: float,
+        child_wait_seconds: float,
         now: float,
     ) -> None:
         """Learns service times from a whole answer."""
         if not ok:
             return
-        own = max(0.0, seconds - awaited)
+        own_seconds = max(0.0, seconds - child_wait_seconds)
         self.service_times[permit.operation].observe(seconds, now)
-        self.limiter.observe(own, self.running, permit.admitted_at, now)
+        self.limiter.observe(own_seconds, self.running, permit.admitted_at, now)
         if self.settings.policy == "adaptive":
-            self.knee.observe(permit.operation, own, permit.concurrency, now)
+            self.knee.observe(
+                permit.operation, own_seconds, permit.concurrency, now
+            )
 
     def release_slot(self, now: float) -> None:
         """Takes a slot back and gives it to the best waiting call."""
@@ -377,9 +395,9 @@
             if now > waiter.latest_start:
                 self.refuse(waiter, messages.Reason.DEADLINE_EXCEEDED)
                 continue
-            waited = now - waiter.queued_at
+            queue_seconds = now - waiter.queued_at
             waiter.future.set_result(
-                self.admit(waiter.operation, waiter.level, now, waited)
+                self.admit(waiter.operation, waiter.level, now, queue_seconds)
             )
         self.update_threshold(now)
 
@@ -389,9 +407,9 @@
         On arrival they would be refused.  Newer calls go before them, so that
         they would wait in vain, and each hop above holds a slot meanwhile.
         """
-        former = self.overload.threshold
+        previous = self.overload.threshold
         self.overload.update(not self.queue.length, now)
-        if self.overload.threshold <= former:
+        if self.overload.threshold <= previous:
             return
         self.refuse_below(self.overload.threshold, messages.Reason.OVERLOADED)
 
@@ -421,8 +439,8 @@
         self, reason: messages.Reason, level: int
     ) -> admissionrequest.ShedError:
         """Returns the error of a refusal, with a time to try again."""
-        drain = self.queue.length * self.completion_interval.seconds
-        seconds = drain + self.overload.seconds_until_admitted(level)
+        drain_seconds = self.queue.length * self.completion_interval.seconds
+        seconds = drain_seconds + self.overload.seconds_until_admitted(level)
         seconds = min(max(seconds, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
         return admissionrequest.ShedError(
             reason, seconds * (0.5 + self.rng.random())
--- a/mangobay/callqueue.py
+++ b/mangobay/callqueue.py
@@ -70,10 +70,10 @@
 
     def remove(self, waiter: Waiter) -> bool:
         """Removes a waiter; returns whether it was still waiting."""
-        rank = self.ranks[waiter.rank]
-        if waiter not in rank:
+        waiters = self.ranks[waiter.rank]
+        if waiter not in waiters:
             return False
-        del rank[waiter]
+        del waiters[waiter]
         self.update_counts(waiter.rank)
         return True
 
@@ -104,8 +104,8 @@
         """Returns the waiters below a level."""
         return [
             waiter
-            for rank in self.ranks
-            for waiter in rank
+            for waiters in self.ranks
+            for waiter in waiters
             if waiter.level < level
         ]
 
--- a/mangobay/cells.py
+++ b/mangobay/cells.py
@@ -102,10 +102,10 @@
     try:
         return words[text.lower()]
     except KeyError:
-        known = [word for word in words if word]
-        hint = findings.nearest(text, known)
+        choices = [word for word in words if word]
+        hint = findings.nearest(text, choices)
         raise ValueError(
-            f"{text!r} is none of {', '.join(known)}{hint}"
+            f"{text!r} is none of {', '.join(choices)}{hint}"
         ) from None
 
 
--- a/mangobay/downstream.py
+++ b/mangobay/downstream.py
@@ -70,9 +70,9 @@
             or self.child_call_share < MIN_CHILD_CALL_SHARE
         ):
             return levels.ADMIT_ALL
-        height = min(self.reported_threshold, levels.MAX_THRESHOLD)
+        threshold = min(self.reported_threshold, levels.MAX_THRESHOLD)
         return levels.decayed_threshold(
-            height,
+            threshold,
             now - self.reported_at,
             self.reopen_time,
             levels.REMOTE_DECAY_POWER,
@@ -100,13 +100,13 @@
         now: float,
     ) -> None:
         """Learns from a call that ran here, as `Downstream.observe`."""
-        found = self.by_operation.get(operation)
-        if found is None:
-            found = DownstreamTracker(self.reopen_time)
-            self.by_operation[operation] = found
-        found.observe(level, downstream_threshold, made_child_call, ok, now)
+        tracker = self.by_operation.get(operation)
+        if tracker is None:
+            tracker = DownstreamTracker(self.reopen_time)
+            self.by_operation[operation] = tracker
+        tracker.observe(level, downstream_threshold, made_child_call, ok, now)
 
     def threshold(self, operation: ids.OperationName, now: float) -> int:
         """Returns the lowest level of an operation not refused below."""
-        found = self.by_operation.get(operation)
-        return found.threshold(now) if found else levels.ADMIT_ALL
+        tracker = self.by_operation.get(operation)
+        return tracker.threshold(now) if tracker else levels.ADMIT_ALL
--- a/mangobay/estimates.py
+++ b/mangobay/estimates.py
@@ -24,8 +24,10 @@
 
     def observe(self, seconds: float, now: float) -> None:
         """Learns from one answer."""
-        part = self.FALL_WEIGHT if seconds < self.seconds else self.RISE_WEIGHT
-        self.seconds += (seconds - self.seconds) * part
+        weight = (
+            self.FALL_WEIGHT if seconds < self.seconds else self.RISE_WEIGHT
+        )
+        self.seconds += (seconds - self.seconds) * weight
         self.updated_at = now
 
     def seconds_at(self, now: float) -> float:
@@ -47,6 +49,6 @@
 
     def observe(self, now: float) -> None:
         """Counts an answer; now is loop time."""
-        gap = min(now - self.last_completion, MAX_INTERVAL)
+        interval = min(now - self.last_completion, MAX_INTERVAL)
         self.last_completion = now
-        self.seconds += (gap - self.seconds) * INTERVAL_WEIGHT
+        self.seconds += (interval - self.seconds) * INTERVAL_WEIGHT
--- a/mangobay/fairness.py
+++ b/mangobay/fairness.py
@@ -28,8 +28,8 @@
         0 turns it off.
     """
 
-    def __init__(self, share: float):
-        self.heavy_ratio = share
+    def __init__(self, heavy_ratio: float):
+        self.heavy_ratio = heavy_ratio
         self.weights: dict[ids.ClientId, float] = {}
         self.total = 0.0
         self.origin = 0.0
@@ -62,8 +62,8 @@
         host that is up for half an hour the power overflows, and every first
         call fails.  Bounded, it still outweighs all that came before.
         """
-        halvings = (now - self.origin) / HALF_LIFE
-        return 2.0 ** min(halvings, MAX_HALF_LIVES)
+        half_lives = (now - self.origin) / HALF_LIFE
+        return 2.0 ** min(half_lives, MAX_HALF_LIVES)
 
     def rescale(self, now: float) -> None:
         """Makes now the origin and forgets who has not sent for long."""
@@ -77,7 +77,7 @@
             }
         )
 
-    def prune(self, unit: float) -> None:
+    def prune(self, arrival_weight: float) -> None:
         """Forgets the idle clients, or else the lighter half.
 
         Half at once, so that the sort is paid for by as many arrivals.
@@ -85,7 +85,7 @@
         active = {
             client: weight
             for client, weight in self.weights.items()
-            if weight > MIN_ARRIVALS * unit
+            if weight > MIN_ARRIVALS * arrival_weight
         }
         if len(active) > MAX_CLIENTS // 2:
             ranked = sorted(active, key=active.__getitem__, reverse=True)
--- a/mangobay/knee.py
+++ b/mangobay/knee.py
@@ -119,35 +119,39 @@
         if self.limit != UNLIMITED and now >= self.held_until:
             self.hold_time = min(self.hold_time * 2, MAX_HOLD_TIME)
             self.reset()
-        used = running / self.slots
-        calm = self.baselines.setdefault(operation, Baseline())
-        if used <= UNCONTENDED_SHARE:
-            self.record_uncontended(calm, seconds)
-        elif calm.seconds:
-            self.record_contended(used, seconds / calm.seconds, now)
-
-    def record_uncontended(self, calm: Baseline, seconds: float) -> None:
+        utilization = running / self.slots
+        baseline = self.baselines.setdefault(operation, Baseline())
+        if utilization <= UNCONTENDED_SHARE:
+            self.record_uncontended(baseline, seconds)
+        elif baseline.seconds:
+            self.record_contended(utilization, seconds / baseline.seconds, now)
+
+    def record_uncontended(self, baseline: Baseline, seconds: float) -> None:
         """Takes in an undisturbed call."""
-        mean = calm.batch.add(seconds)
+        mean = baseline.batch.add(seconds)
         if mean is None:
             return
-        former, calm.seconds = calm.seconds, mean
-        if former and not 1 / MIN_SLOWDOWN < mean / former < MIN_SLOWDOWN:
+        previous, baseline.seconds = baseline.seconds, mean
+        if previous and not 1 / MIN_SLOWDOWN < mean / previous < MIN_SLOWDOWN:
             # It works at another speed now: what was seen of the last slots
             # was measured by the former one.
             self.bands = [Batch() for _ in BANDS]
 
-    def record_contended(self, used: float, longer: float, now: float) -> None:
+    def record_contended(
+        self, utilization: float, slowdown: float, now: float
+    ) -> None:
         """Takes in how much longer a call took beside many others."""
-        place = next(n for n, share in enumerate(BANDS) if used > share)
-        band = self.bands[place]
-        mean = band.add(longer)
+        index = next(
+            index for index, share in enumerate(BANDS) if utilization > share
+        )
+        band = self.bands[index]
+        mean = band.add(slowdown)
         if mean is None:
             return
-        slower = MIN_SLOWDOWN < mean < MAX_SLOWDOWN
-        band.consecutive_slow = band.consecutive_slow + 1 if slower else 0
+        is_slow = MIN_SLOWDOWN < mean < MAX_SLOWDOWN
+        band.consecutive_slow = band.consecutive_slow + 1 if is_slow else 0
         if band.consecutive_slow < BATCHES_TO_CONFIRM:
             return
-        self.limit = min(self.limit, max(1, int(BANDS[place] * self.slots)))
+        self.limit = min(self.limit, max(1, int(BANDS[index] * self.slots)))
         self.held_until = now + self.hold_time
-        self.bands[place] = Batch()
+        self.bands[index] = Batch()
--- a/mangobay/levels.py
+++ b/mangobay/levels.py
@@ -40,7 +40,7 @@
     higher the power, the later it falls: OWN where this host sees at once
     what comes of it, TOLD where another host's threshold is remembered.
     """
-    gone = seconds / reopen_time
-    if gone >= 1.0:
+    elapsed = seconds / reopen_time
+    if elapsed >= 1.0:
         return ADMIT_ALL
-    return int(threshold * (1.0 - gone**power))
+    return int(threshold * (1.0 - elapsed**power))
--- a/mangobay/limiter.py
+++ b/mangobay/limiter.py
@@ -156,11 +156,11 @@
             return
         self.set_limit(min(self.limit - 1, running - 1), now)
 
-    def adjust_limit(self, mean: float, busiest: int, now: float) -> None:
+    def adjust_limit(self, mean: float, max_running: int, now: float) -> None:
         """Changes the limit by the mean service seconds of a window."""
         slow = self.baseline > 0 and mean > SLOW_RATIO * self.baseline
         self.update_baseline(mean)
-        full = busiest >= self.limit * DECREASE_FACTOR
+        full = max_running >= self.limit * DECREASE_FACTOR
         if slow and full and now >= self.held_until:
             self.decrease(mean, now)
         elif full or not slow:
@@ -171,12 +171,12 @@
         if self.baseline == 0:
             self.baseline = mean
             return
-        part = (
+        weight = (
             BASELINE_FALL_WEIGHT
             if mean < self.baseline
             else BASELINE_RISE_WEIGHT
         )
-        self.baseline += (mean - self.baseline) * part
+        self.baseline += (mean - self.baseline) * weight
 
     def decrease(self, mean: float, now: float) -> None:
         """Lowers the limit, or restores it where that did not help."""
@@ -208,14 +208,14 @@
         if now >= self.held_until:
             self.mean_before_decrease = 0.0
             self.ineffective_decreases = 0
-        ceiling = self.slots or UNLIMITED
-        if self.limit >= ceiling:
+        max_limit = self.slots or UNLIMITED
+        if self.limit >= max_limit:
             self.hold_time = (
                 INITIAL_HOLD_TIME if now >= self.held_until else self.hold_time
             )
             return
         raised = max(self.limit + 1, int(self.limit * INCREASE_FACTOR))
-        self.set_limit(min(raised, ceiling), now)
+        self.set_limit(min(raised, max_limit), now)
 
     def set_limit(self, limit: int, now: float) -> None:
         """Sets the limit within its bounds and starts a new window."""
--- a/mangobay/overload.py
+++ b/mangobay/overload.py
@@ -54,9 +54,9 @@
         """Returns whether the queue has not been empty for `interval`."""
         return now - self.last_empty > self.interval
 
-    def update(self, empty: bool, now: float) -> None:
+    def update(self, is_empty: bool, now: float) -> None:
         """Notes whether the queue is empty, and adjusts the threshold."""
-        if empty:
+        if is_empty:
             self.last_empty = now
         if now - self.adjusted_at >= ADJUST_INTERVAL:
             self.adjust(now)
@@ -94,20 +94,20 @@
 
     def decay_counts(self) -> None:
         """Fades the counts; slowly where few calls are served."""
-        keep = (
+        share = (
             RETAINED_SHARE
             if self.served > LOW_COUNT
             else RETAINED_SHARE_AT_LOW_COUNT
         )
-        self.arrivals = [count * keep for count in self.arrivals]
-        self.served *= keep
+        self.arrivals = [count * share for count in self.arrivals]
+        self.served *= share
 
     def sustainable_threshold(self) -> int:
         """Returns the level above which no more arrived than was served."""
-        room = self.served * HEADROOM_FACTOR
+        capacity = self.served * HEADROOM_FACTOR
         for group in range(GROUP_COUNT - 1, -1, -1):
-            room -= self.arrivals[group]
-            if room < 0:
+            capacity -= self.arrivals[group]
+            if capacity < 0:
                 return min(levels.MAX_THRESHOLD, (group + 1) * LEVELS_PER_GROUP)
         return levels.ADMIT_ALL
 
--- a/mangobay/settings.py
+++ b/mangobay/settings.py
@@ -55,7 +55,7 @@
     def can_evaluate(self, values: Values) -> bool:
         """Returns whether everything it reads is there."""
         return all(
-            place in values for place in (self.setting, *self.depends_on)
+            setting in values for setting in (self.setting, *self.depends_on)
         )
 
 
@@ -64,9 +64,9 @@
     return ipaddress.ip_address(address.ip).is_loopback
 
 
-def are_distinct(values: Values, setting_ids: tuple[SettingId, ...]) -> bool:
+def are_distinct(values: Values, settings: tuple[SettingId, ...]) -> bool:
     """Returns whether no two of the places hold the same address."""
-    addresses = [values[place] for place in setting_ids]
+    addresses = [values[setting] for setting in settings]
     return len(set(addresses)) == len(addresses)
 
 
@@ -95,7 +95,7 @@
     setting=TLS_FILES[0],
     depends_on=TLS_FILES[1:],
     is_satisfied=lambda values: (
-        len({bool(values[place]) for place in TLS_FILES}) == 1
+        len({bool(values[setting]) for setting in TLS_FILES}) == 1
     ),
     message="give certificate, key and authority together, or none of them",
 )
@@ -192,10 +192,10 @@
             or self.line_numbers.get(setting)
             or self.line_numbers.get(SettingId(setting.section), 0)
         )
-        where = f"{self.path}:{line}" if line else self.path
+        location = f"{self.path}:{line}" if line else self.path
         if setting.section:
-            where = f"{where} [{setting.section}] {setting.key}".rstrip()
-        self.findings.append((line, findings.Finding(where, message)))
+            location = f"{location} [{setting.section}] {setting.key}".rstrip()
+        self.findings.append((line, findings.Finding(location, message)))
 
     def index_lines(self, text: str) -> None:
         """Finds the line of every section and key, and those given twice.
@@ -215,8 +215,8 @@
         if setting not in self.line_numbers:
             self.line_numbers[setting] = line
             return
-        first = self.line_numbers[setting]
-        self.report(setting, f"given already in line {first}", line)
+        first_line = self.line_numbers[setting]
+        self.report(setting, f"given already in line {first_line}", line)
 
     def parse(self, text: str) -> configparser.ConfigParser:
         """Returns the parsed file; lines that are not INI are reported."""
@@ -247,23 +247,23 @@
                 hint = findings.nearest(section, self.sections)
                 self.report(SettingId(section), f"no such section{hint}")
                 continue
-            known = [option.name for option in self.sections[section][1]]
+            known_keys = [option.name for option in self.sections[section][1]]
             for key in parser[section]:
-                if key not in known:
-                    hint = findings.nearest(key, known)
+                if key not in known_keys:
+                    hint = findings.nearest(key, known_keys)
                     self.report(SettingId(section, key), f"no such key{hint}")
 
     def read_values(self, parser: configparser.ConfigParser) -> Values:
         """Returns the value of each option; faulty ones are reported."""
         values = Values()
-        for section, (_, known) in self.sections.items():
-            for option in known:
-                place = SettingId(section, option.name)
+        for section, (_, section_options) in self.sections.items():
+            for option in section_options:
+                setting = SettingId(section, option.name)
                 text = parser.get(section, option.name, fallback=option.default)
                 try:
-                    values[place] = parse_value(option, text)
+                    values[setting] = parse_value(option, text)
                 except ValueError as error:
-                    self.report(place, str(error))
+                    self.report(setting, str(error))
         return values
 
     def check_rules(self, values: Values, checks: tuple[Check, ...]) -> None:
@@ -329,13 +329,13 @@
     reader.raise_findings()
     return cls(
         **{
-            name: part(
+            name: section_class(
                 **{
                     option.name: values[SettingId(name, option.name)]
-                    for option in known
+                    for option in section_options
                 }
             )
-            for name, (part, known) in sections.items()
+            for name, (section_class, section_options) in sections.items()
         }
     )
 
@@ -343,9 +343,9 @@
 def describe(sections: Sections) -> str:
     """Returns every setting with default, unit, range and meaning, as INI."""
     lines = []
-    for section, (_, known) in sections.items():
+    for section, (_, section_options) in sections.items():
         lines.append(f"[{section}]")
-        for option in known:
+        for option in section_options:
             lines += [f"# {option.help}", f"# {describe_constraints(option)}"]
             prefix = "" if option.default is None else "# "
             lines.append(f"{prefix}{option.name} = {option.default or ''}")
--- a/mangobay/sheet.py
+++ b/mangobay/sheet.py
@@ -44,19 +44,19 @@
 
     def report(self, message: str, row: int = 0, column: str = "") -> None:
         """Keeps a finding with its place."""
-        place = self.file_name
+        location = self.file_name
         if row:
-            place = f"{place}:row {row}"
+            location = f"{location}:row {row}"
         if column:
-            place = f"{place}, column {column}"
-        self.findings.append(findings.Finding(place, message))
+            location = f"{location}, column {column}"
+        self.findings.append(findings.Finding(location, message))
 
     def raise_findings(self) -> None:
         """Raises SheetError if there are findings; a flood is cut short."""
         if len(self.findings) > MAX_FINDINGS:
-            left = len(self.findings) - MAX_FINDINGS
+            omitted = len(self.findings) - MAX_FINDINGS
             del self.findings[MAX_FINDINGS:]
-            self.report(f"and {left} more findings")
+            self.report(f"and {omitted} more findings")
         if self.findings:
             raise errors.SheetError(self.findings)
 
@@ -103,8 +103,8 @@
             elif title:
                 hint = findings.nearest(title, known)
                 self.report(f"no such column{hint}", 1, title)
-        for column, cell in cells.CELL_PARSERS.items():
-            if cell.required and column not in columns.values():
+        for column, cell_parser in cells.CELL_PARSERS.items():
+            if cell_parser.required and column not in columns.values():
                 self.report(f"the column {column.value} is missing", 1)
         return columns
 
@@ -113,7 +113,7 @@
     ) -> None:
         """Keeps the operation of a row, or reports what is wrong with it."""
         values = {}
-        faults = len(self.findings)
+        finding_count = len(self.findings)
         for position, text in enumerate(record):
             column = columns.get(position)
             if column is None:
@@ -123,15 +123,15 @@
             if len(text) > MAX_CELL_LENGTH:
                 self.report(f"longer than {MAX_CELL_LENGTH}", row, column.value)
                 continue
-            cell = cells.CELL_PARSERS[column]
+            cell_parser = cells.CELL_PARSERS[column]
             try:
-                values[cell.attribute] = cell.parse(text)
+                values[cell_parser.attribute] = cell_parser.parse(text)
             except ValueError as error:
                 self.report(str(error), row, column.value)
         for position, column in columns.items():
             if position >= len(record) and cells.CELL_PARSERS[column].required:
                 self.report("is missing", row, column.value)
-        if len(self.findings) == faults:
+        if len(self.findings) == finding_count:
             self.operations_by_row[row] = messages.Operation(**values)
 
     def check_keys(self) -> None:
@@ -164,23 +164,25 @@
 
     def check_conflicts(self) -> None:
         """Reports rows that name the same operation or the same requests."""
-        names: dict[tuple, int] = {}
-        requests: dict[tuple, int] = {}
+        row_by_name: dict[tuple, int] = {}
+        row_by_request: dict[tuple, int] = {}
         for row, operation in self.operations_by_row.items():
-            first = names.setdefault(operationtable.sort_key(operation), row)
-            if first != row:
+            first_row = row_by_name.setdefault(
+                operationtable.sort_key(operation), row
+            )
+            if first_row != row:
                 self.report(
-                    f"{operation.service} {operation.name} is in row {first}"
+                    f"{operation.service} {operation.name} is in row {first_row}"
                     " already",
                     row,
                     cells.Column.OPERATION.value,
                 )
             request = (operation.service, operation.method, operation.path)
-            first = requests.setdefault(request, row)
-            if first != row:
+            first_row = row_by_request.setdefault(request, row)
+            if first_row != row:
                 self.report(
                     f"{operation.method} {operation.path} of"
-                    f" {operation.service} is in row {first} already",
+                    f" {operation.service} is in row {first_row} already",
                     row,
                     cells.Column.PATH.value,
                 )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -14,51 +14,53 @@
 CRITICAL = messages.Importance.CRITICAL
 
 
-def make_admission(slots: int = 1, **changes) -> admission.AdmissionController:
+def make_controller(slots: int = 1, **changes) -> admission.AdmissionController:
     """Returns an admission with a fixed number of slots."""
     settings = {"policy": "fixed"} | changes
-    made = admission.AdmissionController(
+    controller = admission.AdmissionController(
         fakes.section("admission", **settings),
         fakes.section("retries"),
         fakes.section("recovery"),
         random.Random(fakes.SEED),
     )
-    made.set_slots(slots)
-    return made
+    controller.set_slots(slots)
+    return controller
 
 
-def ticket(
+def make_request(
     importance: messages.Importance = NORMAL,
     depth: int = 0,
-    patience: float = 5.0,
+    timeout: float = 5.0,
     client: str = "reader",
 ) -> admissionrequest.AdmissionRequest:
     """Returns the ticket of a call that arrives now."""
     return admissionrequest.AdmissionRequest(
         importance=importance,
         depth=depth,
-        deadline=asyncio.get_running_loop().time() + patience,
+        deadline=asyncio.get_running_loop().time() + timeout,
         client=ids.ClientId(client),
     )
 
 
-async def line_up(
-    made: admission.AdmissionController, *tickets
+async def enqueue(
+    controller: admission.AdmissionController, *requests
 ) -> list[asyncio.Task]:
     """Lets the calls arrive one after the other."""
     tasks = []
-    for one in tickets:
-        tasks.append(asyncio.create_task(made.acquire(one)))
+    for request in requests:
+        tasks.append(asyncio.create_task(controller.acquire(request)))
         await asyncio.sleep(0.001)
     return tasks
 
 
-async def order_of(tasks: list[asyncio.Task], first: admission.Permit) -> list:
+async def grant_order(
+    tasks: list[asyncio.Task], first_permit: admission.Permit
+) -> list:
     """Frees one slot after the other; returns who got it, in order."""
     order = []
-    current = first
+    permit = first_permit
     while len(order) < len(tasks):
-        current.release(0.001, ok=False)
+        permit.release(0.001, ok=False)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         (index,) = [
@@ -67,7 +69,7 @@
             if task.done() and number not in order
         ]
         order.append(index)
-        current = tasks[index].result()
+        permit = tasks[index].result()
     return order
 
 
@@ -76,29 +78,33 @@
     """Which waiting call gets the next slot."""
 
     async def test_importance_then_depth_then_newest(self):
-        made = make_admission()
-        running = await made.acquire(ticket())
-        tasks = await line_up(
-            made,
-            ticket(NORMAL, 0),
-            ticket(NORMAL, 2),
-            ticket(HIGH, 0),
-            ticket(NORMAL, 0),
-            ticket(CRITICAL, 0),
+        controller = make_controller()
+        running = await controller.acquire(make_request())
+        tasks = await enqueue(
+            controller,
+            make_request(NORMAL, 0),
+            make_request(NORMAL, 2),
+            make_request(HIGH, 0),
+            make_request(NORMAL, 0),
+            make_request(CRITICAL, 0),
         )
-        assert await order_of(tasks, running) == [4, 2, 1, 3, 0]
+        assert await grant_order(tasks, running) == [4, 2, 1, 3, 0]
 
     async def test_critical_calls_go_in_the_order_of_their_arrival(self):
-        made = make_admission()
-        running = await made.acquire(ticket())
-        tasks = await line_up(made, ticket(CRITICAL), ticket(CRITICAL))
-        assert await order_of(tasks, running) == [0, 1]
+        controller = make_controller()
+        running = await controller.acquire(make_request())
+        tasks = await enqueue(
+            controller, make_request(CRITICAL), make_request(CRITICAL)
+        )
+        assert await grant_order(tasks, running) == [0, 1]
 
     async def test_oldest_first_by_setting(self):
-        made = make_admission(order="oldest", by_depth=False)
-        running = await made.acquire(ticket())
-        tasks = await line_up(made, ticket(depth=0), ticket(depth=3))
-        assert await order_of(tasks, running) == [0, 1]
+        controller = make_controller(order="oldest", by_depth=False)
+        running = await controller.acquire(make_request())
+        tasks = await enqueue(
+            controller, make_request(depth=0), make_request(depth=3)
+        )
+        assert await grant_order(tasks, running) == [0, 1]
 
     async def test_a_full_queue_sheds_its_worst_for_a_better_call(self):
         """The queue is full of normal calls when a booking arrives.
@@ -106,17 +112,19 @@
         The oldest normal call is refused at once and the booking takes its
         place; the next normal call of a lower kind finds no room.
         """
-        made = make_admission(queue_length=2)
-        await made.acquire(ticket())
-        oldest, _, booking = await line_up(
-            made, ticket(), ticket(), ticket(CRITICAL)
+        controller = make_controller(queue_length=2)
+        await controller.acquire(make_request())
+        oldest, _, booking = await enqueue(
+            controller, make_request(), make_request(), make_request(CRITICAL)
         )
         with pytest.raises(admissionrequest.ShedError) as caught:
             await oldest
         assert caught.value.reason == messages.Reason.OVERLOADED
         assert not booking.done()
         with pytest.raises(admissionrequest.ShedError):
-            await made.acquire(ticket(messages.Importance.BACKGROUND))
+            await controller.acquire(
+                make_request(messages.Importance.BACKGROUND)
+            )
 
 
 @pytest.mark.looptime
@@ -124,10 +132,10 @@
     """Calls that must not run."""
 
     async def test_a_wait_is_bounded_in_time(self, looptime):
-        made = make_admission(queue_time=0.05)
-        await made.acquire(ticket())
+        controller = make_controller(queue_time=0.05)
+        await controller.acquire(make_request())
         with pytest.raises(admissionrequest.ShedError) as caught:
-            await made.acquire(ticket())
+            await controller.acquire(make_request())
         assert caught.value.reason == messages.Reason.QUEUE_TIMEOUT
         assert caught.value.retry_after > 0
         assert looptime < 0.3
@@ -139,11 +147,11 @@
         by the settings alone, it would be refused before any call can have
         ended, whatever its importance. It gets the slot instead.
         """
-        made = make_admission(queue_time=0.02)
+        controller = make_controller(queue_time=0.02)
         for _ in range(300):
-            (await made.acquire(ticket())).release(1.0, ok=True)
-        first = await made.acquire(ticket())
-        (task,) = await line_up(made, ticket(depth=2))
+            (await controller.acquire(make_request())).release(1.0, ok=True)
+        first = await controller.acquire(make_request())
+        (task,) = await enqueue(controller, make_request(depth=2))
         await asyncio.sleep(0.5)
         first.release(1.0, ok=True)
         assert (await task).held
@@ -154,14 +162,14 @@
         Running it would spend a slot on an answer that nobody awaits any
         more, so it is refused at once although slots are free.
         """
-        made = make_admission(slots=4)
+        controller = make_controller(slots=4)
         for _ in range(200):
-            entered = await made.acquire(ticket())
-            entered.release(0.1, ok=True)
+            permit = await controller.acquire(make_request())
+            permit.release(0.1, ok=True)
         with pytest.raises(admissionrequest.ShedError) as caught:
-            await made.acquire(ticket(patience=0.02))
+            await controller.acquire(make_request(timeout=0.02))
         assert caught.value.reason == messages.Reason.DEADLINE_EXCEEDED
-        assert made.running == 0
+        assert controller.running == 0
 
     async def test_a_risen_threshold_refuses_who_waits_below_it(self):
         """The queue stands, and new calls go before those that wait.
@@ -170,24 +178,27 @@
         refused, so those that wait are as well, and the hops above get their
         slots back. The important one goes on waiting.
         """
-        made = make_admission(queue_time=1)
-        first = await made.acquire(ticket())
-        waiting = await line_up(
-            made, ticket(), ticket(CRITICAL), ticket(depth=2)
+        controller = make_controller(queue_time=1)
+        first = await controller.acquire(make_request())
+        tasks = await enqueue(
+            controller,
+            make_request(),
+            make_request(CRITICAL),
+            make_request(depth=2),
         )
-        made.overload.sustainable_threshold = lambda: CRITICAL * 256
+        controller.overload.sustainable_threshold = lambda: CRITICAL * 256
         await asyncio.sleep(2.5)
         for _ in range(5):
-            made.update_threshold(asyncio.get_running_loop().time())
+            controller.update_threshold(asyncio.get_running_loop().time())
             await asyncio.sleep(0.11)
-        assert made.overload.threshold > HIGH * 256
+        assert controller.overload.threshold > HIGH * 256
         await asyncio.sleep(0)
-        assert [task.done() for task in waiting] == [True, False, True]
-        for task in (waiting[0], waiting[2]):
+        assert [task.done() for task in tasks] == [True, False, True]
+        for task in (tasks[0], tasks[2]):
             with pytest.raises(admissionrequest.ShedError):
                 task.result()
         first.release(0.01, ok=True)
-        assert (await waiting[1]).held
+        assert (await tasks[1]).held
 
     async def test_who_waits_is_refused_when_the_backend_server_leaves(self):
         """A request reaches a backend server long after it said it leaves.
@@ -196,13 +207,13 @@
         one when a running request ends.  Refused at once, and truly, it is
         served elsewhere.
         """
-        made = make_admission()
-        running = await made.acquire(ticket())
-        tasks = await line_up(made, ticket(), ticket(HIGH))
-        made.refuse_all_waiting()
+        controller = make_controller()
+        running = await controller.acquire(make_request())
+        tasks = await enqueue(controller, make_request(), make_request(HIGH))
+        controller.refuse_all_waiting()
         running.release(0.001, ok=True)
-        ends = await asyncio.gather(*tasks, return_exceptions=True)
-        reasons = [end.reason for end in ends]
+        results = await asyncio.gather(*tasks, return_exceptions=True)
+        reasons = [error.reason for error in results]
         assert reasons == [messages.Reason.LEAVING] * 2
 
     async def test_one_operations_time_is_not_anothers(self):
@@ -210,18 +221,18 @@
 
         A price is refused before it runs, a search goes.
         """
-        made = make_admission(slots=8)
+        controller = make_controller(slots=8)
         for name, seconds in (("price", 0.3), ("search", 0.01)):
             for _ in range(200):
-                one = ticket()
-                one.operation = ids.OperationName(name)
-                (await made.acquire(one)).release(seconds, ok=True)
-        late = ticket(patience=0.1)
-        late.operation = ids.OperationName("price")
+                request = make_request()
+                request.operation = ids.OperationName(name)
+                (await controller.acquire(request)).release(seconds, ok=True)
+        late_request = make_request(timeout=0.1)
+        late_request.operation = ids.OperationName("price")
         with pytest.raises(admissionrequest.ShedError):
-            await made.acquire(late)
-        late.operation = ids.OperationName("search")
-        assert (await made.acquire(late)).held
+            await controller.acquire(late_request)
+        late_request.operation = ids.OperationName("search")
+        assert (await controller.acquire(late_request)).held
 
     async def test_an_estimate_above_all_deadlines_fades(self):
         """The backend server was so slow that no deadline could be met.
@@ -229,14 +240,14 @@
         All calls are refused, so no answer could show that it recovered.
         The estimate halves with time; calls go through again by themselves.
         """
-        made = make_admission(slots=4)
+        controller = make_controller(slots=4)
         for _ in range(500):
-            entered = await made.acquire(ticket(patience=100))
-            entered.release(5.0, ok=True)
+            permit = await controller.acquire(make_request(timeout=100))
+            permit.release(5.0, ok=True)
         with pytest.raises(admissionrequest.ShedError):
-            await made.acquire(ticket(patience=1.0))
+            await controller.acquire(make_request(timeout=1.0))
         await asyncio.sleep(4)
-        await made.acquire(ticket(patience=1.0))
+        await controller.acquire(make_request(timeout=1.0))
 
 
 @pytest.mark.looptime
@@ -249,22 +260,22 @@
         The pass was made but nobody would use or return it, and the slot
         would be gone for good.
         """
-        made = make_admission()
-        running = await made.acquire(ticket())
-        (waiter,) = await line_up(made, ticket())
+        controller = make_controller()
+        running = await controller.acquire(make_request())
+        (waiter,) = await enqueue(controller, make_request())
         running.release(0.001, ok=True)
         waiter.cancel()
         with pytest.raises(asyncio.CancelledError):
             await waiter
-        assert made.running == 0
+        assert controller.running == 0
 
     async def test_leaving_twice_frees_one_slot(self):
-        made = make_admission(slots=2)
-        entered = await made.acquire(ticket())
-        await made.acquire(ticket())
-        entered.release(0.1, ok=True)
-        entered.release(0.1, ok=True)
-        assert made.running == 1
+        controller = make_controller(slots=2)
+        permit = await controller.acquire(make_request())
+        await controller.acquire(make_request())
+        permit.release(0.1, ok=True)
+        permit.release(0.1, ok=True)
+        assert controller.running == 1
 
     async def test_never_more_than_the_limit(self):
         """Callers come, wait, hang up and leave at random.
@@ -272,27 +283,27 @@
         Whatever the order, no more calls run than there are slots, and all
         slots are free in the end.
         """
-        made = make_admission(slots=3)
-        dice = random.Random(fakes.SEED)
-        most = 0
-
-        async def one() -> None:
-            nonlocal most
-            await asyncio.sleep(dice.random())
-            importance = messages.Importance(dice.randrange(4))
+        controller = make_controller(slots=3)
+        rng = random.Random(fakes.SEED)
+        max_running = 0
+
+        async def make_call() -> None:
+            nonlocal max_running
+            await asyncio.sleep(rng.random())
+            importance = messages.Importance(rng.randrange(4))
             try:
-                async with asyncio.timeout(dice.uniform(0.01, 0.2)):
-                    entered = await made.acquire(ticket(importance))
+                async with asyncio.timeout(rng.uniform(0.01, 0.2)):
+                    permit = await controller.acquire(make_request(importance))
             except (TimeoutError, admissionrequest.ShedError):
                 return
-            most = max(most, made.running)
-            await asyncio.sleep(dice.uniform(0, 0.05))
-            entered.release(0.02, ok=True)
+            max_running = max(max_running, controller.running)
+            await asyncio.sleep(rng.uniform(0, 0.05))
+            permit.release(0.02, ok=True)
 
-        await asyncio.gather(*(one() for _ in range(400)))
-        assert most == 3
-        assert made.running == 0
-        assert made.queue.length == 0
+        await asyncio.gather(*(make_call() for _ in range(400)))
+        assert max_running == 3
+        assert controller.running == 0
+        assert controller.queue.length == 0
 
 
 class TestRecoveryWeight:
@@ -301,11 +312,11 @@
     @pytest.mark.parametrize("weight, factor", [(0, 2), (0.5, 1), (1, 0.5)])
     def test_scales_queue_time_and_reopening(self, weight, factor):
         settings = fakes.section("admission", queue_time=0.1, reopen_time=2.0)
-        made = admission.AdmissionController(
+        controller = admission.AdmissionController(
             settings,
             fakes.section("retries"),
             fakes.section("recovery", weight=weight),
             random.Random(fakes.SEED),
         )
-        assert made.queue_time == pytest.approx(0.1 * factor)
-        assert made.overload.reopen_time == pytest.approx(2.0 * factor)
+        assert controller.queue_time == pytest.approx(0.1 * factor)
+        assert controller.overload.reopen_time == pytest.approx(2.0 * factor)
--- a/tests/test_knee.py
+++ b/tests/test_knee.py
@@ -12,63 +12,63 @@
 READ = ids.OperationName("read")
 REPORT = ids.OperationName("report")
 SLOTS = 23
-SECONDS = {READ: 0.022, REPORT: 0.36}
+SERVICE_SECONDS = {READ: 0.022, REPORT: 0.36}
 
 
-class Backend:
+class SimulatedBackend:
     """Feeds a knee with answers at any number of calls at once."""
 
-    def __init__(self, seconds):
+    def __init__(self, slowdown):
         self.knee = knee.KneeDetector()
         self.knee.set_slots(SLOTS)
-        self.seconds = seconds
-        self.dice = random.Random(4)
+        self.slowdown = slowdown
+        self.rng = random.Random(4)
         self.now = 100.0
 
     def run(self, running, answers):
         for _ in range(answers):
-            for operation, usual in SECONDS.items():
-                took = usual * self.seconds(running)
-                took *= self.dice.uniform(0.4, 1.6)
-                self.now += took / running
-                self.knee.observe(operation, took, running, self.now)
+            for operation, usual in SERVICE_SECONDS.items():
+                service_seconds = usual * self.slowdown(running)
+                service_seconds *= self.rng.uniform(0.4, 1.6)
+                self.now += service_seconds / running
+                self.knee.observe(operation, service_seconds, running, self.now)
 
 
 class TestKnee:
     """How many slots pay."""
 
     def test_the_last_slots_of_one_that_slows_are_left_empty(self):
-        backend = Backend(lambda running: 1.3 if running > 21 else 1.0)
+        backend = SimulatedBackend(lambda running: 1.3 if running > 21 else 1.0)
         backend.run(10, 300)
         backend.run(SLOTS, 300)
         assert backend.knee.limit == 21
 
     def test_they_are_tried_again(self):
-        backend = Backend(lambda running: 1.3 if running > 21 else 1.0)
+        backend = SimulatedBackend(lambda running: 1.3 if running > 21 else 1.0)
         backend.run(10, 300)
         backend.run(SLOTS, 300)
         assert backend.knee.limit == 21
-        backend.seconds = lambda running: 1.0
+        backend.slowdown = lambda running: 1.0
         backend.now += knee.INITIAL_HOLD_TIME
         backend.run(21, 200)
         backend.run(SLOTS, 200)
         assert backend.knee.limit == knee.UNLIMITED
 
-    @pytest.mark.parametrize("longer", [1.0, 1.08, 12.0])
-    def test_where_it_is_not_the_last_slots_all_are_used(self, longer):
+    @pytest.mark.parametrize("slowdown", [1.0, 1.08, 12.0])
+    def test_where_it_is_not_the_last_slots_all_are_used(self, slowdown):
         """A backend server turns slow, however few calls it runs.
 
         It is full soon, and its calls take many times what they took before:
         with fewer of them at once it would only answer fewer.
         """
-        backend = Backend(lambda running: 1.0)
+        backend = SimulatedBackend(lambda running: 1.0)
         backend.run(10, 300)
-        backend.seconds = lambda running: longer
+        backend.slowdown = lambda running: slowdown
         backend.run(SLOTS, 400)
         assert backend.knee.limit == knee.UNLIMITED
 
     def test_without_undisturbed_calls_nothing_is_known(self):
-        backend = Backend(lambda running: 1.3)
+        backend = SimulatedBackend(lambda running: 1.3)
         backend.run(SLOTS, 400)
         assert backend.knee.limit == knee.UNLIMITED
 
@@ -83,43 +83,45 @@
         With all slots in use it slows by a third and answers fewer than it
         could: a queue stands, and callers are refused.
         """
-        made = admission.AdmissionController(
+        controller = admission.AdmissionController(
             routingfakes.section("admission"),
             routingfakes.section("retries", client_share=0),
             routingfakes.section("recovery"),
             random.Random(3),
         )
-        made.set_slots(SLOTS)
-        dice = random.Random(5)
+        controller.set_slots(SLOTS)
+        rng = random.Random(5)
         served = []
 
-        async def call(since):
+        async def make_call(arrival):
             loop = asyncio.get_running_loop()
-            ticket = admissionrequest.AdmissionRequest(
+            request = admissionrequest.AdmissionRequest(
                 importance=messages.Importance.NORMAL,
                 depth=0,
                 deadline=loop.time() + 1,
                 client=ids.ClientId("c"),
                 operation=READ,
-                tree=str(dice.random()),
+                tree=str(rng.random()),
             )
             try:
-                permit = await made.acquire(ticket)
+                permit = await controller.acquire(request)
             except admissionrequest.ShedError:
                 return
-            took = 0.05 * dice.uniform(0.6, 1.4)
-            if made.running > 0.95 * SLOTS:
-                took *= 1.5
-            await asyncio.sleep(took)
-            permit.release(took, ok=True)
-            served.append(since)
+            service_seconds = 0.05 * rng.uniform(0.6, 1.4)
+            if controller.running > 0.95 * SLOTS:
+                service_seconds *= 1.5
+            await asyncio.sleep(service_seconds)
+            permit.release(service_seconds, ok=True)
+            served.append(arrival)
 
         async with asyncio.TaskGroup() as group:
             for rate, seconds in ((200, 3), (420, 10)):
                 for _ in range(rate * seconds):
-                    await asyncio.sleep(dice.expovariate(rate))
+                    await asyncio.sleep(rng.expovariate(rate))
                     now = asyncio.get_running_loop().time()
-                    group.create_task(call((rate, now)))
-        late = [when for rate, when in served if rate == 420]
-        could = 21 / 0.05 * 10
-        assert len(late) >= 0.93 * could
+                    group.create_task(make_call((rate, now)))
+        served_arrivals = [
+            arrived_at for rate, arrived_at in served if rate == 420
+        ]
+        capacity = 21 / 0.05 * 10
+        assert len(served_arrivals) >= 0.93 * capacity
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -5,10 +5,10 @@
 from mangobay import limiter
 
 SLOTS = 40
-FAST = 0.05
+SERVICE_SECONDS = 0.05
 
 
-class Backend:
+class SimulatedBackend:
     """Feeds a limiter with answers of a backend server that is always full.
 
     Attributes:
@@ -18,7 +18,7 @@
     def __init__(self, policy: str = "adaptive"):
         self.limiter = limiter.make(policy)
         self.limiter.set_slots(SLOTS)
-        self.seconds = lambda running: FAST
+        self.seconds = lambda running: SERVICE_SECONDS
         self.now = 0.0
         self.limits: list[int] = []
 
@@ -28,8 +28,8 @@
             running = self.limiter.limit
             seconds = self.seconds(running)
             self.now += seconds / running
-            began = self.now - seconds
-            self.limiter.observe(seconds, running, began, self.now)
+            admitted_at = self.now - seconds
+            self.limiter.observe(seconds, running, admitted_at, self.now)
             self.limits.append(self.limiter.limit)
 
 
@@ -42,12 +42,12 @@
         Fewer at once are answered just as often and sooner, so less of each
         deadline is spent; the limit falls until calls are fast again.
         """
-        backend = Backend()
+        backend = SimulatedBackend()
         backend.run(2)
-        backend.seconds = lambda running: FAST * running / 8
+        backend.seconds = lambda running: SERVICE_SECONDS * running / 8
         backend.run(10)
         assert backend.limiter.limit < SLOTS * 0.7
-        backend.seconds = lambda running: FAST
+        backend.seconds = lambda running: SERVICE_SECONDS
         backend.run(20)
         assert backend.limiter.limit == SLOTS
 
@@ -57,17 +57,17 @@
         A lower limit would only serve fewer calls.  One step down shows it;
         the limit is restored and left alone for a while.
         """
-        backend = Backend()
+        backend = SimulatedBackend()
         backend.run(2)
         backend.limits.clear()
-        backend.seconds = lambda running: 5 * FAST
+        backend.seconds = lambda running: 5 * SERVICE_SECONDS
         backend.run(10)
         mean = sum(backend.limits) / len(backend.limits)
         assert mean >= SLOTS * 0.92
         assert min(backend.limits) >= SLOTS * 0.7
 
     def test_goes_below_what_the_backend_server_refused(self):
-        backend = Backend()
+        backend = SimulatedBackend()
         backend.run(2)
         backend.limiter.observe_shed(30, backend.now)
         assert backend.limiter.limit == 29
@@ -80,10 +80,10 @@
         "policy, limit", [("fixed", SLOTS), ("none", limiter.UNLIMITED)]
     )
     def test_keep_their_limit(self, policy, limit):
-        backend = Backend(policy)
-        backend.seconds = lambda running: 5 * FAST
+        backend = SimulatedBackend(policy)
+        backend.seconds = lambda running: 5 * SERVICE_SECONDS
         for _ in range(1000):
-            backend.limiter.observe(5 * FAST, SLOTS, 1.0, 2.0)
+            backend.limiter.observe(5 * SERVICE_SECONDS, SLOTS, 1.0, 2.0)
         assert backend.limiter.limit == limit
 
 
@@ -91,7 +91,7 @@
     """A backend server that refuses calls."""
 
     def test_one_that_is_full_gets_fewer(self):
-        backend = Backend()
+        backend = SimulatedBackend()
         backend.run(1)
         backend.limiter.observe_shed(SLOTS, backend.now + 1)
         assert backend.limiter.limit < SLOTS
@@ -103,7 +103,7 @@
         each refusal lowered the limit until the node refused most of what
         the backend server would still have answered.
         """
-        backend = Backend()
+        backend = SimulatedBackend()
         backend.run(1)
         for number in range(50):
             backend.limiter.observe_shed(SLOTS // 2, backend.now + number)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,12 +11,12 @@
 
 
 async def slow_down(
-    service: fakechain.FakeService, times: float, begin: float, end: float
+    service: fakechain.FakeService, factor: float, start: float, end: float
 ) -> None:
     """Makes a service slower for a while."""
-    await asyncio.sleep(begin)
-    service.slowdown = times
-    await asyncio.sleep(end - begin)
+    await asyncio.sleep(start)
+    service.slowdown = factor
+    await asyncio.sleep(end - start)
     service.slowdown = 1.0
 
 
@@ -33,13 +33,13 @@
         """
         chain = fakechain.make_chain([8, 8, 8], OWN_SECONDS)
         load = fakechain.LoadGenerator(chain)
-        kinds = [
+        groups = [
             fakechain.CallerGroup(CRITICAL, 20, max_retries=4, name="booking"),
             fakechain.CallerGroup(NORMAL, 100, max_retries=4, name="reader"),
         ]
-        trouble = asyncio.create_task(slow_down(chain[-1], 5, 1, 5))
-        await load.run(kinds, 8)
-        await trouble
+        slowdown = asyncio.create_task(slow_down(chain[-1], 5, 1, 5))
+        await load.run(groups, 8)
+        await slowdown
         assert load.success_rate("booking", 1, 5) >= 0.99
         assert load.success_rate("reader", 1, 5) < 0.9
         assert load.success_rate("reader", 7, 8) >= 0.99
@@ -54,15 +54,15 @@
         """
         chain = fakechain.make_chain([8, 8, 8], OWN_SECONDS)
         load = fakechain.LoadGenerator(chain)
-        kinds = [
+        groups = [
             fakechain.CallerGroup(NORMAL, 160, max_retries=4, name="reader")
         ]
-        trouble = asyncio.create_task(slow_down(chain[-1], 5, 1, 6))
-        await load.run(kinds, 6)
-        await trouble
+        slowdown = asyncio.create_task(slow_down(chain[-1], 5, 1, 6))
+        await load.run(groups, 6)
+        await slowdown
         answered = sum(load.answered["reader", second] for second in (3, 4))
-        room = 2 * 8 / (0.01 + 0.01 + 5 * 0.02)
-        assert answered >= 0.85 * room
+        capacity = 2 * 8 / (0.01 + 0.01 + 5 * 0.02)
+        assert answered >= 0.85 * capacity
         assert load.wasted_seconds <= 0.05 * sum(
             service.busy_seconds.total() for service in chain
         )
@@ -80,11 +80,11 @@
         """
         chain = fakechain.make_chain([8, 8, 8], OWN_SECONDS)
         load = fakechain.LoadGenerator(chain)
-        kinds = [
+        groups = [
             fakechain.CallerGroup(CRITICAL, 60, name="booking"),
             fakechain.CallerGroup(NORMAL, 500, name="reader"),
         ]
-        await load.run(kinds, 4)
+        await load.run(groups, 4)
         assert load.success_rate("booking", 0, 4) >= 0.99
         assert load.success_rate("reader", 1, 4) > 0.05
 
@@ -96,11 +96,11 @@
         """
         chain = fakechain.make_chain([8], [0.05])
         load = fakechain.LoadGenerator(chain)
-        kinds = [
+        groups = [
             fakechain.CallerGroup(NORMAL, 100, clients=40, name="reader"),
             fakechain.CallerGroup(NORMAL, 500, clients=2, name="robot"),
         ]
-        await load.run(kinds, 5)
+        await load.run(groups, 5)
         assert load.success_rate("reader", 1, 5) >= 0.8
         assert load.success_rate("robot", 1, 5) < 0.25
 
@@ -117,8 +117,8 @@
         """
         chain = fakechain.make_chain([20, 20, 4], [0.01, 0.01, 0.1])
         load = fakechain.LoadGenerator(chain)
-        kinds = [fakechain.CallerGroup(NORMAL, 200, name="reader")]
-        await load.run(kinds, 5)
+        groups = [fakechain.CallerGroup(NORMAL, 200, name="reader")]
+        await load.run(groups, 5)
         served = sum(load.answered.values())
         busy = sum(service.busy_seconds.total() for service in chain)
         print(f"served {served}, wasted {load.wasted_seconds / busy:.3f}")
