--- a/mangobay/admission.py
+++ b/mangobay/admission.py
@@ -1,13 +1,13 @@
-"""Admission at the node beside the backend server.
+"""Admission control for the calls to the backend server on this host.
 
-A call runs at once while fewer than the limit run and nobody waits.  Else it
-waits for a short time, bounded by the settings and by its own deadline, or is
-refused at once.  Nothing is held back to calm a caller: a refusal is sent as
-soon as it is known.
+A call runs at once while fewer calls run than the limit allows and none waits.
+Otherwise it waits for a short time, bounded by the settings and its deadline,
+or is refused at once.  A refusal is sent as soon as it is known; it is never
+delayed to slow down a caller.
 
-The setting [recovery] weight scales both times that trade goodput against
-recovery, [admission] queue_time and reopen_time, by 2 ** (1 - 2 * weight): at
-0 they are doubled, at 0.5 as written, at 1 halved.
+The setting [recovery] weight trades goodput against recovery.  It multiplies
+[admission] queue_time and reopen_time by 2 ** (1 - 2 * weight): both are
+doubled at 0, as configured at 0.5 and halved at 1.
 """
 
 import asyncio
@@ -29,25 +29,28 @@
 from mangobay.generated import messages, settings
 
 EXTENDED_WAIT_FACTOR = 4
-"""Times queue_time that a call may wait while the queue does not stand, and a
-critical one always."""
+"""Multiple of queue_time that a call may wait while the queue is not standing,
+and a critical call at any time."""
 DEEP_WAIT_FACTOR = 4
-"""Times queue_time that a call from another hop may wait, its deadline
-permitting."""
+"""Multiple of queue_time that a call from another hop may wait if its deadline
+allows."""
 STANDING_QUEUE_FACTOR = 2
-"""Times queue_time after which a queue that was never empty stands."""
+"""Multiple of queue_time after which a queue that was never empty is
+standing."""
 MAX_RETRY_AFTER = 30.0
-"""Seconds."""
+"""Seconds, before the jitter."""
 MIN_RETRY_AFTER = 0.05
-"""Seconds."""
+"""Seconds, before the jitter."""
 
 
 class Permit:
-    """The right to run one call at the backend server.
+    """The permit to run one call at the backend server; it takes a slot.
 
     Attributes:
-      queue_seconds: seconds in the queue.
-      concurrency: calls that ran when it was given, its own included.
+      admitted_at: loop time at which it was granted.
+      queue_seconds: time that the call spent in the queue.
+      concurrency: calls that ran when it was granted, its own included.
+      held: whether the slot has not been released yet.
     """
 
     __slots__ = (
@@ -84,14 +87,15 @@
         backend_shed: bool = False,
         downstream_threshold: int = levels.ADMIT_ALL,
     ) -> None:
-        """Gives the slot back; only the first call counts.
+        """Releases the slot; only the first release has an effect.
 
         Args:
-          service_seconds: time from the first byte to the whole answer.
-          ok: it was a whole answer; other times are not learned from.
+          service_seconds: time from the first byte to the complete response.
+          ok: whether there was a complete response; other times are ignored.
           child_wait_seconds: part of that time with child calls in flight.
-          backend_shed: the backend server itself refused the call.
-          downstream_threshold: threshold with which a child call was refused, if one was.
+          backend_shed: whether the backend server itself shed the call.
+          downstream_threshold: threshold that refused a child call, or
+            ADMIT_ALL.
         """
         if not self.held:
             return
@@ -120,10 +124,21 @@
     """Admits calls to the backend server on this host.
 
     Attributes:
+      settings: the section [admission].
+      queue_time: longest wait in seconds while the queue is standing.
+      extended_wait: longest wait in seconds while it is not, or of a critical
+        call.
+      deep_wait: longest wait in seconds of a call from another hop.
+      rng: source of the jitter.
+      limiter: finds how many calls may run.
+      knee: finds how many slots add throughput.
+      queue: the waiting calls.
+      heavy_clients: detects clients that send far more than the others.
+      overload: sets the threshold of this host.
+      downstreams: tracks the thresholds of the downstream services.
+      service_times: estimated service times by operation.
       running: calls that run now.
-      limiter: finds how many may.
-      knee: finds how many pay.
-      service_times: service times by operation.
+      completion_interval: mean interval between responses.
     """
 
     def __init__(
@@ -156,16 +171,16 @@
 
     @property
     def threshold(self) -> int:
-        """The lowest level admitted now; goes back on every reply."""
+        """The lowest level admitted now; sent with every reply."""
         return self.overload.threshold
 
     @property
     def load(self) -> int:
-        """Calls that run or wait here; above the limit, they queue."""
+        """Calls that run or wait here; above the limit, new calls queue."""
         return self.running + self.queue.length
 
     def downstream_threshold(self, operation: ids.OperationName) -> int:
-        """The lowest level of an operation that is admitted below."""
+        """Returns the lowest level of an operation not refused downstream."""
         now = asyncio.get_running_loop().time()
         return self.downstreams.threshold(operation, now)
 
@@ -175,7 +190,7 @@
         return min(self.limiter.limit, self.knee.limit)
 
     def set_slots(self, slots: int) -> None:
-        """Takes the slots announced by the backend server."""
+        """Sets the slots that the backend server announced."""
         self.limiter.set_slots(slots)
         self.knee.set_slots(slots)
         self.admit_waiting(asyncio.get_running_loop().time())
@@ -183,10 +198,10 @@
     async def acquire(
         self, request: admissionrequest.AdmissionRequest
     ) -> Permit:
-        """Returns the pass of an admitted call, perhaps after a short wait.
+        """Returns the permit of a call, possibly after a short wait.
 
         Raises:
-          tickets.ShedError: the call was refused and must not run.
+          admissionrequest.ShedError: the call was refused and must not run.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -200,7 +215,7 @@
     def classify(
         self, request: admissionrequest.AdmissionRequest, now: float
     ) -> tuple[int, int]:
-        """Counts the arrival; returns its level and its rank in the queue."""
+        """Records the arrival; returns its admission level and queue rank."""
         importance = messages.Importance.NORMAL
         if self.settings.by_importance:
             importance = request.importance
@@ -217,10 +232,10 @@
     def check_admissible(
         self, request: admissionrequest.AdmissionRequest, level: int, now: float
     ) -> None:
-        """Refuses what would be shed anyway, or could not finish in time.
+        """Refuses a call that would be shed anyway or could not finish in time.
 
         Raises:
-          tickets.ShedError: the call must not run.
+          admissionrequest.ShedError: the call must not run.
         """
         self.update_threshold(now)
         self.overload.arrivals[level // overload.LEVELS_PER_GROUP] += 1
@@ -242,7 +257,7 @@
         now: float,
         queue_seconds: float,
     ) -> Permit:
-        """Takes a slot."""
+        """Takes a slot and returns its permit."""
         self.running += 1
         return Permit(self, operation, level, now, queue_seconds)
 
@@ -253,10 +268,11 @@
         rank: int,
         loop: asyncio.AbstractEventLoop,
     ) -> callqueue.Waiter:
-        """Puts the call into the queue, in the place of a worse one if full.
+        """Adds a call to the queue; if that is full, in place of a worse call.
 
         Raises:
-          tickets.ShedError: the queue is full of calls that are no worse.
+          admissionrequest.ShedError: the queue is full of calls that are no
+            worse, or the settings allow no waiting.
         """
         if self.queue_time <= 0:
             raise self.make_shed_error(messages.Reason.OVERLOADED, level)
@@ -283,7 +299,7 @@
         """Sheds the worst waiting call for a better one.
 
         Raises:
-          tickets.ShedError: the new call is the worst.
+          admissionrequest.ShedError: the new call is the worst.
         """
         worst_rank = self.queue.worst_rank()
         is_better = rank > worst_rank or (
@@ -296,20 +312,22 @@
     def max_wait(
         self, request: admissionrequest.AdmissionRequest, now: float
     ) -> float:
-        """Returns the longest wait in seconds.
+        """Returns the longest wait of a call in seconds.
 
-        A call from another hop may wait longer than a new one: giving it up
-        wastes the work done above.  Yet each hop above holds a slot while it
-        waits, and those slots are missed by operations that do not come here.
+        A call from another hop may wait longer than a new one, since giving it
+        up wastes the work of the earlier hops.  The wait is still bounded: each
+        earlier hop holds a slot meanwhile, which operations that do not call
+        this service then lack.
 
-        A critical call may wait longer while the queue stands: nothing less
-        important is let in before it, so it waits only for running calls.
+        A critical call may wait longer while the queue is standing: no less
+        important call is admitted before it, so it waits only for running
+        calls.
 
-        Both may wait for one service time at least.  Where that is longer
-        than the settings allow, as in a service that slowed, a call would be
-        given up before the first of the running ones can have ended.
+        Both may wait for at least one service time.  If that is longer than the
+        settings allow, as in a service that slowed down, a call would otherwise
+        be given up before the first running call can have ended.
 
-        Where the call says how long a wait is of use, that counts.
+        A max_wait of the request takes precedence, but not below queue_time.
         """
         service_time = self.service_times[request.operation].seconds_at(now)
         if request.max_wait:
@@ -324,10 +342,10 @@
         return self.extended_wait
 
     async def wait(self, waiter: callqueue.Waiter) -> Permit:
-        """Returns the pass once it is the waiter's turn.
+        """Waits for the permit and returns it.
 
         Raises:
-          tickets.ShedError: its time was up, or a better call took its place.
+          admissionrequest.ShedError: the wait timed out, or the call was shed.
         """
         try:
             return await waiter.future
@@ -336,10 +354,10 @@
             raise
 
     def cancel_wait(self, waiter: callqueue.Waiter) -> None:
-        """Takes a cancelled call out of the queue.
+        """Removes a cancelled call from the queue.
 
-        The pass may have been given in the same turn of the loop in which
-        the task was cancelled: nobody would ever give that slot back.
+        The permit may have been granted in the same iteration of the event loop
+        in which the task was cancelled; nobody else would release it.
         """
         self.queue.remove(waiter)
         waiter.timer.cancel()
@@ -348,7 +366,7 @@
             future.result().release(0.0, ok=False)
 
     def time_out(self, waiter: callqueue.Waiter) -> None:
-        """Ends a wait whose time is up."""
+        """Refuses a call whose wait timed out."""
         if not self.queue.remove(waiter):
             return
         now = asyncio.get_running_loop().time()
@@ -367,7 +385,7 @@
         child_wait_seconds: float,
         now: float,
     ) -> None:
-        """Learns service times from a whole answer."""
+        """Updates the estimates with the time of a complete response."""
         if not ok:
             return
         own_seconds = max(0.0, seconds - child_wait_seconds)
@@ -379,7 +397,7 @@
             )
 
     def release_slot(self, now: float) -> None:
-        """Takes a slot back and gives it to the best waiting call."""
+        """Frees a slot and gives it to the best waiting call."""
         self.running -= 1
         self.overload.served += 1
         self.completion_interval.observe(now)
@@ -402,10 +420,10 @@
         self.update_threshold(now)
 
     def update_threshold(self, now: float) -> None:
-        """Adjusts the threshold; refuses waiting calls that it shuts out.
+        """Updates the threshold and refuses the waiting calls below it.
 
-        On arrival they would be refused.  Newer calls go before them, so that
-        they would wait in vain, and each hop above holds a slot meanwhile.
+        On arrival they would be refused.  Newer calls are admitted before them,
+        so they would wait in vain while each earlier hop holds a slot.
         """
         previous = self.overload.threshold
         self.overload.update(not self.queue.length, now)
@@ -414,21 +432,22 @@
         self.refuse_below(self.overload.threshold, messages.Reason.OVERLOADED)
 
     def refuse_all_waiting(self) -> None:
-        """Refuses every waiting call: the backend server takes no more.
+        """Refuses every waiting call, since the backend server is leaving.
 
-        They can still be served elsewhere; kept in the queue they would reach
-        the backend server up to a whole wait after it said that it leaves.
+        The calls can still be served elsewhere.  If they stayed in the queue,
+        they would reach the backend server up to a whole wait after it said
+        that it leaves.
         """
         self.refuse_below(levels.LEVEL_COUNT, messages.Reason.LEAVING)
 
     def refuse_below(self, level: int, reason: messages.Reason) -> None:
-        """Refuses every waiting call below a level."""
+        """Refuses every waiting call with a lower level than this."""
         for waiter in self.queue.waiters_below(level):
             self.queue.remove(waiter)
             self.refuse(waiter, reason)
 
     def refuse(self, waiter: callqueue.Waiter, reason: messages.Reason) -> None:
-        """Ends the wait of a call that left the queue."""
+        """Refuses a call that was removed from the queue."""
         waiter.timer.cancel()
         if not waiter.future.done():
             waiter.future.set_exception(
@@ -438,7 +457,7 @@
     def make_shed_error(
         self, reason: messages.Reason, level: int
     ) -> admissionrequest.ShedError:
-        """Returns the error of a refusal, with a time to try again."""
+        """Returns the error for a refused call, with a time to retry."""
         drain_seconds = self.queue.length * self.completion_interval.seconds
         seconds = drain_seconds + self.overload.seconds_until_admitted(level)
         seconds = min(max(seconds, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
--- a/mangobay/cells.py
+++ b/mangobay/cells.py
@@ -1,4 +1,4 @@
-"""The columns of a sheet and how their cells are read."""
+"""The columns of a sheet and how their cells are parsed."""
 
 import collections.abc
 import dataclasses
@@ -20,7 +20,8 @@
     {"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}
 )
 RESERVED_SERVICES = frozenset({"mangobay", ids.OUTSIDE})
-"""The node answers below /mangobay itself; `outside` names every caller."""
+"""The node itself answers below /mangobay, and `outside` stands for callers
+that are no service."""
 IMPORTANCES = {
     importance.name.lower(): importance for importance in messages.Importance
 }
@@ -44,10 +45,10 @@
 
 
 def parse_boolean(text: str) -> bool:
-    """Returns the meaning of yes or no, as words or as spreadsheets write it.
+    """Returns a boolean given as a word or as spreadsheets write it.
 
     Raises:
-      ValueError: it is neither.
+      ValueError: the text is neither yes nor no.
     """
     match text.lower():
         case "yes" | "y" | "true" | "1" | "x":
@@ -58,10 +59,10 @@
 
 
 def parse_required_boolean(text: str) -> bool:
-    """Returns yes or no where an empty cell must not be taken for no.
+    """Returns a boolean where an empty cell must not count as no.
 
     Raises:
-      ValueError: it is neither.
+      ValueError: the text is neither yes nor no.
     """
     if not text:
         raise ValueError("must be yes or no")
@@ -69,15 +70,15 @@
 
 
 def parse_name(text: str) -> str:
-    """Returns a name of a service or operation.
+    """Returns the name of a service or operation.
 
     Raises:
-      ValueError: it is none.
+      ValueError: the text is not a valid name.
     """
     if not NAME_PATTERN.fullmatch(text):
         raise ValueError(
-            f"{text!r} is not a name: a letter, then letters, digits, -, _"
-            " and . in lower case, 64 at most"
+            f"{text!r} is not a valid name: expected a letter, then letters,"
+            " digits, -, _ and . in lower case, at most 64 characters"
         )
     return text
 
@@ -86,7 +87,7 @@
     """Returns the name of a service.
 
     Raises:
-      ValueError: it is none, or is reserved.
+      ValueError: the text is not a valid name, or the name is reserved.
     """
     if text in RESERVED_SERVICES:
         raise ValueError(f"{text!r} is reserved")
@@ -94,10 +95,10 @@
 
 
 def parse_choice(text: str, words: dict[str, object]) -> object:
-    """Returns what a word stands for.
+    """Returns the value that a word stands for.
 
     Raises:
-      ValueError: it is none of them; names the nearest one.
+      ValueError: the word is unknown; the message suggests the nearest one.
     """
     try:
         return words[text.lower()]
@@ -110,10 +111,10 @@
 
 
 def parse_method(text: str) -> str:
-    """Returns an HTTP method.
+    """Returns an HTTP method in upper case.
 
     Raises:
-      ValueError: it is none that the system carries.
+      ValueError: the method is not supported.
     """
     if text.upper() not in METHODS:
         raise ValueError(f"{text!r} is none of {', '.join(sorted(METHODS))}")
@@ -121,10 +122,10 @@
 
 
 def parse_path(text: str) -> str:
-    """Returns a path pattern, its `{name}` segments written as `*`.
+    """Returns a path pattern with its `{name}` segments replaced by `*`.
 
     Raises:
-      ValueError: it is no pattern.
+      ValueError: the text is not a valid pattern.
     """
     if not text.startswith("/"):
         raise ValueError(f"{text!r} must start with /")
@@ -142,10 +143,10 @@
 
 
 def parse_callers(text: str) -> list[str]:
-    """Returns the calling services, sorted, each once.
+    """Returns the calling services, sorted and without duplicates.
 
     Raises:
-      ValueError: one is no name.
+      ValueError: a name is not valid.
     """
     names = {name for name in CALLER_SEPARATORS.split(text) if name}
     if ids.EVERYONE in names:
@@ -154,10 +155,10 @@
 
 
 def parse_integer(text: str, low: int, high: int) -> int:
-    """Returns a whole number of a range.
+    """Returns an integer from `low` to `high`.
 
     Raises:
-      ValueError: it is none.
+      ValueError: the text is not an integer in this range.
     """
     if not text.isdecimal() or not low <= int(text) <= high:
         raise ValueError(f"{text!r} is not a whole number {low} to {high}")
@@ -166,11 +167,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CellParser:
-    """How the cells of a column are read.
+    """Parses the cells of one column.
 
     Attributes:
-      attribute: where the value goes in messages.Operation.
-      parse: makes the value; raises ValueError with what is wrong.
+      attribute: the attribute of messages.Operation that gets the value.
+      parse: returns the value of a cell; raises ValueError with what is wrong.
       required: whether the sheet must have the column.
     """
 
--- a/mangobay/downstream.py
+++ b/mangobay/downstream.py
@@ -1,28 +1,32 @@
-"""What the services below refuse, learned from the calls that ran here.
+"""Learns which calls the downstream services refuse.
 
-A call that is admitted here and refused below has wasted its slot and the
-work of every hop above.  So what is refused below an operation is refused
-here, and its replies carry that on to the hops above.  Operations are kept
-apart: those that never call the service in trouble go on.
+A call that is admitted here and refused downstream wastes its slot and the work
+of every earlier hop.  Calls that would be refused downstream are therefore
+refused here, and the replies report the threshold to the callers, which do the
+same.  Each operation has a threshold of its own: operations that do not call
+the overloaded service are not affected.
 """
 
 from mangobay import ids, levels
 
 MIN_CHILD_CALL_SHARE = 0.8
-"""Share of calls with child calls above which the level below counts here:
-else an operation that needs a child call only now and then would be refused
-for it always."""
+"""Share of calls with child calls from which the downstream threshold applies:
+otherwise an operation that seldom makes a child call would always be refused
+because of it."""
 SHARE_WEIGHT = 0.1
 """Weight of the newest call in that share."""
 
 
 class DownstreamTracker:
-    """Follows the threshold of the services that one operation calls.
+    """Tracks the threshold of the services that one operation calls.
 
     Attributes:
-      reported_threshold: the last threshold with which a child call was refused.
-      reported_at: loop time of that.
-      child_call_share: of the calls below it, how many made child calls.
+      reopen_time: seconds in which the threshold decays.
+      reported_threshold: the threshold that last refused a child call,
+        lowered by calls below it that succeeded.
+      reported_at: loop time of that refusal.
+      child_call_share: share of the calls below the threshold that made child
+        calls.
     """
 
     def __init__(self, reopen_time: float):
@@ -39,13 +43,14 @@
         ok: bool,
         now: float,
     ) -> None:
-        """Learns from a call that ran here.
+        """Updates the threshold with a call that ran here.
 
         Args:
-          level: of the call.
-          downstream_threshold: threshold with which its child call was refused, or OPEN.
-          made_child_call: it made a child call at all.
-          ok: it was answered.
+          level: admission level of the call.
+          downstream_threshold: threshold that refused its child call, or
+            ADMIT_ALL.
+          made_child_call: whether it made a child call.
+          ok: whether it got a complete response.
           now: loop time.
         """
         if downstream_threshold:
@@ -60,10 +65,10 @@
             self.reported_threshold = (self.reported_threshold + level) // 2
 
     def threshold(self, now: float) -> int:
-        """Returns the lowest level that is not refused below.
+        """Returns the lowest level that is not refused downstream.
 
-        It falls with time, so that a few calls go through and find out
-        whether the services below still refuse them.
+        It decays, so that a few calls go through and find out whether the
+        downstream services still refuse them.
         """
         if (
             not self.reported_threshold
@@ -80,10 +85,12 @@
 
 
 class DownstreamTrackers:
-    """What is refused below each operation.
+    """The downstream thresholds of the operations of a service.
 
     Attributes:
-      by_operation: by operation; as many as the sheet gives the service.
+      reopen_time: seconds in which a threshold decays.
+      by_operation: trackers by operation; at most as many as the sheet has
+        operations of the service.
     """
 
     def __init__(self, reopen_time: float):
@@ -99,7 +106,7 @@
         ok: bool,
         now: float,
     ) -> None:
-        """Learns from a call that ran here, as `Downstream.observe`."""
+        """Updates the threshold of an operation; see DownstreamTracker."""
         tracker = self.by_operation.get(operation)
         if tracker is None:
             tracker = DownstreamTracker(self.reopen_time)
@@ -107,6 +114,6 @@
         tracker.observe(level, downstream_threshold, made_child_call, ok, now)
 
     def threshold(self, operation: ids.OperationName, now: float) -> int:
-        """Returns the lowest level of an operation not refused below."""
+        """Returns the lowest level of an operation not refused downstream."""
         tracker = self.by_operation.get(operation)
         return tracker.threshold(now) if tracker else levels.ADMIT_ALL
--- a/mangobay/estimates.py
+++ b/mangobay/estimates.py
@@ -1,18 +1,24 @@
-"""Running estimates that admission goes by."""
+"""Running estimates for admission control."""
 
 HALF_LIFE = 1.0
-"""Seconds in which the expected service time halves without an answer."""
+"""Seconds without a response in which the expected service time halves."""
 INTERVAL_WEIGHT = 0.05
-"""Weight of the newest answer in the mean time between two answers."""
+"""Weight of the newest interval in the mean interval between responses."""
 MAX_INTERVAL = 1.0
-"""Seconds; a longer time between two answers was idleness."""
+"""Seconds; a longer interval counts as this long, since the backend server was
+idle."""
 
 
 class ServiceTime:
-    """A low estimate of the service time, so that no call is given up early.
+    """A low estimate of the service time.
 
-    It follows the fast answers, and fades without answers: an estimate above
-    every deadline would refuse all calls, so that no answer could mend it.
+    It follows fast responses more closely than slow ones, so that no call is
+    given up too early.  It decays without responses: an estimate above every
+    deadline would refuse all calls, and no response could ever correct it.
+
+    Attributes:
+      seconds: the estimate at the last response.
+      updated_at: loop time of the last response.
     """
 
     FALL_WEIGHT = 0.3
@@ -23,7 +29,7 @@
         self.updated_at = 0.0
 
     def observe(self, seconds: float, now: float) -> None:
-        """Learns from one answer."""
+        """Updates the estimate with the service time of one response."""
         weight = (
             self.FALL_WEIGHT if seconds < self.seconds else self.RISE_WEIGHT
         )
@@ -31,16 +37,16 @@
         self.updated_at = now
 
     def seconds_at(self, now: float) -> float:
-        """Returns the seconds that a call needs at least."""
+        """Returns the estimate, decayed since the last response."""
         return self.seconds * 0.5 ** ((now - self.updated_at) / HALF_LIFE)
 
 
 class CompletionInterval:
-    """The mean time between two answers.
+    """The mean interval between two responses.
 
     Attributes:
-      seconds: that mean.
-      last_completion: loop time of the last answer.
+      seconds: the mean interval.
+      last_completion: loop time of the last response.
     """
 
     def __init__(self):
@@ -48,7 +54,7 @@
         self.last_completion = 0.0
 
     def observe(self, now: float) -> None:
-        """Counts an answer; now is loop time."""
+        """Counts a response at loop time `now`."""
         interval = min(now - self.last_completion, MAX_INTERVAL)
         self.last_completion = now
         self.seconds += (interval - self.seconds) * INTERVAL_WEIGHT
--- a/mangobay/fairness.py
+++ b/mangobay/fairness.py
@@ -1,31 +1,36 @@
-"""Callers that send far more than the others."""
+"""Detects clients that send far more calls than the others."""
 
 from mangobay import ids
 
 HALF_LIFE = 2.0
-"""Seconds in which an old arrival loses half of its weight."""
+"""Seconds in which an arrival loses half of its weight."""
 MAX_CLIENTS = 2048
-"""Callers remembered; the lightest ones are forgotten first."""
+"""Clients remembered; the lightest ones are forgotten first."""
 MIN_ARRIVALS = 0.25
 """Arrivals; a client below this no longer counts for the mean."""
 MIN_HEAVY_ARRIVALS = 8.0
-"""Arrivals within about a half-life below which nobody is heavy."""
+"""Arrivals within about a half-life below which no client is heavy."""
 RESCALE_WEIGHT = 2.0**4
-"""Weight of an arrival at which weights are scaled back and idle clients
-forgotten: else they would drag the mean down and make everybody heavy."""
+"""Weight of an arrival at which weights are scaled back and idle clients are
+forgotten: otherwise idle clients would lower the mean and make every other
+client heavy."""
 MAX_HALF_LIVES = 64.0
-"""Half-lives after which an arrival counts as nothing."""
+"""Half-lives after which an arrival has no weight left."""
 
 
 class HeavyClientDetector:
-    """Decayed arrivals of each client, in bounded memory.
+    """Counts the arrivals of each client with decay, in bounded memory.
 
-    Instead of decaying every client as time passes, a new arrival weighs
-    more than the older ones: comparing two clients needs no clock.
+    The weights of the clients do not decay as time passes; instead a new
+    arrival weighs more than the older ones, so that comparing two clients needs
+    no clock.
 
     Attributes:
-      heavy_ratio: a client above this many times the mean of the others is heavy;
-        0 turns it off.
+      heavy_ratio: a client above this many times the mean of the others is
+        heavy; 0 turns the detection off.
+      weights: weight of the arrivals by client.
+      total: sum of the weights.
+      origin: loop time at which an arrival weighs 1.
     """
 
     def __init__(self, heavy_ratio: float):
@@ -35,7 +40,7 @@
         self.origin = 0.0
 
     def record_arrival(self, client: ids.ClientId, now: float) -> None:
-        """Counts an arrival; now is loop time."""
+        """Counts an arrival at loop time `now`."""
         weight = self.arrival_weight(now)
         if weight > RESCALE_WEIGHT:
             self.rescale(now)
@@ -56,17 +61,18 @@
         return own * others > self.heavy_ratio * (self.total - own)
 
     def arrival_weight(self, now: float) -> float:
-        """Returns the weight of one arrival at this time.
+        """Returns the weight of one arrival at loop time `now`.
 
-        Loop time counts from the start of the host, the origin from 0: on a
-        host that is up for half an hour the power overflows, and every first
-        call fails.  Bounded, it still outweighs all that came before.
+        Loop time counts from the boot of the host, the origin starts at 0.
+        Without a bound, the power overflows on a host that is up for half an
+        hour, and the first call of a node fails.  With it, an arrival still
+        outweighs all earlier ones.
         """
         half_lives = (now - self.origin) / HALF_LIFE
         return 2.0 ** min(half_lives, MAX_HALF_LIVES)
 
     def rescale(self, now: float) -> None:
-        """Makes now the origin and forgets who has not sent for long."""
+        """Moves the origin to `now` and forgets clients that are idle."""
         scale = 1.0 / self.arrival_weight(now)
         self.origin = now
         self.replace_weights(
@@ -80,7 +86,11 @@
     def prune(self, arrival_weight: float) -> None:
         """Forgets the idle clients, or else the lighter half.
 
-        Half at once, so that the sort is paid for by as many arrivals.
+        Removing half of them at once spreads the cost of sorting over as many
+        arrivals.
+
+        Args:
+          arrival_weight: weight of one arrival now.
         """
         active = {
             client: weight
@@ -95,6 +105,6 @@
         self.replace_weights(active)
 
     def replace_weights(self, weights: dict[ids.ClientId, float]) -> None:
-        """Replaces the weights and their sum."""
+        """Replaces the weights and updates their sum."""
         self.weights = weights
         self.total = sum(weights.values())
--- a/mangobay/knee.py
+++ b/mangobay/knee.py
@@ -1,10 +1,10 @@
-"""Where a backend server that is nearly full begins to slow down.
+"""Finds the knee of a backend server, the load above which it slows down.
 
-Some backend servers slow down when their last slots are in use.  Calls in
-those slots then take away more than they add: with a few slots left empty,
-more calls are answered, and each of them sooner.  The slots that a backend
-server announces do not tell; how long calls take that began beside few or many
-others does.
+Some backend servers slow down when their last slots are in use.  Calls in those
+slots then cost more throughput than they add: with a few slots left empty, more
+calls are answered, and each of them sooner.  The number of slots that a backend
+server announces does not show this, but the service times of calls that start
+beside few and beside many other calls do.
 """
 
 import dataclasses
@@ -12,35 +12,40 @@
 from mangobay import ids
 
 UNCONTENDED_SHARE = 0.85
-"""Share of the slots in use up to which a call counts as undisturbed."""
+"""Share of the slots in use up to which a call counts as uncontended."""
 BANDS = (0.95, 0.9, UNCONTENDED_SHARE)
-"""Shares of the slots in use above which calls are looked at together: few
-enough that some seconds of full load give each of them its answers."""
+"""Lower bounds of the bands of utilization whose calls are averaged together,
+as shares of the slots.  They are few, so that some seconds of full load fill
+a batch of each."""
 MIN_SLOWDOWN = 1.15
-"""Times the undisturbed seconds from which on a band does not pay: above what
-the fifteen hundredths of the slots of all bands could add."""
+"""Multiple of the uncontended service time from which a band adds no
+throughput: it is above what the last 15 % of the slots, which the bands cover,
+could add."""
 MAX_SLOWDOWN = 2.0
-"""Times the undisturbed seconds above which it is not the last slots that slow
-the calls: with fewer of them, fewer calls would be answered."""
+"""Multiple of the uncontended service time from which the last slots are not
+the cause: with fewer of them in use, fewer calls would be answered."""
 BATCH_SIZE = 96
-"""Answers that are looked at together; their mean is right to a twentieth."""
+"""Responses that are averaged together; their mean is accurate to about 5 %."""
 BATCHES_TO_CONFIRM = 2
-"""Batches in a row that must agree: a backend server that turns slow while one
-is collected looks for once as if only its last slots were slower."""
+"""Batches in a row that must agree: if a backend server turns slow while a
+batch is collected, that batch looks as if only the last slots were slower."""
 INITIAL_HOLD_TIME = 20.0
 """Seconds for which a band is left out before it is tried again; doubled each
-time.  It costs about a second of slower calls."""
+time.  A trial costs about a second of slower calls."""
 MAX_HOLD_TIME = 160.0
+"""Seconds; the hold time is not doubled beyond this."""
 UNLIMITED = 1_000_000
-"""Calls; the limit where every slot pays."""
+"""Calls; the limit if every slot adds throughput."""
 
 
 @dataclasses.dataclass(slots=True)
 class Batch:
-    """Values that are looked at together.
+    """Values that are averaged together.
 
     Attributes:
-      consecutive_slow: batches in a row that were slower than they should be.
+      total: sum of the values.
+      count: number of values.
+      consecutive_slow: batches in a row whose mean was too slow.
     """
 
     total: float = 0.0
@@ -48,7 +53,7 @@
     consecutive_slow: int = 0
 
     def add(self, value: float) -> float | None:
-        """Takes in a value; returns the mean of a batch that is full."""
+        """Adds a value; returns the mean if the batch is full, else None."""
         self.total += value
         self.count += 1
         if self.count < BATCH_SIZE:
@@ -61,10 +66,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Baseline:
-    """Undisturbed calls of one operation.
+    """Uncontended calls of one operation.
 
     Attributes:
-      seconds: mean of the last full batch, 0 before the first.
+      seconds: mean service time of the last full batch; 0 before the first.
+      batch: service times since then.
     """
 
     seconds: float = 0.0
@@ -72,13 +78,15 @@
 
 
 class KneeDetector:
-    """Finds how many of the slots of one backend server pay.
+    """Finds how many slots of one backend server add throughput.
 
     Attributes:
-      limit: calls at once above which nothing is gained.
-      slots: as announced; 0 when none were.
-      baselines: undisturbed calls, by operation.
-      bands: how many times longer the others took, by band.
+      limit: calls at once above which throughput does not grow.
+      slots: slots that the backend server announced; 0 before that.
+      baselines: uncontended calls by operation.
+      bands: slowdown of the other calls, by band.
+      hold_time: seconds of the next hold.
+      held_until: loop time until which the limit holds.
     """
 
     def __init__(self):
@@ -89,12 +97,12 @@
         self.reset()
 
     def reset(self) -> None:
-        """Uses every slot, and looks at new answers only."""
+        """Allows every slot and discards the slowdowns seen so far."""
         self.limit = UNLIMITED
         self.bands = [Batch() for _ in BANDS]
 
     def set_slots(self, slots: int) -> None:
-        """Takes the slots announced; of another number nothing is known."""
+        """Sets the announced slots; starts over if their number changed."""
         if slots != self.slots:
             self.slots = slots
             self.reset()
@@ -106,12 +114,12 @@
         running: int,
         now: float,
     ) -> None:
-        """Learns from one answer.
+        """Updates the limit with one response.
 
         Args:
-          operation: what was called.
-          seconds: the backend server's own time, without its child calls.
-          running: calls that ran when it began, itself included.
+          operation: the operation that was called.
+          seconds: time that the backend server took, without its child calls.
+          running: calls that ran when the call began, itself included.
           now: loop time.
         """
         if not self.slots:
@@ -127,20 +135,20 @@
             self.record_contended(utilization, seconds / baseline.seconds, now)
 
     def record_uncontended(self, baseline: Baseline, seconds: float) -> None:
-        """Takes in an undisturbed call."""
+        """Adds the service time of an uncontended call to its baseline."""
         mean = baseline.batch.add(seconds)
         if mean is None:
             return
         previous, baseline.seconds = baseline.seconds, mean
         if previous and not 1 / MIN_SLOWDOWN < mean / previous < MIN_SLOWDOWN:
-            # It works at another speed now: what was seen of the last slots
-            # was measured by the former one.
+            # The backend server runs at another speed now: the slowdowns in
+            # the bands are relative to an outdated baseline.
             self.bands = [Batch() for _ in BANDS]
 
     def record_contended(
         self, utilization: float, slowdown: float, now: float
     ) -> None:
-        """Takes in how much longer a call took beside many others."""
+        """Adds the slowdown of a contended call to its band."""
         index = next(
             index for index, share in enumerate(BANDS) if utilization > share
         )
--- a/mangobay/limiter.py
+++ b/mangobay/limiter.py
@@ -1,37 +1,46 @@
-"""How many calls may run at the backend server at once.
+"""Limits how many calls run at the backend server at once.
 
-Three policies, found by name in POLICIES: `fixed` keeps the slots announced,
-`none` has no limit, `adaptive` lowers the limit while that makes calls faster.
+POLICIES maps the values of the setting [admission] policy to limiters: `fixed`
+allows as many calls as the backend server announced slots, `none` sets no
+limit, and `adaptive` lowers the limit while that makes calls faster.
 """
 
 import dataclasses
 
 INITIAL_LIMIT = 20
-"""Calls; the limit before any slots were announced."""
+"""Calls; the limit before the backend server announces its slots."""
 UNLIMITED = 1_000_000
 """Calls; the limit of the policy `none`."""
 WINDOW_TIME = 0.2
 """Seconds; the shortest time over which service times are averaged."""
 MIN_SAMPLES = 32
-"""Answers without which a window says nothing."""
+"""Responses that a window needs before its mean is used."""
 SLOW_RATIO = 2.0
 """A mean above this many times the baseline counts as slow."""
 DECREASE_FACTOR = 0.8
+"""Factor of a decrease; a window is full if this share of the limit was in
+use."""
 INCREASE_FACTOR = 1.1
+"""Factor of an increase."""
 NEARLY_FULL_SHARE = 0.7
-"""Share of the slots in use from which on a refusal tells of too many calls."""
+"""Share of the slots in use from which a shed call means that too many calls
+run."""
 IMPROVED_RATIO = 0.9
-"""A step down helped if the mean fell below this share of the former one."""
+"""A decrease helped if the mean fell to this many times the previous mean or
+below."""
 INEFFECTIVE_DECREASES_TO_RESTORE = 1
-"""Steps down in a row that did not help, after which the limit is restored."""
+"""Decreases in a row that did not help, after which the limit is restored."""
 INITIAL_HOLD_TIME = 5.0
-"""Seconds for which the limit is not lowered after that; doubled each time."""
+"""Seconds after a restore in which the limit is not lowered; doubled each
+time."""
 MAX_HOLD_TIME = 60.0
+"""Seconds; the hold time is not doubled beyond this."""
 MIN_LIMIT_DIVISOR = 8
-"""The limit stays above the slots divided by this."""
+"""The limit does not fall below the slots divided by this."""
 BASELINE_RISE_WEIGHT = 0.01
-"""Share of the way to the mean that the baseline rises in a window."""
+"""Weight of the mean of a window that is slower than the baseline."""
 BASELINE_FALL_WEIGHT = 0.5
+"""Weight of the mean of a window that is faster than the baseline."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -40,8 +49,8 @@
 
     Attributes:
       started_at: loop time of its start.
-      count: answers seen.
-      total: sum of their seconds.
+      count: number of responses.
+      total: sum of their service times in seconds.
       max_running: most calls that ran at once.
     """
 
@@ -56,7 +65,7 @@
 
     Attributes:
       limit: calls that may run at once.
-      slots: slots announced; 0 when none were.
+      slots: slots that the backend server announced; 0 before that.
     """
 
     def __init__(self):
@@ -64,7 +73,7 @@
         self.slots = 0
 
     def set_slots(self, slots: int) -> None:
-        """Takes the slots announced by the backend server."""
+        """Sets the slots that the backend server announced."""
         if slots > 0 and slots != self.slots:
             self.slots = slots
             self.limit = slots
@@ -72,17 +81,22 @@
     def observe(
         self, seconds: float, running: int, admitted_at: float, now: float
     ) -> None:
-        """Learns from one answer.
+        """Updates the limit with one response.
 
         Args:
-          seconds: the backend server's own time, without its child calls.
-          running: calls that ran when it ended, itself included.
-          admitted_at: loop time at which it was admitted.
+          seconds: time that the backend server took, without its child calls.
+          running: calls that ran when the response came, its own included.
+          admitted_at: loop time at which the call was admitted.
           now: loop time.
         """
 
     def observe_shed(self, running: int, now: float) -> None:
-        """Learns that the backend server shed a call at this many running."""
+        """Updates the limit after the backend server shed a call.
+
+        Args:
+          running: calls that ran when it was shed, the call itself included.
+          now: loop time.
+        """
 
 
 class Unlimited(Limiter):
@@ -93,22 +107,31 @@
         self.limit = UNLIMITED
 
     def set_slots(self, slots: int) -> None:
-        """Takes no notice of the slots announced."""
+        """Ignores the slots that the backend server announced."""
 
 
 class Adaptive(Limiter):
-    """The policy `adaptive`: the slots, lowered while lowering helps.
+    """The policy `adaptive`: the slots, lowered while that helps.
 
-    A backend server that slows because too many calls share it gets faster
-    with a lower limit, and loses nothing.  One that slows for another reason
-    (a disk, a store) gets no faster: a lower limit would only cut what it can
-    serve, so the limit goes back and stays for a while.  Time spent waiting
-    for child calls is no sign of either and is left out by the caller.
+    A backend server that is slow because too many calls share it gets faster
+    with a lower limit, at no loss of throughput.  One that is slow for another
+    reason, such as its disk or a data store, gets no faster: a lower limit
+    would only reduce what it serves, so the limit is restored and held for a
+    while.  Time spent waiting for child calls indicates neither, and callers
+    leave it out.
 
     Attributes:
-      baseline: mean service seconds without strain; falls fast, rises slowly.
-      changed_at: loop time of the last change; calls admitted before it are not
-        looked at, since they ran under the former limit.
+      baseline: mean service time in seconds without overload; falls fast and
+        rises slowly.
+      changed_at: loop time of the last change of the limit; calls admitted
+        before it are ignored, since they ran under another limit.
+      window: the responses since then.
+      mean_before_decrease: mean of the window that led to the last decrease;
+        0 if there was none.
+      limit_before_decreases: the limit that a restore goes back to.
+      ineffective_decreases: decreases in a row that did not help.
+      hold_time: seconds of the next hold.
+      held_until: loop time until which the limit is not lowered.
     """
 
     def __init__(self):
@@ -124,13 +147,13 @@
 
     @property
     def min_limit(self) -> int:
-        """The limit never goes below this."""
+        """The lowest limit allowed."""
         return max(1, (self.slots or INITIAL_LIMIT) // MIN_LIMIT_DIVISOR)
 
     def observe(
         self, seconds: float, running: int, admitted_at: float, now: float
     ) -> None:
-        """Averages answers over a window, then judges it."""
+        """Adds a response to the window and adjusts the limit after it."""
         if admitted_at < self.changed_at:
             return
         window = self.window
@@ -143,12 +166,12 @@
         self.adjust_limit(window.total / window.count, window.max_running, now)
 
     def observe_shed(self, running: int, now: float) -> None:
-        """Goes below what the backend server just refused, once a window.
+        """Sets the limit below the calls that ran, at most once per window.
 
-        A burst of refusals is about one and the same overload; answering
-        each of them would take the limit to its lowest at once.  One that
-        refuses while most of its slots are free refuses for another reason:
-        with a lower limit fewer calls would be served, and none better.
+        A burst of shed calls has a single cause; reacting to each of them would
+        take the limit to its minimum at once.  A backend server that sheds
+        calls while most of its slots are free has another reason: a lower limit
+        would serve fewer calls and make none of them faster.
         """
         if now - self.changed_at < WINDOW_TIME:
             return
@@ -157,7 +180,7 @@
         self.set_limit(min(self.limit - 1, running - 1), now)
 
     def adjust_limit(self, mean: float, max_running: int, now: float) -> None:
-        """Changes the limit by the mean service seconds of a window."""
+        """Adjusts the limit to the mean service time of a window."""
         slow = self.baseline > 0 and mean > SLOW_RATIO * self.baseline
         self.update_baseline(mean)
         full = max_running >= self.limit * DECREASE_FACTOR
@@ -167,7 +190,7 @@
             self.increase(now)
 
     def update_baseline(self, mean: float) -> None:
-        """Moves the baseline."""
+        """Moves the baseline towards the mean of a window."""
         if self.baseline == 0:
             self.baseline = mean
             return
@@ -179,7 +202,7 @@
         self.baseline += (mean - self.baseline) * weight
 
     def decrease(self, mean: float, now: float) -> None:
-        """Lowers the limit, or restores it where that did not help."""
+        """Lowers the limit, or restores it if lowering did not help."""
         if (
             self.mean_before_decrease
             and mean > IMPROVED_RATIO * self.mean_before_decrease
@@ -196,7 +219,7 @@
         self.set_limit(int(self.limit * DECREASE_FACTOR), now)
 
     def restore_limit(self, now: float) -> None:
-        """Restores the limit: the cause is not the number of calls."""
+        """Restores the limit, since the number of calls is not the cause."""
         self.held_until = now + self.hold_time
         self.hold_time = min(self.hold_time * 2, MAX_HOLD_TIME)
         self.ineffective_decreases = 0
@@ -204,7 +227,7 @@
         self.set_limit(self.limit_before_decreases, now)
 
     def increase(self, now: float) -> None:
-        """Raises the limit towards the slots announced."""
+        """Raises the limit towards the slots."""
         if now >= self.held_until:
             self.mean_before_decrease = 0.0
             self.ineffective_decreases = 0
@@ -228,5 +251,5 @@
 
 
 def make(policy: str) -> Limiter:
-    """Returns the limiter that the setting [admission] policy names."""
+    """Returns the limiter for a value of the setting [admission] policy."""
     return POLICIES[policy]()
--- a/mangobay/overload.py
+++ b/mangobay/overload.py
@@ -1,42 +1,48 @@
-"""When a queue stands, and the threshold that this raises."""
+"""Detects a standing queue and sets the admission threshold."""
 
 import math
 
 from mangobay import levels
 
 ADJUST_INTERVAL = 0.1
-"""Seconds between two adjustments."""
+"""Seconds between two adjustments of the threshold."""
 LEVELS_PER_GROUP = 16
-"""Levels in one group of the count of arrivals."""
+"""Admission levels whose arrivals are counted together."""
 GROUP_COUNT = levels.LEVEL_COUNT // LEVELS_PER_GROUP
 RETAINED_SHARE = 0.5
-"""Share of the counts that is kept from one period to the next."""
+"""Share of the counts that is kept after an adjustment."""
 RETAINED_SHARE_AT_LOW_COUNT = 0.9
-"""The same where few calls are served: a count of a handful is too noisy to
-set a threshold by."""
+"""The same if few calls are served: counts of a handful of calls are too noisy
+to derive a threshold from."""
 LOW_COUNT = 32
-"""Calls from which on a count is no longer small."""
+"""Served calls up to which a count is low."""
 HEADROOM_FACTOR = 1.05
-"""Calls are let in for this many times what was served, so that the slots
-never run dry while the threshold is up."""
+"""Calls are admitted for this many times the calls served, so that no slot is
+idle while the threshold is raised."""
 
 
 class OverloadController:
     """Watches the queue of one backend server and sets the threshold.
 
-    A queue stands when it has not been empty for `interval`.  The shortest
-    wait, which CoDel watches, says nothing here: with the newest call first,
-    a call that comes late waits for nothing behind any number of stale ones.
+    A queue is standing if it has not been empty for `interval`.  The shortest
+    wait, which CoDel watches, does not show this here: with the newest call
+    first, a new call does not wait, however many stale ones do.
 
-    While the queue stands, the threshold rises towards the level above which
-    no more arrives than is served.  Otherwise it falls in steps over
-    `reopen_time`: what was refused early is not seen here, so that opening
-    at once would let the whole surge in again.
+    While the queue is standing, the threshold rises towards the level above
+    which no more calls arrive than are served.  Otherwise it decays over
+    `reopen_time`: this host does not see the calls that callers refuse early,
+    and dropping the threshold at once would admit the whole surge again.
 
     Attributes:
+      interval: seconds without an empty queue after which it is standing.
+      reopen_time: seconds in which the threshold decays.
       threshold: calls below this level are refused on arrival.
-      standing_threshold: the threshold when the queue last stood.
+      standing_threshold: the threshold when the queue was last standing.
       last_standing: loop time of that.
+      last_empty: loop time at which the queue was last empty.
+      adjusted_at: loop time of the last adjustment.
+      arrivals: decaying count of arrivals by group of levels.
+      served: decaying count of served calls.
     """
 
     def __init__(self, interval: float, reopen_time: float):
@@ -55,14 +61,14 @@
         return now - self.last_empty > self.interval
 
     def update(self, is_empty: bool, now: float) -> None:
-        """Notes whether the queue is empty, and adjusts the threshold."""
+        """Records whether the queue is empty; adjusts the threshold if due."""
         if is_empty:
             self.last_empty = now
         if now - self.adjusted_at >= ADJUST_INTERVAL:
             self.adjust(now)
 
     def adjust(self, now: float) -> None:
-        """Raises or lowers the threshold by what was seen lately."""
+        """Raises or lowers the threshold and decays the counts."""
         self.adjusted_at = now
         if self.is_standing(now):
             self.raise_threshold(now)
@@ -71,11 +77,11 @@
         self.decay_counts()
 
     def raise_threshold(self, now: float) -> None:
-        """Raises the threshold half way to what can be sustained.
+        """Raises the threshold half way to the sustainable one.
 
-        Half, since one count is noisy and the threshold never falls while
-        the queue stands: jumping to each new target would keep the highest
-        of many noisy ones.
+        A single count is noisy, and the threshold never falls while the queue
+        is standing: taking over each target in full would keep the highest of
+        many noisy ones.
         """
         target = self.sustainable_threshold()
         if target > self.threshold:
@@ -84,7 +90,7 @@
         self.last_standing = now
 
     def lower_threshold(self, now: float) -> None:
-        """Lowers the threshold by the time since the queue last stood."""
+        """Decays the threshold since the queue was last standing."""
         self.threshold = levels.decayed_threshold(
             self.standing_threshold,
             now - self.last_standing,
@@ -93,7 +99,7 @@
         )
 
     def decay_counts(self) -> None:
-        """Fades the counts; slowly where few calls are served."""
+        """Decays the counts, more slowly if few calls are served."""
         share = (
             RETAINED_SHARE
             if self.served > LOW_COUNT
--- a/mangobay/settings.py
+++ b/mangobay/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings of a program; all faults of a file are told together."""
+"""Reads the settings of a program and reports all errors of a file at once."""
 
 import collections.abc
 import configparser
@@ -15,24 +15,24 @@
 Program = typing.TypeVar("Program")
 
 NO_DEFAULT_SECTION = "\0"
-"""Never a section name: [DEFAULT] would spill its keys into all sections."""
+"""Never a section name: [DEFAULT] would add its keys to every section."""
 SECTION_LINE = re.compile(r"\[(?P<name>[^\]]*)\]")
 KEY_LINE = re.compile(r"(?P<name>[^\s=#;\[][^=]*?)\s*=")
 
 
 class SettingId(typing.NamedTuple):
-    """A key of a section; the section itself where `key` is empty."""
+    """Identifies a setting, or the section itself if `key` is empty."""
 
     section: str
     key: str = ""
 
 
 class Values(dict[SettingId, typing.Any]):
-    """What was read; a place whose text was faulty is missing."""
+    """The values read from a file; settings with invalid text are missing."""
 
 
 def section_settings(section: str, *keys: str) -> tuple[SettingId, ...]:
-    """Returns the places of several keys of one section."""
+    """Returns the ids of several settings of one section."""
     return tuple(SettingId(section, key) for key in keys)
 
 
@@ -41,10 +41,11 @@
     """A rule between settings.
 
     Attributes:
-      setting: where its finding is shown.
-      depends_on: further places it reads; it is left out where one is faulty.
-      is_satisfied: whether the values obey.
-      message: what is wrong and what would be right.
+      setting: the setting that its finding names.
+      depends_on: further settings that it reads; the rule is skipped if one of
+        them is invalid.
+      is_satisfied: returns whether the values obey the rule.
+      message: what is wrong and what is expected.
     """
 
     setting: SettingId
@@ -53,19 +54,19 @@
     message: str
 
     def can_evaluate(self, values: Values) -> bool:
-        """Returns whether everything it reads is there."""
+        """Returns whether all settings that the rule reads are valid."""
         return all(
             setting in values for setting in (self.setting, *self.depends_on)
         )
 
 
 def is_loopback(address: options.Address) -> bool:
-    """Returns whether only processes of the same host can connect."""
+    """Returns whether only processes on the same host can connect."""
     return ipaddress.ip_address(address.ip).is_loopback
 
 
 def are_distinct(values: Values, settings: tuple[SettingId, ...]) -> bool:
-    """Returns whether no two of the places hold the same address."""
+    """Returns whether no two of the settings hold the same address."""
     addresses = [values[setting] for setting in settings]
     return len(set(addresses)) == len(addresses)
 
@@ -81,7 +82,7 @@
 
 
 def unique_hosts_check(setting: SettingId) -> Check:
-    """Returns the check that a list of hosts names none of them twice."""
+    """Returns the check that a list of hosts has no duplicates."""
     return Check(
         setting=setting,
         is_satisfied=lambda values: (
@@ -97,7 +98,8 @@
     is_satisfied=lambda values: (
         len({bool(values[setting]) for setting in TLS_FILES}) == 1
     ),
-    message="give certificate, key and authority together, or none of them",
+    message="certificate, key and authority must be given together,"
+    " or none of them",
 )
 
 CHECKS: dict[type, tuple[Check, ...]] = {
@@ -112,14 +114,14 @@
             setting=NODE_LISTENERS[0],
             depends_on=NODE_LISTENERS[1:],
             is_satisfied=lambda values: are_distinct(values, NODE_LISTENERS),
-            message="outside, local and peer must be three addresses",
+            message="outside, local and peer must be different addresses",
         ),
         Check(
             setting=SettingId("control", "hosts"),
             is_satisfied=lambda values: (
                 len(values[SettingId("control", "hosts")]) > 0
             ),
-            message="name at least one control host",
+            message="must name at least one control host",
         ),
         unique_hosts_check(SettingId("control", "hosts")),
         unique_hosts_check(SettingId("control", "seeds")),
@@ -130,13 +132,13 @@
             setting=CONTROL_LISTENERS[0],
             depends_on=CONTROL_LISTENERS[1:],
             is_satisfied=lambda values: are_distinct(values, CONTROL_LISTENERS),
-            message="peer and operator must be two addresses",
+            message="peer and operator must be different addresses",
         ),
         Check(
             setting=GROUP_HOSTS,
             is_satisfied=lambda values: len(values[GROUP_HOSTS]) % 2 == 1,
             message="must be an odd number of hosts, so that two halves of"
-            " a cut group can never both have a majority",
+            " a partitioned group can never both have a majority",
         ),
         unique_hosts_check(GROUP_HOSTS),
         unique_hosts_check(GROUP_SEEDS),
@@ -147,7 +149,8 @@
                 values[GROUP_VOTERS] == 0 or len(values[GROUP_SEEDS]) > 0
             ),
             message="must name control hosts, since the group grows to"
-            " [group] voters: alone, this host would found one of its own",
+            " [group] voters: without them, this host would start a group"
+            " of its own",
         ),
         Check(
             setting=GROUP_HOSTS,
@@ -163,8 +166,8 @@
             is_satisfied=lambda values: (
                 values[ELECTION_TIMEOUT] >= 3 * values[HEARTBEAT_INTERVAL]
             ),
-            message="must be at least three times heartbeat_interval, or one"
-            " lost heartbeat deposes a leader",
+            message="must be at least three times heartbeat_interval, or a"
+            " single lost heartbeat ends the term of a leader",
         ),
         TLS_CHECK,
     ),
@@ -175,7 +178,9 @@
     """Reads one file against the sections of one program.
 
     Attributes:
-      findings: every fault so far, with its line.
+      path: the file.
+      sections: the sections of the program.
+      findings: every finding so far, with its line.
       line_numbers: the line of each section and key, counted from 1.
     """
 
@@ -186,7 +191,7 @@
         self.line_numbers: dict[SettingId, int] = {}
 
     def report(self, setting: SettingId, message: str, line: int = 0) -> None:
-        """Keeps a finding; without a line, that of the place is used."""
+        """Adds a finding; without a line, that of the setting is used."""
         line = (
             line
             or self.line_numbers.get(setting)
@@ -198,9 +203,9 @@
         self.findings.append((line, findings.Finding(location, message)))
 
     def index_lines(self, text: str) -> None:
-        """Finds the line of every section and key, and those given twice.
+        """Records the line of every section and key and reports duplicates.
 
-        configparser tells neither lines nor more than one duplicate.
+        configparser reports neither lines nor more than one duplicate.
         """
         section = ""
         for line, content in enumerate(text.splitlines(), 1):
@@ -211,15 +216,15 @@
                 self.record_line(SettingId(section, match["name"]), line)
 
     def record_line(self, setting: SettingId, line: int) -> None:
-        """Keeps the first line of a place and reports the others."""
+        """Records the first line of a setting and reports any other."""
         if setting not in self.line_numbers:
             self.line_numbers[setting] = line
             return
         first_line = self.line_numbers[setting]
-        self.report(setting, f"given already in line {first_line}", line)
+        self.report(setting, f"already given in line {first_line}", line)
 
     def parse(self, text: str) -> configparser.ConfigParser:
-        """Returns the parsed file; lines that are not INI are reported."""
+        """Returns the parsed file and reports lines that are not INI."""
         parser = configparser.ConfigParser(
             strict=False,
             interpolation=None,
@@ -232,11 +237,15 @@
             parser.read_string(text, self.path)
         except configparser.MissingSectionHeaderError as error:
             self.report(
-                SettingId(""), "a [section] must come first", error.lineno
+                SettingId(""),
+                "a [section] header must come first",
+                error.lineno,
             )
         except configparser.ParsingError as error:
             for line, content in error.errors:
-                message = f"neither [section] nor `key = value`: {content}"
+                message = (
+                    f"neither a [section] header nor `key = value`: {content}"
+                )
                 self.report(SettingId(""), message, line)
         return parser
 
@@ -254,7 +263,7 @@
                     self.report(SettingId(section, key), f"no such key{hint}")
 
     def read_values(self, parser: configparser.ConfigParser) -> Values:
-        """Returns the value of each option; faulty ones are reported."""
+        """Returns the value of each option and reports invalid ones."""
         values = Values()
         for section, (_, section_options) in self.sections.items():
             for option in section_options:
@@ -267,7 +276,7 @@
         return values
 
     def check_rules(self, values: Values, checks: tuple[Check, ...]) -> None:
-        """Reports the rules between settings that do not hold."""
+        """Reports the rules between settings that are violated."""
         for check in checks:
             if check.can_evaluate(values) and not check.is_satisfied(values):
                 self.report(check.setting, check.message)
@@ -280,10 +289,10 @@
 
 
 def parse_value(option: options.Option, text: str | None) -> typing.Any:
-    """Returns the value of an option's text; None means not given.
+    """Returns the value of an option's text; None means that it is not given.
 
     Raises:
-      ValueError: with a message fit for the operator.
+      ValueError: the text is invalid; the message is for the operator.
     """
     if text is None:
         raise ValueError(f"must be given: {option.help}")
@@ -296,7 +305,7 @@
     """Returns the text of a settings file.
 
     Raises:
-      errors.SettingsError: it cannot be read or is not UTF-8.
+      errors.SettingsError: the file cannot be read or is not UTF-8.
     """
     try:
         with open(path, encoding="utf-8-sig") as file:
@@ -314,10 +323,10 @@
     Args:
       path: the INI file.
       sections: NODE_SECTIONS or CONTROL_SECTIONS of the generated settings.
-      cls: the generated class that holds them.
+      cls: the generated class that holds the settings.
 
     Raises:
-      errors.SettingsError: with every fault of the file.
+      errors.SettingsError: the file has errors; it lists all of them.
     """
     text = read_text(path)
     reader = Reader(path, sections)
@@ -354,7 +363,7 @@
 
 
 def describe_constraints(option: options.Option) -> str:
-    """Returns kind, unit, range and choices of an option in words."""
+    """Returns the kind, unit, range and choices of an option as text."""
     parts = [option.kind.value]
     if option.unit:
         parts.append(f"in {option.unit}")
--- a/mangobay/sheet.py
+++ b/mangobay/sheet.py
@@ -1,4 +1,8 @@
-"""The planners' sheet: CSV in, checked operations out, or all findings."""
+"""Parses a sheet: CSV in, checked operations or all findings out.
+
+A sheet is the file in which planners list the operations of all services, one
+a row.
+"""
 
 import csv
 import dataclasses
@@ -20,8 +24,8 @@
     """A checked sheet.
 
     Attributes:
-      operations: by service and name.
-      digest: fingerprint of the content, the same for every way to write it.
+      operations: sorted by service and name.
+      digest: hash of the content; it does not depend on how the CSV writes it.
     """
 
     operations: list[messages.Operation]
@@ -29,12 +33,12 @@
 
 
 class Parser:
-    """Reads one sheet and collects what is wrong with it.
+    """Parses one sheet and collects its findings.
 
     Attributes:
-      file_name: of the file, for places.
+      file_name: what findings call the file.
       findings: every finding so far.
-      operations_by_row: the operations that were read, by their row of the sheet.
+      operations_by_row: the valid operations by their row of the sheet.
     """
 
     def __init__(self, name: str):
@@ -43,7 +47,7 @@
         self.operations_by_row: dict[int, messages.Operation] = {}
 
     def report(self, message: str, row: int = 0, column: str = "") -> None:
-        """Keeps a finding with its place."""
+        """Adds a finding at a row and column of the sheet."""
         location = self.file_name
         if row:
             location = f"{location}:row {row}"
@@ -52,7 +56,7 @@
         self.findings.append(findings.Finding(location, message))
 
     def raise_findings(self) -> None:
-        """Raises SheetError if there are findings; a flood is cut short."""
+        """Raises SheetError if there are findings; shortens a long list."""
         if len(self.findings) > MAX_FINDINGS:
             omitted = len(self.findings) - MAX_FINDINGS
             del self.findings[MAX_FINDINGS:]
@@ -61,7 +65,7 @@
             raise errors.SheetError(self.findings)
 
     def decode(self, data: bytes) -> str:
-        """Returns the text of a sheet of sound size and encoding."""
+        """Returns the text of a sheet after checking its size and encoding."""
         if len(data) > MAX_BYTES:
             self.report(f"is longer than {MAX_BYTES} bytes")
         try:
@@ -73,7 +77,7 @@
         return ""
 
     def read_records(self, text: str) -> list[list[str]]:
-        """Returns the cells of each row, trimmed."""
+        """Returns the cells of each row without surrounding spaces."""
         header = text.partition("\n")[0]
         delimiter = ";" if header.count(";") >= header.count(",") else ","
         reader = csv.reader(
@@ -91,13 +95,13 @@
         return records
 
     def read_columns(self, header: list[str]) -> dict[int, cells.Column]:
-        """Returns which column stands where."""
+        """Returns the columns by their position in the header."""
         known = {column.value: column for column in cells.Column}
         columns: dict[int, cells.Column] = {}
         for position, title in enumerate(header):
             column = known.get(title.lower().replace(" ", "_"))
             if column in columns.values():
-                self.report("is there twice", 1, title)
+                self.report("occurs twice", 1, title)
             elif column:
                 columns[position] = column
             elif title:
@@ -118,10 +122,14 @@
             column = columns.get(position)
             if column is None:
                 if text:
-                    self.report(f"{text!r} stands outside the columns", row)
+                    self.report(f"{text!r} is outside the columns", row)
                 continue
             if len(text) > MAX_CELL_LENGTH:
-                self.report(f"longer than {MAX_CELL_LENGTH}", row, column.value)
+                self.report(
+                    f"exceeds the maximum length of {MAX_CELL_LENGTH}",
+                    row,
+                    column.value,
+                )
                 continue
             cell_parser = cells.CELL_PARSERS[column]
             try:
@@ -135,7 +143,7 @@
             self.operations_by_row[row] = messages.Operation(**values)
 
     def check_keys(self) -> None:
-        """Reports a key demanded where a repeat does no harm."""
+        """Reports idempotent operations that require a key without need."""
         for row, operation in self.operations_by_row.items():
             if operation.idempotent and operation.key_required:
                 self.report(
@@ -145,9 +153,9 @@
                 )
 
     def check_callers(self) -> None:
-        """Reports callers that the sheet does not have as a service.
+        """Reports callers that are not a service of the sheet.
 
-        A misspelt caller would cut that service off without a word.
+        A misspelled caller would silently deny that service access.
         """
         services = {
             operation.service for operation in self.operations_by_row.values()
@@ -163,7 +171,7 @@
                     )
 
     def check_conflicts(self) -> None:
-        """Reports rows that name the same operation or the same requests."""
+        """Reports rows with the same operation name or the same request."""
         row_by_name: dict[tuple, int] = {}
         row_by_request: dict[tuple, int] = {}
         for row, operation in self.operations_by_row.items():
@@ -172,8 +180,8 @@
             )
             if first_row != row:
                 self.report(
-                    f"{operation.service} {operation.name} is in row {first_row}"
-                    " already",
+                    f"{operation.service} {operation.name} is in row"
+                    f" {first_row} already",
                     row,
                     cells.Column.OPERATION.value,
                 )
@@ -189,7 +197,7 @@
 
 
 def compute_digest(operations: list[messages.Operation]) -> bytes:
-    """Returns the fingerprint of operations sorted by service and name."""
+    """Returns the hash of operations that are sorted by service and name."""
     content = [dataclasses.asdict(operation) for operation in operations]
     text = json.dumps(content, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).digest()
@@ -199,11 +207,11 @@
     """Returns the checked content of a sheet.
 
     Args:
-      data: the file as it is.
+      data: the content of the file.
       file_name: what findings call the file.
 
     Raises:
-      errors.SheetError: with every finding.
+      errors.SheetError: the sheet has errors; it lists all of them.
     """
     parser = Parser(file_name)
     records = parser.read_records(parser.decode(data))
@@ -221,7 +229,9 @@
     if not faulty_rows:
         parser.check_callers()
     if not parser.operations_by_row and not faulty_rows:
-        parser.report("has no operations; an empty sheet would stop everything")
+        parser.report(
+            "has no operations; an empty sheet would disable all services"
+        )
     parser.raise_findings()
     operations = sorted(
         parser.operations_by_row.values(), key=operationtable.sort_key
--- a/tests/routingfakes.py
+++ b/tests/routingfakes.py
@@ -1,4 +1,4 @@
-"""Settings and views for the tests of the decisions."""
+"""Settings, members and views for the tests of routing and admission."""
 
 from bench import nodesettings
 from mangobay import ids, routing
@@ -18,7 +18,7 @@
     incarnation: str = "1",
     slots: int = 20,
 ) -> messages.Member:
-    """Returns a host that serves with these slots."""
+    """Returns a host that serves quotes with this number of slots."""
     return messages.Member(
         host=ids.HostId(host),
         incarnation=ids.Incarnation(incarnation),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission at the node beside the backend server."""
+"""Admission control at the node beside the backend server."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 def make_controller(slots: int = 1, **changes) -> admission.AdmissionController:
-    """Returns an admission with a fixed number of slots."""
+    """Returns an admission controller with a fixed number of slots."""
     settings = {"policy": "fixed"} | changes
     controller = admission.AdmissionController(
         fakes.section("admission", **settings),
@@ -33,7 +33,7 @@
     timeout: float = 5.0,
     client: str = "reader",
 ) -> admissionrequest.AdmissionRequest:
-    """Returns the ticket of a call that arrives now."""
+    """Returns the request of a call that arrives now."""
     return admissionrequest.AdmissionRequest(
         importance=importance,
         depth=depth,
@@ -56,7 +56,7 @@
 async def grant_order(
     tasks: list[asyncio.Task], first_permit: admission.Permit
 ) -> list:
-    """Frees one slot after the other; returns who got it, in order."""
+    """Frees one slot after the other; returns the order of the grants."""
     order = []
     permit = first_permit
     while len(order) < len(tasks):
@@ -107,10 +107,10 @@
         assert await grant_order(tasks, running) == [0, 1]
 
     async def test_a_full_queue_sheds_its_worst_for_a_better_call(self):
-        """The queue is full of normal calls when a booking arrives.
+        """A critical call is refused because normal calls fill the queue.
 
-        The oldest normal call is refused at once and the booking takes its
-        place; the next normal call of a lower kind finds no room.
+        The oldest normal call has to be refused at once, and the critical call
+        takes its place.  A less important call still finds no room.
         """
         controller = make_controller(queue_length=2)
         await controller.acquire(make_request())
@@ -141,11 +141,10 @@
         assert looptime < 0.3
 
     async def test_a_deep_call_may_wait_for_one_service_time(self):
-        """Calls take a second since the service slowed, far above queue_time.
+        """A call from another hop times out before any running call can end.
 
-        A call from another hop comes while the only slot is taken. Given up
-        by the settings alone, it would be refused before any call can have
-        ended, whatever its importance. It gets the slot instead.
+        This happens if queue_time limits its wait while a service slowed down
+        so far that a call takes much longer than that.
         """
         controller = make_controller(queue_time=0.02)
         for _ in range(300):
@@ -157,10 +156,10 @@
         assert (await task).held
 
     async def test_a_call_that_cannot_finish_is_not_run(self):
-        """Calls take 100 ms and one arrives with 20 ms left.
+        """A call takes a slot although its deadline comes too soon to finish.
 
-        Running it would spend a slot on an answer that nobody awaits any
-        more, so it is refused at once although slots are free.
+        Calls take 100 ms and one arrives with 20 ms left: it has to be refused
+        at once although slots are free.
         """
         controller = make_controller(slots=4)
         for _ in range(200):
@@ -172,11 +171,11 @@
         assert controller.running == 0
 
     async def test_a_risen_threshold_refuses_who_waits_below_it(self):
-        """The queue stands, and new calls go before those that wait.
+        """Calls below a raised threshold wait in vain.
 
-        The threshold rises above the normal calls. A new one would be
-        refused, so those that wait are as well, and the hops above get their
-        slots back. The important one goes on waiting.
+        Newer calls are admitted before them, and each earlier hop holds a slot
+        while they wait.  The threshold rises above the normal calls: those that
+        wait have to be refused, and the critical one goes on waiting.
         """
         controller = make_controller(queue_time=1)
         first = await controller.acquire(make_request())
@@ -201,11 +200,11 @@
         assert (await tasks[1]).held
 
     async def test_who_waits_is_refused_when_the_backend_server_leaves(self):
-        """A request reaches a backend server long after it said it leaves.
+        """A call reaches a backend server long after it said that it leaves.
 
-        It waits for a slot when the backend server begins to drain, and gets
-        one when a running request ends.  Refused at once, and truly, it is
-        served elsewhere.
+        The call waits for a slot when the backend server begins to drain, and
+        would get one when a running call ends.  Refused at once and not run, it
+        can be served elsewhere.
         """
         controller = make_controller()
         running = await controller.acquire(make_request())
@@ -217,9 +216,10 @@
         assert reasons == [messages.Reason.LEAVING] * 2
 
     async def test_one_operations_time_is_not_anothers(self):
-        """Searches take 10 ms, prices 300 ms, and 100 ms are left.
+        """A fast operation is refused by the service time of a slow one.
 
-        A price is refused before it runs, a search goes.
+        Searches take 10 ms, prices 300 ms, and 100 ms are left: a price has to
+        be refused before it runs, a search to be admitted.
         """
         controller = make_controller(slots=8)
         for name, seconds in (("price", 0.3), ("search", 0.01)):
@@ -235,10 +235,10 @@
         assert (await controller.acquire(late_request)).held
 
     async def test_an_estimate_above_all_deadlines_fades(self):
-        """The backend server was so slow that no deadline could be met.
+        """All calls are refused for ever after a backend server was very slow.
 
-        All calls are refused, so no answer could show that it recovered.
-        The estimate halves with time; calls go through again by themselves.
+        With an estimate above every deadline no call runs, so that no response
+        shows that the backend server recovered.  The estimate has to decay.
         """
         controller = make_controller(slots=4)
         for _ in range(500):
@@ -252,13 +252,13 @@
 
 @pytest.mark.looptime
 class TestSlots:
-    """No slot is lost or given twice."""
+    """No slot is lost or granted twice."""
 
     async def test_a_cancelled_wait_gives_its_slot_on(self):
-        """The caller hangs up in the very turn in which its call is admitted.
+        """A slot is lost because its call is cancelled as it is admitted.
 
-        The pass was made but nobody would use or return it, and the slot
-        would be gone for good.
+        If both happen in the same iteration of the event loop, the permit was
+        granted, but nobody uses or releases it.
         """
         controller = make_controller()
         running = await controller.acquire(make_request())
@@ -278,10 +278,9 @@
         assert controller.running == 1
 
     async def test_never_more_than_the_limit(self):
-        """Callers come, wait, hang up and leave at random.
+        """More calls run than there are slots, or slots are lost.
 
-        Whatever the order, no more calls run than there are slots, and all
-        slots are free in the end.
+        Calls arrive, wait, are cancelled and end in random order.
         """
         controller = make_controller(slots=3)
         rng = random.Random(fakes.SEED)
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""Callers that send far more than the others."""
+"""Detection of clients that send far more than the others."""
 
 import random
 
@@ -8,17 +8,18 @@
 
 
 def client_id(number: int) -> ids.ClientId:
-    """Returns one client's name."""
+    """Returns the id of one client."""
     return ids.ClientId(f"client-{number}")
 
 
 class TestFairness:
-    """Who is heavy."""
+    """Which clients are heavy."""
 
     def test_one_caller_far_above_the_others(self):
-        """One caller repeats ten times as fast as twenty others.
+        """A client that sends far more than the others is not detected.
 
-        It alone is heavy; once it slows down, it is forgiven in seconds.
+        One client repeats ten times as fast as twenty others.  It alone has to
+        be heavy, and no longer so some seconds after it stopped.
         """
         detector = fairness.HeavyClientDetector(4)
         now = 0.0
@@ -37,10 +38,11 @@
         assert not detector.is_heavy(client_id(99), later)
 
     def test_works_on_a_host_up_for_long_and_after_a_long_silence(self):
-        """The clock counts from the host's boot, hours before the node.
+        """Clients become heavy because the loop time is large or jumps.
 
-        The first call of the node comes at a large loop time, the next one
-        a month later.  Both are counted, and neither makes anybody heavy.
+        Loop time counts from the boot of the host, hours before the node
+        starts.  The first calls come at a large loop time, the next ones a
+        month later; both have to count, and neither makes a client heavy.
         """
         detector = fairness.HeavyClientDetector(4)
         for start in (4000.0, 3e6):
@@ -57,9 +59,9 @@
         assert not detector.is_heavy(client_id(0), 5.0)
 
     def test_memory_is_bounded(self):
-        """Ever new names arrive, as from callers that change theirs.
+        """Clients that change their name fill the memory of the detector.
 
-        The table stays bounded, and a caller that keeps sending is kept.
+        It has to stay bounded and to remember a client that keeps sending.
         """
         detector = fairness.HeavyClientDetector(4)
         rng = random.Random(fakes.SEED)
@@ -73,10 +75,11 @@
         assert detector.is_heavy(client_id(-1), 2.0)
 
     def test_a_host_that_is_up_for_long(self):
-        """A node starts on a host that is up for days, or idles for days.
+        """The weight of the first call overflows, and no call is answered.
 
-        Its loop time is far from the last origin of the weights.  The first
-        call overflowed their power, and no call was answered ever after.
+        This happens if the loop time is far from the origin of the weights: on
+        a host that was up for days before the node started, or after the node
+        was idle for days.
         """
         day = 86400.0
         detector = fairness.HeavyClientDetector(4)
--- a/tests/test_knee.py
+++ b/tests/test_knee.py
@@ -1,4 +1,4 @@
-"""Backend servers that slow down when nearly full."""
+"""Backend servers that slow down when they are nearly full."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class SimulatedBackend:
-    """Feeds a knee with answers at any number of calls at once."""
+    """Feeds a knee detector with responses at any number of running calls."""
 
     def __init__(self, slowdown):
         self.knee = knee.KneeDetector()
@@ -35,7 +35,7 @@
 
 
 class TestKnee:
-    """How many slots pay."""
+    """How many slots add throughput."""
 
     def test_the_last_slots_of_one_that_slows_are_left_empty(self):
         backend = SimulatedBackend(lambda running: 1.3 if running > 21 else 1.0)
@@ -56,10 +56,11 @@
 
     @pytest.mark.parametrize("slowdown", [1.0, 1.08, 12.0])
     def test_where_it_is_not_the_last_slots_all_are_used(self, slowdown):
-        """A backend server turns slow, however few calls it runs.
+        """The limit is lowered although the last slots are not the cause.
 
-        It is full soon, and its calls take many times what they took before:
-        with fewer of them at once it would only answer fewer.
+        A backend server turns slow, however few calls it runs.  It is soon full
+        and its calls take many times as long: with fewer of them at once it
+        would only answer fewer.
         """
         backend = SimulatedBackend(lambda running: 1.0)
         backend.run(10, 300)
@@ -75,13 +76,14 @@
 
 @pytest.mark.looptime
 class TestLoad:
-    """Callers of a backend server that slows when its last slots are used."""
+    """Callers of a backend server that slows down in its last slots."""
 
     async def test_more_of_them_are_served(self):
-        """Callers come a little faster than the backend server can answer.
+        """A backend server answers fewer calls than it could.
 
-        With all slots in use it slows by a third and answers fewer than it
-        could: a queue stands, and callers are refused.
+        Calls arrive a little faster than it can answer.  With all slots in use
+        it slows down and answers fewer, so that a queue is standing and callers
+        are refused.
         """
         controller = admission.AdmissionController(
             routingfakes.section("admission"),
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -1,4 +1,4 @@
-"""The limit of calls at the backend server."""
+"""The limits of the calls at the backend server."""
 
 import pytest
 
@@ -9,10 +9,12 @@
 
 
 class SimulatedBackend:
-    """Feeds a limiter with answers of a backend server that is always full.
+    """Feeds a limiter with responses of a backend server that is always full.
 
     Attributes:
       seconds: service time as a function of the calls that run.
+      now: simulated time.
+      limits: the limit after each response.
     """
 
     def __init__(self, policy: str = "adaptive"):
@@ -23,7 +25,7 @@
         self.limits: list[int] = []
 
     def run(self, until: float) -> None:
-        """Answers calls, evenly spaced, until this time."""
+        """Sends evenly spaced responses until this time."""
         while self.now < until:
             running = self.limiter.limit
             seconds = self.seconds(running)
@@ -37,10 +39,11 @@
     """The limit follows the cause of the slowness."""
 
     def test_falls_where_calls_slow_each_other(self):
-        """Each call takes longer the more of them run, by a shared resource.
+        """The limit stays although calls slow each other down.
 
-        Fewer at once are answered just as often and sooner, so less of each
-        deadline is spent; the limit falls until calls are fast again.
+        Calls share a resource, so each of them takes longer the more of them
+        run.  Fewer at once have the same throughput and are answered sooner:
+        the limit has to fall until calls are fast, and to rise again later.
         """
         backend = SimulatedBackend()
         backend.run(2)
@@ -52,10 +55,10 @@
         assert backend.limiter.limit == SLOTS
 
     def test_stays_where_a_lower_limit_does_not_help(self):
-        """Every call takes five times longer, however many run.
+        """The limit is lowered although that only reduces throughput.
 
-        A lower limit would only serve fewer calls.  One step down shows it;
-        the limit is restored and left alone for a while.
+        Every call takes five times longer, however many run.  After a single
+        decrease the limit has to be restored and held for a while.
         """
         backend = SimulatedBackend()
         backend.run(2)
@@ -74,7 +77,7 @@
 
 
 class TestOtherPolicies:
-    """The policies that do not learn."""
+    """The policies with a constant limit."""
 
     @pytest.mark.parametrize(
         "policy, limit", [("fixed", SLOTS), ("none", limiter.UNLIMITED)]
@@ -88,7 +91,7 @@
 
 
 class TestShed:
-    """A backend server that refuses calls."""
+    """A backend server that sheds calls."""
 
     def test_one_that_is_full_gets_fewer(self):
         backend = SimulatedBackend()
@@ -97,11 +100,11 @@
         assert backend.limiter.limit < SLOTS
 
     def test_one_with_free_slots_keeps_its_limit(self):
-        """Callers are refused though most slots of the service are free.
+        """Callers are refused although most slots of the service are free.
 
-        A backend server refuses half of its calls for a reason of its own;
-        each refusal lowered the limit until the node refused most of what
-        the backend server would still have answered.
+        This happens if every call that a backend server sheds lowers the limit,
+        also where it sheds half of its calls for another reason than load: the
+        node then refuses calls that the backend server would answer.
         """
         backend = SimulatedBackend()
         backend.run(1)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Trouble in a chain of services: what callers get, and what is left over."""
+"""Overload of a chain of services: what callers get and what is wasted."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 async def slow_down(
     service: fakechain.FakeService, factor: float, start: float, end: float
 ) -> None:
-    """Makes a service slower for a while."""
+    """Slows a service down by a factor from `start` to `end` seconds."""
     await asyncio.sleep(start)
     service.slowdown = factor
     await asyncio.sleep(end - start)
@@ -22,14 +22,15 @@
 
 @pytest.mark.looptime
 class TestSlowService:
-    """A deep service slows fivefold, then recovers."""
+    """The last service slows down fivefold, then recovers."""
 
     async def test_no_overload_outlasts_its_cause(self):
-        """Refused callers come back up to four times, so load doubles.
+        """Retries keep a chain of services overloaded after its cause is gone.
 
-        While the last service is slow the slots of the first are held by
-        calls that wait for it.  Important calls go on; within two seconds of
-        the end all calls are answered, and no queue stands.
+        Refused callers retry up to four times, so load doubles, and the slots
+        of the first service are held by calls that wait for the slow one.
+        Critical calls have to be answered meanwhile.  Two seconds after the
+        cause ended, all calls have to be answered and no queue may be standing.
         """
         chain = fakechain.make_chain([8, 8, 8], OWN_SECONDS)
         load = fakechain.LoadGenerator(chain)
@@ -47,10 +48,10 @@
         assert not any(service.admission.running for service in chain)
 
     async def test_slots_serve_whole_requests_meanwhile(self):
-        """The bar is what the slots could serve while the service is slow.
+        """Slots are wasted on stale or repeated work while a service is slow.
 
-        Stale or repeated work in the slots would show as fewer whole
-        answers than the slots have room for.
+        The number of complete answers is compared with what the slots of the
+        slow service can serve.
         """
         chain = fakechain.make_chain([8, 8, 8], OWN_SECONDS)
         load = fakechain.LoadGenerator(chain)
@@ -70,13 +71,14 @@
 
 @pytest.mark.looptime
 class TestSurge:
-    """Demand rises to three times what the slots can serve."""
+    """Load rises to three times what the slots can serve."""
 
     async def test_important_calls_are_shed_last(self):
-        """Normal calls alone would fill the slots three times over.
+        """Critical calls are refused because normal calls fill the slots.
 
-        Bookings take a third of the slots when they get them; they must be
-        answered as if the normal calls were not there.
+        Normal calls alone would fill the slots three times over.  Critical ones
+        need a third of the slots and have to be answered as if the normal calls
+        were not there.
         """
         chain = fakechain.make_chain([8, 8, 8], OWN_SECONDS)
         load = fakechain.LoadGenerator(chain)
@@ -89,10 +91,11 @@
         assert load.success_rate("reader", 1, 4) > 0.05
 
     async def test_callers_that_repeat_hard_do_not_starve_the_others(self):
-        """Two callers send five times as much as 40 others together.
+        """Two clients that send most of the calls get most of the slots.
 
-        By chance alone each call would have the same share.  The two are
-        shed first within their importance, so the others keep more.
+        They send five times as much as 40 others together.  If every call had
+        the same chance, the others would get little: within an importance, the
+        calls of heavy clients have to be shed first.
         """
         chain = fakechain.make_chain([8], [0.05])
         load = fakechain.LoadGenerator(chain)
@@ -110,10 +113,11 @@
     """A service with few slots at the end of the chain."""
 
     async def test_little_work_is_done_for_calls_refused_below(self):
-        """The first services have room for all, the last for a tenth.
+        """Services work for calls that are refused at the end of the chain.
 
-        Left alone they would run every call and see it refused at the end.
-        They learn what the last one refuses and refuse it themselves.
+        The first services have slots for all calls, the last one for a tenth.
+        The first ones have to learn which calls the last one refuses, and to
+        refuse them at once.
         """
         chain = fakechain.make_chain([20, 20, 4], [0.01, 0.01, 0.1])
         load = fakechain.LoadGenerator(chain)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def load_node(tmp_path):
-    """Returns a function that loads the text as a node's settings."""
+    """Returns a function that loads the text as the settings of a node."""
 
     def load(text):
         path = tmp_path / "node.ini"
@@ -43,7 +43,7 @@
 
 @pytest.fixture
 def findings_of(tmp_path):
-    """Returns a function that gives the findings of a settings text."""
+    """Returns a function that returns the findings of a settings text."""
 
     def find(text, program=generated.Node):
         path = tmp_path / "x.ini"
@@ -63,7 +63,7 @@
 
 
 class TestLoad:
-    """A sound file."""
+    """A valid file."""
 
     def test_values_and_defaults(self, load_node):
         node = load_node(NODE)
@@ -78,7 +78,7 @@
 
 
 class TestFaults:
-    """Everything wrong is told at once, each with its line."""
+    """All errors are reported at once, each with its line."""
 
     def test_all_together(self, findings_of):
         text = (
@@ -91,7 +91,7 @@
             "x.ini:2 [host] nmae: no such key; did you mean name?",
             "x.ini:10 [retires]: no such section; did you mean retries?",
             "x.ini:13 [once] copies: 'x' is not a whole number",
-            "x.ini:14 [once] copies: given already in line 13",
+            "x.ini:14 [once] copies: already given in line 13",
         ]
 
     def test_lines_that_are_no_settings(self, findings_of):
@@ -145,7 +145,7 @@
 
 
 class TestDescribe:
-    """What `mangobay settings` prints."""
+    """The output of `mangobay settings`."""
 
     def test_tells_default_unit_and_meaning(self):
         text = settings.describe(generated.NODE_SECTIONS)
--- a/tests/test_sheet.py
+++ b/tests/test_sheet.py
@@ -1,4 +1,4 @@
-"""Reading the planners' sheet."""
+"""Parsing sheets."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 class TestParse:
-    """A sound sheet."""
+    """A valid sheet."""
 
     def test_rows_are_sorted_operations(self):
         price, issue = sheet.parse(text_of(*ROWS), "s.csv").operations
@@ -55,7 +55,7 @@
 
 
 class TestFindings:
-    """Everything wrong is told at once, with row and column."""
+    """All errors are reported at once, with row and column."""
 
     def test_all_rows_together(self):
         found = findings_of(
@@ -75,7 +75,7 @@
     def test_columns(self):
         header = HEADER.replace("Tries", "Trys").replace("Key", "Path")
         assert findings_of(text_of(*ROWS, header=header)) == [
-            "s.csv:row 1, column Path: is there twice",
+            "s.csv:row 1, column Path: occurs twice",
             "s.csv:row 1, column Trys: no such column; did you mean tries?",
             "s.csv:row 1: the column tries is missing",
         ]
