--- a/mangobay/fairness.py
+++ b/mangobay/fairness.py
@@ -52,13 +52,15 @@
 
     def is_heavy(self, client: ids.ClientId, now: float) -> bool:
         """Returns whether the client sends far more than the others."""
-        others = len(self.weights) - 1
-        if not self.heavy_ratio or others < 1:
+        other_clients = len(self.weights) - 1
+        if not self.heavy_ratio or other_clients < 1:
             return False
-        own = self.weights.get(client, 0.0)
-        if own < MIN_HEAVY_ARRIVALS * self.arrival_weight(now):
+        own_weight = self.weights.get(client, 0.0)
+        if own_weight < MIN_HEAVY_ARRIVALS * self.arrival_weight(now):
             return False
-        return own * others > self.heavy_ratio * (self.total - own)
+        return own_weight * other_clients > self.heavy_ratio * (
+            self.total - own_weight
+        )
 
     def arrival_weight(self, now: float) -> float:
         """Returns the weight of one arrival at loop time `now`.
--- a/mangobay/overload.py
+++ b/mangobay/overload.py
@@ -100,13 +100,13 @@
 
     def decay_counts(self) -> None:
         """Decays the counts, more slowly if few calls are served."""
-        share = (
+        retained_share = (
             RETAINED_SHARE
             if self.served > LOW_COUNT
             else RETAINED_SHARE_AT_LOW_COUNT
         )
-        self.arrivals = [count * share for count in self.arrivals]
-        self.served *= share
+        self.arrivals = [count * retained_share for count in self.arrivals]
+        self.served *= retained_share
 
     def sustainable_threshold(self) -> int:
         """Returns the level above which no more arrived than was served."""
--- a/mangobay/sheet.py
+++ b/mangobay/sheet.py
@@ -41,8 +41,8 @@
       operations_by_row: the valid operations by their row of the sheet.
     """
 
-    def __init__(self, name: str):
-        self.file_name = name
+    def __init__(self, file_name: str):
+        self.file_name = file_name
         self.findings: list[findings.Finding] = []
         self.operations_by_row: dict[int, messages.Operation] = {}
 
@@ -96,16 +96,16 @@
 
     def read_columns(self, header: list[str]) -> dict[int, cells.Column]:
         """Returns the columns by their position in the header."""
-        known = {column.value: column for column in cells.Column}
+        columns_by_title = {column.value: column for column in cells.Column}
         columns: dict[int, cells.Column] = {}
         for position, title in enumerate(header):
-            column = known.get(title.lower().replace(" ", "_"))
+            column = columns_by_title.get(title.lower().replace(" ", "_"))
             if column in columns.values():
                 self.report("occurs twice", 1, title)
             elif column:
                 columns[position] = column
             elif title:
-                hint = findings.nearest(title, known)
+                hint = findings.nearest(title, columns_by_title)
                 self.report(f"no such column{hint}", 1, title)
         for column, cell_parser in cells.CELL_PARSERS.items():
             if cell_parser.required and column not in columns.values():
@@ -223,12 +223,12 @@
     for row, record in enumerate(records[1:], 2):
         if any(record):
             parser.read_row(row, record, columns)
-    faulty_rows = bool(parser.findings)
+    has_faulty_rows = bool(parser.findings)
     parser.check_keys()
     parser.check_conflicts()
-    if not faulty_rows:
+    if not has_faulty_rows:
         parser.check_callers()
-    if not parser.operations_by_row and not faulty_rows:
+    if not parser.operations_by_row and not has_faulty_rows:
         parser.report(
             "has no operations; an empty sheet would disable all services"
         )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -79,7 +79,7 @@
 
     async def test_importance_then_depth_then_newest(self):
         controller = make_controller()
-        running = await controller.acquire(make_request())
+        permit = await controller.acquire(make_request())
         tasks = await enqueue(
             controller,
             make_request(NORMAL, 0),
@@ -88,23 +88,23 @@
             make_request(NORMAL, 0),
             make_request(CRITICAL, 0),
         )
-        assert await grant_order(tasks, running) == [4, 2, 1, 3, 0]
+        assert await grant_order(tasks, permit) == [4, 2, 1, 3, 0]
 
     async def test_critical_calls_go_in_the_order_of_their_arrival(self):
         controller = make_controller()
-        running = await controller.acquire(make_request())
+        permit = await controller.acquire(make_request())
         tasks = await enqueue(
             controller, make_request(CRITICAL), make_request(CRITICAL)
         )
-        assert await grant_order(tasks, running) == [0, 1]
+        assert await grant_order(tasks, permit) == [0, 1]
 
     async def test_oldest_first_by_setting(self):
         controller = make_controller(order="oldest", by_depth=False)
-        running = await controller.acquire(make_request())
+        permit = await controller.acquire(make_request())
         tasks = await enqueue(
             controller, make_request(depth=0), make_request(depth=3)
         )
-        assert await grant_order(tasks, running) == [0, 1]
+        assert await grant_order(tasks, permit) == [0, 1]
 
     async def test_a_full_queue_sheds_its_worst_for_a_better_call(self):
         """A critical call is refused because normal calls fill the queue.
@@ -149,10 +149,10 @@
         controller = make_controller(queue_time=0.02)
         for _ in range(300):
             (await controller.acquire(make_request())).release(1.0, ok=True)
-        first = await controller.acquire(make_request())
+        permit = await controller.acquire(make_request())
         (task,) = await enqueue(controller, make_request(depth=2))
         await asyncio.sleep(0.5)
-        first.release(1.0, ok=True)
+        permit.release(1.0, ok=True)
         assert (await task).held
 
     async def test_a_call_that_cannot_finish_is_not_run(self):
@@ -170,7 +170,7 @@
         assert caught.value.reason == messages.Reason.DEADLINE_EXCEEDED
         assert controller.running == 0
 
-    async def test_a_risen_threshold_refuses_who_waits_below_it(self):
+    async def test_a_raised_threshold_refuses_waiting_calls_below_it(self):
         """Calls below a raised threshold wait in vain.
 
         Newer calls are admitted before them, and each earlier hop holds a slot
@@ -178,7 +178,7 @@
         wait have to be refused, and the critical one goes on waiting.
         """
         controller = make_controller(queue_time=1)
-        first = await controller.acquire(make_request())
+        permit = await controller.acquire(make_request())
         tasks = await enqueue(
             controller,
             make_request(),
@@ -196,10 +196,12 @@
         for task in (tasks[0], tasks[2]):
             with pytest.raises(admissionrequest.ShedError):
                 task.result()
-        first.release(0.01, ok=True)
+        permit.release(0.01, ok=True)
         assert (await tasks[1]).held
 
-    async def test_who_waits_is_refused_when_the_backend_server_leaves(self):
+    async def test_waiting_calls_are_refused_when_the_backend_server_leaves(
+        self,
+    ):
         """A call reaches a backend server long after it said that it leaves.
 
         The call waits for a slot when the backend server begins to drain, and
@@ -207,15 +209,15 @@
         can be served elsewhere.
         """
         controller = make_controller()
-        running = await controller.acquire(make_request())
+        permit = await controller.acquire(make_request())
         tasks = await enqueue(controller, make_request(), make_request(HIGH))
         controller.refuse_all_waiting()
-        running.release(0.001, ok=True)
+        permit.release(0.001, ok=True)
         results = await asyncio.gather(*tasks, return_exceptions=True)
         reasons = [error.reason for error in results]
         assert reasons == [messages.Reason.LEAVING] * 2
 
-    async def test_one_operations_time_is_not_anothers(self):
+    async def test_service_times_are_estimated_by_operation(self):
         """A fast operation is refused by the service time of a slow one.
 
         Searches take 10 ms, prices 300 ms, and 100 ms are left: a price has to
@@ -234,7 +236,7 @@
         late_request.operation = ids.OperationName("search")
         assert (await controller.acquire(late_request)).held
 
-    async def test_an_estimate_above_all_deadlines_fades(self):
+    async def test_an_estimate_above_all_deadlines_decays(self):
         """All calls are refused for ever after a backend server was very slow.
 
         With an estimate above every deadline no call runs, so that no response
@@ -254,22 +256,22 @@
 class TestSlots:
     """No slot is lost or granted twice."""
 
-    async def test_a_cancelled_wait_gives_its_slot_on(self):
+    async def test_a_cancelled_wait_releases_its_slot(self):
         """A slot is lost because its call is cancelled as it is admitted.
 
         If both happen in the same iteration of the event loop, the permit was
         granted, but nobody uses or releases it.
         """
         controller = make_controller()
-        running = await controller.acquire(make_request())
-        (waiter,) = await enqueue(controller, make_request())
-        running.release(0.001, ok=True)
-        waiter.cancel()
+        permit = await controller.acquire(make_request())
+        (task,) = await enqueue(controller, make_request())
+        permit.release(0.001, ok=True)
+        task.cancel()
         with pytest.raises(asyncio.CancelledError):
-            await waiter
+            await task
         assert controller.running == 0
 
-    async def test_leaving_twice_frees_one_slot(self):
+    async def test_releasing_twice_frees_one_slot(self):
         controller = make_controller(slots=2)
         permit = await controller.acquire(make_request())
         await controller.acquire(make_request())
@@ -277,7 +279,7 @@
         permit.release(0.1, ok=True)
         assert controller.running == 1
 
-    async def test_never_more_than_the_limit(self):
+    async def test_never_more_calls_run_than_the_limit(self):
         """More calls run than there are slots, or slots are lost.
 
         Calls arrive, wait, are cancelled and end in random order.
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -15,7 +15,7 @@
 class TestFairness:
     """Which clients are heavy."""
 
-    def test_one_caller_far_above_the_others(self):
+    def test_a_client_far_above_the_others_is_heavy(self):
         """A client that sends far more than the others is not detected.
 
         One client repeats ten times as fast as twenty others.  It alone has to
@@ -30,14 +30,14 @@
                 detector.record_arrival(client_id(99), now)
         assert detector.is_heavy(client_id(99), now)
         assert not any(
-            detector.is_heavy(client_id(each), now) for each in range(20)
+            detector.is_heavy(client_id(number), now) for number in range(20)
         )
         for step in range(2000):
             later = now + step * 0.01
             detector.record_arrival(client_id(step % 20), later)
         assert not detector.is_heavy(client_id(99), later)
 
-    def test_works_on_a_host_up_for_long_and_after_a_long_silence(self):
+    def test_a_large_loop_time_makes_no_client_heavy(self):
         """Clients become heavy because the loop time is large or jumps.
 
         Loop time counts from the boot of the host, hours before the node
@@ -74,7 +74,7 @@
         assert len(detector.weights) <= fairness.MAX_CLIENTS
         assert detector.is_heavy(client_id(-1), 2.0)
 
-    def test_a_host_that_is_up_for_long(self):
+    def test_a_large_loop_time_does_not_overflow(self):
         """The weight of the first call overflows, and no call is answered.
 
         This happens if the loop time is far from the origin of the weights: on
--- a/tests/test_knee.py
+++ b/tests/test_knee.py
@@ -25,10 +25,10 @@
         self.rng = random.Random(4)
         self.now = 100.0
 
-    def run(self, running, answers):
-        for _ in range(answers):
-            for operation, usual in SERVICE_SECONDS.items():
-                service_seconds = usual * self.slowdown(running)
+    def run(self, running, responses):
+        for _ in range(responses):
+            for operation, base_seconds in SERVICE_SECONDS.items():
+                service_seconds = base_seconds * self.slowdown(running)
                 service_seconds *= self.rng.uniform(0.4, 1.6)
                 self.now += service_seconds / running
                 self.knee.observe(operation, service_seconds, running, self.now)
@@ -37,13 +37,13 @@
 class TestKnee:
     """How many slots add throughput."""
 
-    def test_the_last_slots_of_one_that_slows_are_left_empty(self):
+    def test_the_last_slots_stay_empty_if_they_slow_calls_down(self):
         backend = SimulatedBackend(lambda running: 1.3 if running > 21 else 1.0)
         backend.run(10, 300)
         backend.run(SLOTS, 300)
         assert backend.knee.limit == 21
 
-    def test_they_are_tried_again(self):
+    def test_the_last_slots_are_tried_again(self):
         backend = SimulatedBackend(lambda running: 1.3 if running > 21 else 1.0)
         backend.run(10, 300)
         backend.run(SLOTS, 300)
@@ -55,7 +55,9 @@
         assert backend.knee.limit == knee.UNLIMITED
 
     @pytest.mark.parametrize("slowdown", [1.0, 1.08, 12.0])
-    def test_where_it_is_not_the_last_slots_all_are_used(self, slowdown):
+    def test_all_slots_are_used_if_the_last_ones_are_not_the_cause(
+        self, slowdown
+    ):
         """The limit is lowered although the last slots are not the cause.
 
         A backend server turns slow, however few calls it runs.  It is soon full
@@ -68,7 +70,7 @@
         backend.run(SLOTS, 400)
         assert backend.knee.limit == knee.UNLIMITED
 
-    def test_without_undisturbed_calls_nothing_is_known(self):
+    def test_without_uncontended_calls_all_slots_are_used(self):
         backend = SimulatedBackend(lambda running: 1.3)
         backend.run(SLOTS, 400)
         assert backend.knee.limit == knee.UNLIMITED
@@ -78,7 +80,7 @@
 class TestLoad:
     """Callers of a backend server that slows down in its last slots."""
 
-    async def test_more_of_them_are_served(self):
+    async def test_empty_last_slots_let_more_calls_be_served(self):
         """A backend server answers fewer calls than it could.
 
         Calls arrive a little faster than it can answer.  With all slots in use
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -69,7 +69,7 @@
         assert mean >= SLOTS * 0.92
         assert min(backend.limits) >= SLOTS * 0.7
 
-    def test_goes_below_what_the_backend_server_refused(self):
+    def test_falls_below_the_running_calls_after_a_shed_call(self):
         backend = SimulatedBackend()
         backend.run(2)
         backend.limiter.observe_shed(30, backend.now)
@@ -93,7 +93,7 @@
 class TestShed:
     """A backend server that sheds calls."""
 
-    def test_one_that_is_full_gets_fewer(self):
+    def test_a_full_one_gets_a_lower_limit(self):
         backend = SimulatedBackend()
         backend.run(1)
         backend.limiter.observe_shed(SLOTS, backend.now + 1)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -47,7 +47,7 @@
         assert not any(service.admission.queue.length for service in chain)
         assert not any(service.admission.running for service in chain)
 
-    async def test_slots_serve_whole_requests_meanwhile(self):
+    async def test_slots_serve_complete_requests_while_a_service_is_slow(self):
         """Slots are wasted on stale or repeated work while a service is slow.
 
         The number of complete answers is compared with what the slots of the
@@ -90,7 +90,7 @@
         assert load.success_rate("booking", 0, 4) >= 0.99
         assert load.success_rate("reader", 1, 4) > 0.05
 
-    async def test_callers_that_repeat_hard_do_not_starve_the_others(self):
+    async def test_heavy_clients_do_not_starve_the_others(self):
         """Two clients that send most of the calls get most of the slots.
 
         They send five times as much as 40 others together.  If every call had
@@ -109,10 +109,10 @@
 
 
 @pytest.mark.looptime
-class TestRefusedBelow:
+class TestRefusedDownstream:
     """A service with few slots at the end of the chain."""
 
-    async def test_little_work_is_done_for_calls_refused_below(self):
+    async def test_little_work_is_done_for_calls_refused_downstream(self):
         """Services work for calls that are refused at the end of the chain.
 
         The first services have slots for all calls, the last one for a tenth.
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -147,7 +147,7 @@
 class TestDescribe:
     """The output of `mangobay settings`."""
 
-    def test_tells_default_unit_and_meaning(self):
+    def test_shows_default_unit_and_meaning(self):
         text = settings.describe(generated.NODE_SECTIONS)
         assert "# Most calls that wait for a slot." in text
         assert "# integer; in calls; 0 to 100000; has a default" in text
