--- a/mangobay/sheet.py
+++ b/mangobay/sheet.py
@@ -1,4 +1,8 @@
-"""The planners' sheet: CSV in, checked operations out, or all findings."""
+"""Parses a sheet: CSV in, checked operations or all findings out.
+
+A sheet is the file in which planners list the operations of all services, one
+a row.
+"""
 
 import csv
 import dataclasses
@@ -20,8 +24,8 @@
     """A checked sheet.
 
     Attributes:
-      operations: by service and name.
-      digest: fingerprint of the content, the same for every way to write it.
+      operations: sorted by service and name.
+      digest: hash of the content; it does not depend on how the CSV writes it.
     """
 
     operations: list[messages.Operation]
@@ -29,39 +33,39 @@
 
 
 class Parser:
-    """Reads one sheet and collects what is wrong with it.
+    """Parses one sheet and collects its findings.
 
     Attributes:
-      file_name: of the file, for places.
+      file_name: what findings call the file.
       findings: every finding so far.
-      operations_by_row: the operations that were read, by their row of the sheet.
+      operations_by_row: the valid operations by their row of the sheet.
     """
 
-    def __init__(self, name: str):
-        self.file_name = name
+    def __init__(self, file_name: str):
+        self.file_name = file_name
         self.findings: list[findings.Finding] = []
         self.operations_by_row: dict[int, messages.Operation] = {}
 
     def report(self, message: str, row: int = 0, column: str = "") -> None:
-        """Keeps a finding with its place."""
-        place = self.file_name
+        """Adds a finding at a row and column of the sheet."""
+        location = self.file_name
         if row:
-            place = f"{place}:row {row}"
+            location = f"{location}:row {row}"
         if column:
-            place = f"{place}, column {column}"
-        self.findings.append(findings.Finding(place, message))
+            location = f"{location}, column {column}"
+        self.findings.append(findings.Finding(location, message))
 
     def raise_findings(self) -> None:
-        """Raises SheetError if there are findings; a flood is cut short."""
+        """Raises SheetError if there are findings; shortens a long list."""
         if len(self.findings) > MAX_FINDINGS:
-            left = len(self.findings) - MAX_FINDINGS
+            omitted = len(self.findings) - MAX_FINDINGS
             del self.findings[MAX_FINDINGS:]
-            self.report(f"and {left} more findings")
+            self.report(f"and {omitted} more findings")
         if self.findings:
             raise errors.SheetError(self.findings)
 
     def decode(self, data: bytes) -> str:
-        """Returns the text of a sheet of sound size and encoding."""
+        """Returns the text of a sheet after checking its size and encoding."""
         if len(data) > MAX_BYTES:
             self.report(f"is longer than {MAX_BYTES} bytes")
         try:
@@ -73,7 +77,7 @@
         return ""
 
     def read_records(self, text: str) -> list[list[str]]:
-        """Returns the cells of each row, trimmed."""
+        """Returns the cells of each row without surrounding spaces."""
         header = text.partition("\n")[0]
         delimiter = ";" if header.count(";") >= header.count(",") else ","
         reader = csv.reader(
@@ -91,20 +95,20 @@
         return records
 
     def read_columns(self, header: list[str]) -> dict[int, cells.Column]:
-        """Returns which column stands where."""
-        known = {column.value: column for column in cells.Column}
+        """Returns the columns by their position in the header."""
+        columns_by_title = {column.value: column for column in cells.Column}
         columns: dict[int, cells.Column] = {}
         for position, title in enumerate(header):
-            column = known.get(title.lower().replace(" ", "_"))
+            column = columns_by_title.get(title.lower().replace(" ", "_"))
             if column in columns.values():
-                self.report("is there twice", 1, title)
+                self.report("occurs twice", 1, title)
             elif column:
                 columns[position] = column
             elif title:
-                hint = findings.nearest(title, known)
+                hint = findings.nearest(title, columns_by_title)
                 self.report(f"no such column{hint}", 1, title)
-        for column, cell in cells.CELL_PARSERS.items():
-            if cell.required and column not in columns.values():
+        for column, cell_parser in cells.CELL_PARSERS.items():
+            if cell_parser.required and column not in columns.values():
                 self.report(f"the column {column.value} is missing", 1)
         return columns
 
@@ -113,29 +117,33 @@
     ) -> None:
         """Keeps the operation of a row, or reports what is wrong with it."""
         values = {}
-        faults = len(self.findings)
+        finding_count = len(self.findings)
         for position, text in enumerate(record):
             column = columns.get(position)
             if column is None:
                 if text:
-                    self.report(f"{text!r} stands outside the columns", row)
+                    self.report(f"{text!r} is outside the columns", row)
                 continue
             if len(text) > MAX_CELL_LENGTH:
-                self.report(f"longer than {MAX_CELL_LENGTH}", row, column.value)
+                self.report(
+                    f"exceeds the maximum length of {MAX_CELL_LENGTH}",
+                    row,
+                    column.value,
+                )
                 continue
-            cell = cells.CELL_PARSERS[column]
+            cell_parser = cells.CELL_PARSERS[column]
             try:
-                values[cell.attribute] = cell.parse(text)
+                values[cell_parser.attribute] = cell_parser.parse(text)
             except ValueError as error:
                 self.report(str(error), row, column.value)
         for position, column in columns.items():
             if position >= len(record) and cells.CELL_PARSERS[column].required:
                 self.report("is missing", row, column.value)
-        if len(self.findings) == faults:
+        if len(self.findings) == finding_count:
             self.operations_by_row[row] = messages.Operation(**values)
 
     def check_keys(self) -> None:
-        """Reports a key demanded where a repeat does no harm."""
+        """Reports idempotent operations that require a key without need."""
         for row, operation in self.operations_by_row.items():
             if operation.idempotent and operation.key_required:
                 self.report(
@@ -145,9 +153,9 @@
                 )
 
     def check_callers(self) -> None:
-        """Reports callers that the sheet does not have as a service.
+        """Reports callers that are not a service of the sheet.
 
-        A misspelt caller would cut that service off without a word.
+        A misspelled caller would silently deny that service access.
         """
         services = {
             operation.service for operation in self.operations_by_row.values()
@@ -163,31 +171,33 @@
                     )
 
     def check_conflicts(self) -> None:
-        """Reports rows that name the same operation or the same requests."""
-        names: dict[tuple, int] = {}
-        requests: dict[tuple, int] = {}
+        """Reports rows with the same operation name or the same request."""
+        row_by_name: dict[tuple, int] = {}
+        row_by_request: dict[tuple, int] = {}
         for row, operation in self.operations_by_row.items():
-            first = names.setdefault(operationtable.sort_key(operation), row)
-            if first != row:
+            first_row = row_by_name.setdefault(
+                operationtable.sort_key(operation), row
+            )
+            if first_row != row:
                 self.report(
-                    f"{operation.service} {operation.name} is in row {first}"
-                    " already",
+                    f"{operation.service} {operation.name} is in row"
+                    f" {first_row} already",
                     row,
                     cells.Column.OPERATION.value,
                 )
             request = (operation.service, operation.method, operation.path)
-            first = requests.setdefault(request, row)
-            if first != row:
+            first_row = row_by_request.setdefault(request, row)
+            if first_row != row:
                 self.report(
                     f"{operation.method} {operation.path} of"
-                    f" {operation.service} is in row {first} already",
+                    f" {operation.service} is in row {first_row} already",
                     row,
                     cells.Column.PATH.value,
                 )
 
 
 def compute_digest(operations: list[messages.Operation]) -> bytes:
-    """Returns the fingerprint of operations sorted by service and name."""
+    """Returns the hash of operations that are sorted by service and name."""
     content = [dataclasses.asdict(operation) for operation in operations]
     text = json.dumps(content, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).digest()
@@ -197,11 +207,11 @@
     """Returns the checked content of a sheet.
 
     Args:
-      data: the file as it is.
+      data: the content of the file.
       file_name: what findings call the file.
 
     Raises:
-      errors.SheetError: with every finding.
+      errors.SheetError: the sheet has errors; it lists all of them.
     """
     parser = Parser(file_name)
     records = parser.read_records(parser.decode(data))
@@ -213,13 +223,15 @@
     for row, record in enumerate(records[1:], 2):
         if any(record):
             parser.read_row(row, record, columns)
-    faulty_rows = bool(parser.findings)
+    has_faulty_rows = bool(parser.findings)
     parser.check_keys()
     parser.check_conflicts()
-    if not faulty_rows:
+    if not has_faulty_rows:
         parser.check_callers()
-    if not parser.operations_by_row and not faulty_rows:
-        parser.report("has no operations; an empty sheet would stop everything")
+    if not parser.operations_by_row and not has_faulty_rows:
+        parser.report(
+            "has no operations; an empty sheet would disable all services"
+        )
     parser.raise_findings()
     operations = sorted(
         parser.operations_by_row.values(), key=operationtable.sort_key
