--- a/bench/controlslopes.py
+++ b/bench/controlslopes.py
@@ -248,7 +248,7 @@
     try:
         async with asyncio.timeout(10):
             await group.leading.wait()
-            await group.confirm()
+            await group.confirm_leadership()
         yield group
     finally:
         await ended([task])
--- a/bench/stock.py
+++ b/bench/stock.py
@@ -165,5 +165,5 @@
         self.machine.apply(entry)
         return entry
 
-    async def confirm(self) -> None:
+    async def confirm_leadership(self) -> None:
         """Returns at once."""
--- a/mangobay/acceptance.py
+++ b/mangobay/acceptance.py
@@ -55,7 +55,7 @@
             for _ in range(MOST_COMPARISONS):
                 # Compared with a table that a newer leader has changed, the
                 # entry would only be refused when it is applied.
-                await self.group.confirm()
+                await self.group.confirm_leadership()
                 if version in self.machine.versions:
                     return self.answer(checked, version)
                 if self.machine.spent.holds(version):
--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -112,7 +112,7 @@
             limits=limits,
         )
         self.control = controlclient.ControlClient(
-            joining.known_hosts(config.control, config.listen.peer),
+            joining.node_control_with_seeds(config.control, config.listen.peer),
             controlclient.NodeIdentity(
                 host=self.process.host,
                 incarnation=self.process.incarnation,
--- a/mangobay/cmdcontrol.py
+++ b/mangobay/cmdcontrol.py
@@ -51,8 +51,8 @@
     anew from the disk, as after a restart: how much of the refused write
     arrived there is not known.
     """
-    while not (stop.is_set() or await full.offload(full.has_room)):
-        await asyncio.sleep(disk.ROOM_POLL)
+    while not (stop.is_set() or await full.offload(full.has_space)):
+        await asyncio.sleep(disk.FULL_POLL_SECONDS)
 
 
 main = ControlProgram().main
--- a/mangobay/compaction.py
+++ b/mangobay/compaction.py
@@ -8,20 +8,22 @@
 if typing.TYPE_CHECKING:
     from mangobay import consensus
 
-TRAILING_SHARE = 10
+TRAILING_DIVISOR = 10
 """One in so many entries of a snapshot's span is kept in the log behind it."""
 
 
-def restore(group: "consensus.Group") -> None:
+def restore_from_log(group: "consensus.Group") -> None:
     """Builds the machine and the voters from what the disk holds."""
     snapshot = group.log.snapshot
-    group.voters.learn_snapshot(snapshot)
+    group.voters.restore_snapshot(snapshot)
     entries = [record.entry for record in group.log.records]
-    group.voters.learn([e for e in entries if e.index > snapshot.last_index])
+    group.voters.add_entries(
+        [e for e in entries if e.index > snapshot.last_index]
+    )
     if snapshot.last_index:
         group.machine.restore(snapshot)
-    group.commit = group.applied = snapshot.last_index
-    group.commit_to(group.log.state.commit)
+    group.commit_index = group.applied_index = snapshot.last_index
+    group.commit_and_apply(group.log.hard_state.commit)
 
 
 async def take_snapshots(group: "consensus.Group") -> None:
@@ -30,14 +32,14 @@
     Raises:
       errors.StorageError: the disk failed.
     """
-    trailing = group.settings.snapshot_entries // TRAILING_SHARE
+    trailing = group.settings.snapshot_entries // TRAILING_DIVISOR
     while True:
         await group.snapshot_due.wait()
         async with group.lock:
             group.snapshot_due.clear()
-            if group.applied <= group.log.snapshot.last_index:
+            if group.applied_index <= group.log.snapshot.last_index:
                 continue
-            snapshot = snapshot_of(group)
+            snapshot = make_snapshot(group)
         # All hosts come here at the same entry. Did they encode and sync
         # under the lock, none would answer the leader meanwhile; that of
         # 23,000 hosts takes longer than an election timeout.
@@ -45,14 +47,16 @@
         async with group.lock:
             if snapshot.last_index <= group.log.snapshot.last_index:
                 continue
-            await group.log.adopt(storage.STAGED, snapshot, data, trailing)
-            group.voters.learn_snapshot(snapshot)
+            await group.log.install_staged(
+                storage.STAGED_FILE, snapshot, data, trailing
+            )
+            group.voters.restore_snapshot(snapshot)
 
 
-def snapshot_of(group: "consensus.Group") -> messages.Snapshot:
+def make_snapshot(group: "consensus.Group") -> messages.Snapshot:
     """Returns the state of machine and voters; the lock is held."""
     snapshot = group.machine.snapshot()
-    snapshot.last_index = ids.LogIndex(group.applied)
-    snapshot.last_term = ids.Term(group.log.term_at(group.applied) or 0)
-    snapshot.voters = group.voters.at(group.applied)
+    snapshot.last_index = ids.LogIndex(group.applied_index)
+    snapshot.last_term = ids.Term(group.log.term_at(group.applied_index) or 0)
+    snapshot.voters = group.voters.voters_at(group.applied_index)
     return snapshot
--- a/mangobay/consensus.py
+++ b/mangobay/consensus.py
@@ -9,13 +9,13 @@
     compaction,
     election,
     errors,
-    handover,
     ids,
     invariants,
     logs,
     options,
     progress,
     replication,
+    stepdown,
     storage,
     transfer,
     voters,
@@ -27,12 +27,12 @@
     from mangobay import peers
 
 
-FIRST_CAMPAIGN = 0.5
+FIRST_CAMPAIGN_SHARE = 0.5
 """Share of an election timeout within which a process that has just started
 campaigns: long enough for the others of a group to have started as well."""
 
 
-class Machine(typing.Protocol):
+class StateMachine(typing.Protocol):
     """The state that the log builds."""
 
     def apply(self, entry: messages.LogEntry) -> None:
@@ -54,21 +54,21 @@
 
     Attributes:
       role: what this host is in `term`.
-      commit: newest index known to be committed.
-      applied: newest index the machine has taken in.
+      commit_index: newest index known to be committed.
+      applied_index: newest index the machine has taken in.
       leader: name of the current leader, empty when unknown.
       leader_address: its peer address, empty when unknown.
       followers: the other control hosts.
       waiters: the callers that wait on this host's lead.
-      receiving: a leader's snapshot that is on its way here.
-      term_start: index of the first entry of the term that this host leads.
+      incoming_snapshot: a leader's snapshot that is on its way here.
+      term_start_index: index of the first entry of the term that this host leads.
     """
 
     def __init__(
         self,
         group_settings: settings.ControlGroup,
         log: storage.Storage,
-        machine: Machine,
+        machine: StateMachine,
         transport: "peers.Transport",
         *,
         host: ids.HostId,
@@ -84,43 +84,43 @@
         self.rng = rng
         self.lock = asyncio.Lock()
         self.role = election.Role.FOLLOWER
-        self.commit = 0
-        self.applied = 0
+        self.commit_index = 0
+        self.applied_index = 0
         self.leader = ids.HostId("")
         self.leader_address = ""
-        self.leader_heard = float("-inf")
+        self.leader_contact_at = float("-inf")
         self.campaign_at = 0.0
-        self.term_start = 0
-        self.led_since = 0.0
+        self.term_start_index = 0
+        self.elected_at = 0.0
         self.leader_of_term = (0, ids.DiskId(""))
         self.voters = voters.Voters()
         self.waiters = waiters.Waiters()
-        self.unsynced = asyncio.Event()
+        self.flush_needed = asyncio.Event()
         self.leading = asyncio.Event()
         self.snapshot_due = asyncio.Event()
         self.followers = progress.Followers(
             [other for other in group_settings.hosts if other != address]
         )
-        self.answering: set[asyncio.Task] = set()
-        self.tasks: asyncio.TaskGroup | None = None
-        self.receiving: transfer.Receiving | None = None
-        compaction.restore(self)
+        self.background_tasks: set[asyncio.Task] = set()
+        self.task_group: asyncio.TaskGroup | None = None
+        self.incoming_snapshot: transfer.Receiving | None = None
+        compaction.restore_from_log(self)
 
     @property
     def term(self) -> int:
         """The newest term that this host has heard of."""
-        return self.log.state.term
+        return self.log.hard_state.term
 
     @property
     def identity(self) -> ids.DiskId:
         """The disk that votes for this host."""
-        return self.log.state.identity
+        return self.log.hard_state.identity
 
     @property
-    def votes(self) -> bool:
+    def is_voter(self) -> bool:
         """Whether this host's disk is agreed on as a voter's."""
-        agreed = not self.voters.pending(self.commit)
-        return agreed and self.voters.names(self.identity)
+        agreed = not self.voters.has_pending_change(self.commit_index)
+        return agreed and self.voters.is_voter(self.identity)
 
     def now(self) -> float:
         """Returns the monotonic time, in seconds."""
@@ -133,13 +133,13 @@
           errors.StorageError: the disk failed; this host has stopped to lead
             and claims nothing more.
         """
-        self.campaign_soon()
+        self.schedule_first_campaign()
         try:
             async with asyncio.TaskGroup() as tasks:
-                tasks.create_task(election.watch(self))
+                tasks.create_task(election.run_election_timer(self))
                 tasks.create_task(self.flush_log())
                 tasks.create_task(compaction.take_snapshots(self))
-                self.tasks = tasks
+                self.task_group = tasks
                 for follower in self.followers.all:
                     tasks.create_task(replication.replicate(self, follower))
         except BaseExceptionGroup as failed:
@@ -147,18 +147,18 @@
         finally:
             self.stop()
 
-    def meet(self, address: options.Address) -> None:
+    def add_follower(self, address: options.Address) -> None:
         """Takes another control host among the followers."""
         if address == self.address or self.followers.find(address):
             return
         follower = self.followers.add(address, self.log.last_index + 1)
-        if self.tasks is not None:
-            self.tasks.create_task(replication.replicate(self, follower))
+        if self.task_group is not None:
+            self.task_group.create_task(replication.replicate(self, follower))
 
-    def meet_voters(self) -> None:
+    def add_voter_followers(self) -> None:
         """Takes every voter that the log names among the followers."""
         for peer in self.voters.newest():
-            self.meet(options.parse_address(peer.address))
+            self.add_follower(options.parse_address(peer.address))
 
     def voter_addresses(self) -> list[str]:
         """Returns the peer addresses of the voters."""
@@ -166,9 +166,9 @@
 
     def stop(self) -> None:
         """Lets nothing more be written or answered."""
-        self.stop_leading()
+        self.step_down()
         self.log.failure = self.log.failure or "the group has stopped"
-        for task in self.answering:
+        for task in self.background_tasks:
             task.cancel()
 
     async def handle(self, body: messages.EnvelopeBody) -> typing.Any:
@@ -181,48 +181,50 @@
         # A sender that hangs up cancels the caller of this.  Cancelled over a
         # sync, the log in memory would not know what the disk holds, and the
         # next write would repeat it.
-        return await asyncio.shield(self.answer_later(self.answer(body)))
+        return await asyncio.shield(
+            self.start_background_task(self.process_request(body))
+        )
 
-    def answer_later(
+    def start_background_task(
         self,
         work: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any],
     ) -> asyncio.Task:
         """Starts work for another control host that only `stop` cancels."""
         task = asyncio.create_task(work)
-        self.answering.add(task)
-        task.add_done_callback(self.answered)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.discard_task)
         return task
 
-    def answered(self, task: asyncio.Task) -> None:
+    def discard_task(self, task: asyncio.Task) -> None:
         """Forgets an answer, also one whose asker is gone."""
-        self.answering.discard(task)
+        self.background_tasks.discard(task)
         if not task.cancelled():
             task.exception()
 
-    async def answer(self, body: messages.EnvelopeBody) -> typing.Any:
+    async def process_request(self, body: messages.EnvelopeBody) -> typing.Any:
         """Answers another control host, to the end."""
         async with self.lock:
             try:
-                self.log.check()
+                self.log.check_usable()
                 return await self.dispatch(body)
             except errors.StorageError:
-                self.fail()
+                self.abort_run()
                 raise
 
-    def fail(self) -> None:
+    def abort_run(self) -> None:
         """Ends `run` with the error of the disk."""
-        self.stop_leading()
-        self.unsynced.set()
+        self.step_down()
+        self.flush_needed.set()
 
     async def dispatch(self, body: messages.EnvelopeBody) -> typing.Any:
         """Answers by the kind of message; `lock` is held."""
         match body:
             case messages.VoteRequest():
-                return await election.answer(self, body)
+                return await election.handle_vote_request(self, body)
             case messages.AppendRequest():
-                answer = await replication.take_entries(self, body)
+                answer = await replication.handle_append_request(self, body)
                 if body.leaving and body.term == self.term:
-                    handover.leader_left(self)
+                    stepdown.handle_leader_leaving(self)
                 return answer
             case messages.SnapshotPut():
                 return await transfer.take_part(self, body)
@@ -230,21 +232,21 @@
             f"{type(body).__name__} is no message for the group"
         )
 
-    async def ask(
+    async def send_request(
         self,
         address: options.Address,
         body: messages.EnvelopeBody,
-        patience: float,
+        timeout: float,
     ) -> messages.EnvelopeBody | None:
         """Returns another control host's answer, None when none came.
 
         Args:
           address: where it listens.
           body: the request.
-          patience: how long to wait, seconds.
+          timeout: how long to wait, seconds.
         """
         try:
-            return await self.transport.ask(address, body, patience)
+            return await self.transport.ask(address, body, timeout)
         except (errors.PeerError, TimeoutError):
             return None
 
@@ -257,11 +259,11 @@
             committed; it may take effect under a later leader.
         """
         if self.role is not election.Role.LEADER:
-            raise self.not_leader()
+            raise self.not_leader_error()
         entry = self.append(body)
-        return await self.waiters.applied(entry.index)
+        return await self.waiters.add_proposal(entry.index)
 
-    async def confirm(self) -> None:
+    async def confirm_leadership(self) -> None:
         """Returns once a quorum said, after this call, that this host leads.
 
         The machine then holds everything that was committed anywhere before
@@ -271,13 +273,13 @@
           errors.NotLeaderError: it does not lead, or lost the lead meanwhile.
         """
         if self.role is not election.Role.LEADER:
-            raise self.not_leader()
-        confirmed = self.waiters.confirmed()
-        self.settle_readers()
-        self.followers.nudge()
+            raise self.not_leader_error()
+        confirmed = self.waiters.add_confirmation()
+        self.resolve_confirmations()
+        self.followers.wake_all()
         await confirmed
 
-    def not_leader(self) -> errors.NotLeaderError:
+    def not_leader_error(self) -> errors.NotLeaderError:
         """Returns the error that names the leader, when it is known."""
         return errors.NotLeaderError(self.leader, self.leader_address)
 
@@ -289,34 +291,34 @@
             body=body,
         )
         self.log.append([entry])
-        self.voters.learn([entry])
-        self.unsynced.set()
-        self.followers.nudge()
+        self.voters.add_entries([entry])
+        self.flush_needed.set()
+        self.followers.wake_all()
         return entry
 
-    def put_off_campaign(self) -> None:
+    def reset_election_timer(self) -> None:
         """Waits a new random election timeout before the next campaign."""
         wait = self.settings.election_timeout * (1 + self.rng.random())
         self.campaign_at = self.now() + wait
 
-    def campaign_soon(self) -> None:
+    def schedule_first_campaign(self) -> None:
         """Sets the first campaign of a process that has just started.
 
         After everything lost power at once nobody leads, and callers wait for
         an election.  Where somebody leads, the others say so in the poll that
         goes before a campaign, and nothing is disturbed.
         """
-        spread = FIRST_CAMPAIGN * self.settings.election_timeout
+        spread = FIRST_CAMPAIGN_SHARE * self.settings.election_timeout
         self.campaign_at = self.now() + spread * (0.2 + self.rng.random())
 
     async def flush_log(self) -> None:
         """Syncs what the leader appended; what comes meanwhile shares a sync."""
         while True:
-            await self.unsynced.wait()
-            self.unsynced.clear()
+            await self.flush_needed.wait()
+            self.flush_needed.clear()
             async with self.lock:
                 await self.log.flush()
-            self.advance()
+            self.advance_commit_index()
 
     async def enter_term(self, term: int, voted_for: str = "") -> None:
         """Follows in a newer term, or votes in the own; synced on return.
@@ -326,45 +328,45 @@
         Raises:
           errors.StorageError: the disk failed; nothing may be told.
         """
-        self.stop_leading()
+        self.step_down()
         if term > self.term:
             self.leader = ids.HostId("")
             self.leader_address = ""
-        if (term, voted_for) != (self.term, self.log.state.voted_for):
-            await self.save_state(term, voted_for)
+        if (term, voted_for) != (self.term, self.log.hard_state.voted_for):
+            await self.save_hard_state(term, voted_for)
 
-    async def save_state(self, term: int, voted_for: str) -> None:
+    async def save_hard_state(self, term: int, voted_for: str) -> None:
         """Makes term, vote and what is known to be committed durable."""
         # A leader's commit can be ahead of its own disk; a log that ends
         # before the saved commit would be refused as damaged.
-        known = min(self.commit, self.log.synced)
-        await self.log.save_state(term, ids.DiskId(voted_for), known)
+        known = min(self.commit_index, self.log.synced_index)
+        await self.log.save_hard_state(term, ids.DiskId(voted_for), known)
 
-    def stop_leading(self) -> None:
+    def step_down(self) -> None:
         """Becomes a follower; tells everyone who waits on this leader."""
         if self.role is election.Role.LEADER:
             logs.say(logs.Part.GROUP, "stops to lead", term=self.term)
             self.leader = ids.HostId("")
             self.leader_address = ""
-            self.put_off_campaign()
+            self.reset_election_timer()
         self.role = election.Role.FOLLOWER
         self.leading.clear()
-        self.waiters.fail(self.not_leader())
+        self.waiters.fail_all(self.not_leader_error())
 
-    def start_leading(self) -> None:
+    def become_leader(self) -> None:
         """Leads in the current term; the caller holds `lock`."""
         logs.say(logs.Part.GROUP, "leads", term=self.term)
-        self.saw_leader(self.term, self.identity)
+        self.check_single_leader(self.term, self.identity)
         self.role = election.Role.LEADER
-        self.meet_voters()
+        self.add_voter_followers()
         self.leader = self.host
         self.leader_address = str(self.address)
-        self.led_since = self.now()
-        self.term_start = self.log.last_index + 1
+        self.elected_at = self.now()
+        self.term_start_index = self.log.last_index + 1
         self.followers.reset(self.log.last_index + 1)
         self.leading.set()
 
-    def saw_leader(self, term: int, identity: ids.DiskId) -> None:
+    def check_single_leader(self, term: int, identity: ids.DiskId) -> None:
         """Asserts that a term has one leader, as far as this host sees."""
         seen_term, seen = self.leader_of_term
         invariants.check(
@@ -375,58 +377,61 @@
         if term > seen_term:
             self.leader_of_term = (term, identity)
 
-    def advance(self) -> None:
+    def advance_commit_index(self) -> None:
         """Commits what a quorum holds durably; only the leader counts."""
         while self.role is election.Role.LEADER:
-            index = self.quorum(
-                progress.Measure.MATCH, of_this_host=self.log.synced
+            index = self.quorum_value(
+                progress.Measure.MATCH_INDEX, own_value=self.log.synced_index
             )
             # An entry of an earlier term that a majority holds can still be
             # overwritten by a host with a later term; one of the own term
             # cannot, and takes all before it along.
-            if index < self.term_start or index <= self.commit:
+            if index < self.term_start_index or index <= self.commit_index:
                 break
-            self.commit_to(int(index))
-        self.settle_readers()
+            self.commit_and_apply(int(index))
+        self.resolve_confirmations()
 
-    def settle_readers(self) -> None:
+    def resolve_confirmations(self) -> None:
         """Answers the callers whose round a quorum has confirmed."""
         # Before an entry of its own term is committed, a new leader does not
         # know everything that the former one had committed.
         if (
             self.role is not election.Role.LEADER
-            or self.commit < self.term_start
+            or self.commit_index < self.term_start_index
         ):
             return
-        reached = self.quorum(
-            progress.Measure.ROUND, of_this_host=self.waiters.round
+        reached = self.quorum_value(
+            progress.Measure.CONFIRMED_ROUND,
+            own_value=self.waiters.newest_round,
         )
-        self.waiters.confirm(reached)
+        self.waiters.resolve_confirmations(reached)
 
-    def quorum(self, measure: progress.Measure, of_this_host: float) -> float:
+    def quorum_value(
+        self, measure: progress.Measure, own_value: float
+    ) -> float:
         """Returns what a quorum of the voters has reached."""
 
         def value(identity: ids.DiskId) -> float:
             if identity == self.identity:
-                return of_this_host
-            return self.followers.reached(identity, measure)
+                return own_value
+            return self.followers.value_of(identity, measure)
 
-        if not self.commit and measure is progress.Measure.MATCH:
+        if not self.commit_index and measure is progress.Measure.MATCH_INDEX:
             # Were a group founded with one disk still empty, the loss of the
             # others would leave empty disks only, and those found anew.
-            return self.voters.unanimous(value)
-        return self.voters.quorum(self.commit, value)
+            return self.voters.unanimous_value(value)
+        return self.voters.quorum_value(self.commit_index, value)
 
-    def commit_to(self, index: int) -> None:
+    def commit_and_apply(self, index: int) -> None:
         """Takes in that everything up to an index is committed; applies it."""
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        self.commit = index
-        while self.applied < self.commit:
-            entry = self.log.entry(self.applied + 1)
+        self.commit_index = index
+        while self.applied_index < self.commit_index:
+            entry = self.log.entry(self.applied_index + 1)
             self.machine.apply(entry)
-            self.applied = entry.index
-            self.waiters.apply(entry)
-        span = self.applied - self.log.snapshot.last_index
+            self.applied_index = entry.index
+            self.waiters.resolve_proposal(entry)
+        span = self.applied_index - self.log.snapshot.last_index
         if span >= self.settings.snapshot_entries:
             self.snapshot_due.set()
--- a/mangobay/control.py
+++ b/mangobay/control.py
@@ -12,7 +12,6 @@
     disk,
     doorkeeper,
     errors,
-    handover,
     ids,
     intake,
     joining,
@@ -22,6 +21,7 @@
     operatorapi,
     peers,
     publishing,
+    stepdown,
     storage,
     tls,
 )
@@ -84,7 +84,9 @@
         """
         config = self.config
         self.log.open()
-        group_settings = joining.with_seeds(config.group, config.listen.peer)
+        group_settings = joining.group_with_seeds(
+            config.group, config.listen.peer
+        )
         identity = tls.identity(config.tls)
         limits = connections.Limits(
             frame_bytes=config.limits.frame_bytes,
@@ -153,7 +155,7 @@
             ) if hello.role == ROLE:
                 return await self.group.handle(body)
             case messages.GroupJoin() if hello.role == ROLE:
-                return joining.answer(self.group, body)
+                return joining.handle_join(self.group, body)
             case messages.RoutesPut() | messages.RoutesFetch() if (
                 hello.role == ROLE
             ):
@@ -186,7 +188,7 @@
             for task in done:
                 task.result()
             await self.drain()
-            await handover.hand_over(self.group)
+            await stepdown.step_down_and_notify(self.group)
         finally:
             await self.operators.drain(0)
             for task in (*working, stopping):
--- a/mangobay/controlmetrics.py
+++ b/mangobay/controlmetrics.py
@@ -60,7 +60,7 @@
         return {
             "leads": int(self.group.leading.is_set()),
             "term": self.group.term,
-            "commit_index": self.group.commit,
+            "commit_index": self.group.commit_index,
             "revision": revision,
             "history_items": len(self.machine.history),
             "services": len(self.machine.views),
--- a/mangobay/disk.py
+++ b/mangobay/disk.py
@@ -10,12 +10,12 @@
 from mangobay import errors
 
 LOCK_NAME = "lock"
-FULL = frozenset({errno.ENOSPC, errno.EDQUOT})
+FULL_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT})
 """Error numbers of a disk that takes no more bytes, but is sound."""
 PROBE_NAME = "probe"
 PROBE_BYTES = 64 * 1024
 """Room for some hundred log entries."""
-ROOM_POLL = 0.25
+FULL_POLL_SECONDS = 0.25
 """Seconds between two looks at a full disk."""
 Result = typing.TypeVar("Result")
 
@@ -26,15 +26,15 @@
     Raises OSError from every operation that the system refuses.
 
     Attributes:
-      folder: where the files live.
+      directory: where the files live.
     """
 
     def __init__(self, folder: str):
-        self.folder = pathlib.Path(folder)
+        self.directory = pathlib.Path(folder)
         self.lock: typing.IO | None = None
 
     def __str__(self) -> str:
-        return str(self.folder)
+        return str(self.directory)
 
     def open(self) -> None:
         """Makes the folder and keeps other processes out of it.
@@ -44,15 +44,15 @@
         """
         # Two processes on one folder would vote twice as one identity, and
         # two leaders could win one term.  The lock ends with its process.
-        self.folder.mkdir(parents=True, exist_ok=True)
-        self.lock = open(self.folder / LOCK_NAME, "wb")  # noqa: SIM115
+        self.directory.mkdir(parents=True, exist_ok=True)
+        self.lock = open(self.directory / LOCK_NAME, "wb")  # noqa: SIM115
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             raise errors.StorageError(
-                f"{self.folder}: another process holds this folder"
+                f"{self.directory}: another process holds this folder"
             ) from None
-        self.sync_folder()
+        self.sync_directory()
 
     def close(self) -> None:
         """Lets other processes into the folder."""
@@ -63,51 +63,51 @@
     def read(self, name: str) -> bytes | None:
         """Returns what a file holds, None when there is no such file."""
         try:
-            return (self.folder / name).read_bytes()
+            return (self.directory / name).read_bytes()
         except FileNotFoundError:
             return None
 
     def write(self, name: str, data: bytes) -> None:
         """Makes a file anew."""
-        (self.folder / name).write_bytes(data)
+        (self.directory / name).write_bytes(data)
 
     def append(self, name: str, data: bytes) -> None:
         """Adds to the end of a file."""
-        with open(self.folder / name, "ab") as file:
+        with open(self.directory / name, "ab") as file:
             file.write(data)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Shortens a file to `size` bytes."""
-        os.truncate(self.folder / name, size)
+        os.truncate(self.directory / name, size)
 
     def sync(self, name: str) -> None:
         """Returns once what a file holds would survive a loss of power."""
-        with open(self.folder / name, "rb") as file:
+        with open(self.directory / name, "rb") as file:
             os.fsync(file.fileno())
 
     def rename(self, old: str, new: str) -> None:
         """Gives a file another name, in place of any file of that name."""
-        os.rename(self.folder / old, self.folder / new)
+        os.rename(self.directory / old, self.directory / new)
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         """Returns once the names of the files would survive too."""
-        number = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
+        number = os.open(self.directory, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(number)
         finally:
             os.close(number)
 
-    def has_room(self) -> bool:
+    def has_space(self) -> bool:
         """Returns whether the disk takes writes."""
         try:
             self.write(PROBE_NAME, bytes(PROBE_BYTES))
             self.sync(PROBE_NAME)
         except OSError as error:
-            if error.errno in FULL:
+            if error.errno in FULL_ERRNOS:
                 return False
             raise
         finally:
-            (self.folder / PROBE_NAME).unlink(missing_ok=True)
+            (self.directory / PROBE_NAME).unlink(missing_ok=True)
         return True
 
     async def offload(self, work: typing.Callable[[], Result]) -> Result:
--- a/mangobay/election.py
+++ b/mangobay/election.py
@@ -12,7 +12,7 @@
 import enum
 import typing
 
-from mangobay import ids, logs, options, progress, rejoin
+from mangobay import ids, logs, membership, options, progress
 from mangobay.generated import messages
 
 if typing.TYPE_CHECKING:
@@ -27,17 +27,17 @@
     LEADER = "leader"
 
 
-SHORTEST_WAIT = 0.001
+MIN_SLEEP_SECONDS = 0.001
 """Seconds; a sleep shorter than the clock's resolution would spin."""
-Ballots = dict[options.Address, messages.VoteReply]
+VoteReplies = dict[options.Address, messages.VoteReply]
 
 
-def knows_no_group(group: "consensus.Group") -> bool:
+def has_empty_log(group: "consensus.Group") -> bool:
     """Whether this host's disk has never held an entry."""
     return group.log.last_index == 0
 
 
-async def answer(
+async def handle_vote_request(
     group: "consensus.Group", request: messages.VoteRequest
 ) -> messages.VoteReply:
     """Votes, or says how it would; the group's lock is held.
@@ -48,26 +48,28 @@
     if request.prevote:
         granted = (
             request.term > group.term
-            and not hears_leader(group)
-            and acceptable(group, request)
+            and not has_live_leader(group)
+            and is_eligible_candidate(group, request)
         )
-        return reply(group, granted)
+        return make_vote_reply(group, granted)
     newer = request.term > group.term
-    free = request.term == group.term and not group.log.state.voted_for
-    if (newer or free) and acceptable(group, request):
+    free = request.term == group.term and not group.log.hard_state.voted_for
+    if (newer or free) and is_eligible_candidate(group, request):
         await group.enter_term(request.term, request.identity)
     elif newer:
         await group.enter_term(request.term)
     granted = (
         request.term == group.term
-        and group.log.state.voted_for == request.identity
+        and group.log.hard_state.voted_for == request.identity
     )
     if granted:
-        group.put_off_campaign()
-    return reply(group, granted)
+        group.reset_election_timer()
+    return make_vote_reply(group, granted)
 
 
-def reply(group: "consensus.Group", granted: bool) -> messages.VoteReply:
+def make_vote_reply(
+    group: "consensus.Group", granted: bool
+) -> messages.VoteReply:
     """Returns this host's answer to a candidate."""
     return messages.VoteReply(
         term=ids.Term(group.term),
@@ -77,42 +79,44 @@
     )
 
 
-def acceptable(group: "consensus.Group", request: messages.VoteRequest) -> bool:
+def is_eligible_candidate(
+    group: "consensus.Group", request: messages.VoteRequest
+) -> bool:
     """Whether a candidate's log holds everything that this host's does."""
     if request.founding:
-        return knows_no_group(group) and not group.settings.join
+        return has_empty_log(group) and not group.settings.join
     theirs = (request.last_term, request.last_index)
     return theirs >= (group.log.last_term, group.log.last_index)
 
 
-def hears_leader(group: "consensus.Group") -> bool:
+def has_live_leader(group: "consensus.Group") -> bool:
     """Whether a leader is alive as far as this host can tell."""
     # A host that was cut off comes back with timeouts behind it; its
     # campaign would depose a leader that everyone else hears.
     if group.role is Role.LEADER:
         return True
-    silent = group.now() - group.leader_heard
+    silent = group.now() - group.leader_contact_at
     return silent < group.settings.election_timeout
 
 
-async def watch(group: "consensus.Group") -> None:
+async def run_election_timer(group: "consensus.Group") -> None:
     """Campaigns when no leader is heard; checks the quorum while leading."""
     while True:
         if group.role is Role.LEADER:
             await asyncio.sleep(group.settings.heartbeat_interval)
             check_quorum(group)
-            rejoin.settle_voters(group)
+            membership.promote_learner(group)
             async with group.lock:
-                await rejoin.remember_voters(group)
+                await membership.persist_voter_commit(group)
         elif group.now() < group.campaign_at:
             # A leader that says farewell puts the campaign forward.
             wait = min(
                 group.campaign_at - group.now(),
                 group.settings.heartbeat_interval,
             )
-            await asyncio.sleep(max(wait, SHORTEST_WAIT))
+            await asyncio.sleep(max(wait, MIN_SLEEP_SECONDS))
         else:
-            group.put_off_campaign()
+            group.reset_election_timer()
             await campaign(group)
 
 
@@ -121,14 +125,16 @@
     # Behind a silent cut nothing tells the leader that another was
     # elected: its callers would wait for ever.  Confirmations need a
     # round of their own, so a late check costs time, never truth.
-    heard = group.quorum(progress.Measure.HEARD, of_this_host=group.now())
-    since = max(heard, group.led_since)
+    heard = group.quorum_value(
+        progress.Measure.LAST_CONTACT, own_value=group.now()
+    )
+    since = max(heard, group.elected_at)
     if (
         group.role is Role.LEADER
         and group.now() - since > group.settings.election_timeout
     ):
         logs.say(logs.Part.GROUP, "lost its quorum", term=group.term)
-        group.stop_leading()
+        group.step_down()
 
 
 async def campaign(group: "consensus.Group") -> None:
@@ -137,36 +143,42 @@
     Raises:
       errors.StorageError: the own vote could not be made durable.
     """
-    group.meet_voters()
-    founding = knows_no_group(group)
+    group.add_voter_followers()
+    founding = has_empty_log(group)
     if founding and group.settings.join:
         return
-    if not founding and not group.voters.names(group.identity):
+    if not founding and not group.voters.is_voter(group.identity):
         return
     term = group.term + 1
-    ballots = await poll(group, request(group, term, founding, True))
-    await catch_up(group, ballots)
-    if not elected(group, ballots, founding):
+    ballots = await collect_votes(
+        group, make_vote_request(group, term, founding, True)
+    )
+    await adopt_newest_term(group, ballots)
+    if not has_won(group, ballots, founding):
         return
     async with group.lock:
-        if group.term != term - 1 or hears_leader(group):
+        if group.term != term - 1 or has_live_leader(group):
             return
         await group.enter_term(term, group.identity)
         group.role = Role.CANDIDATE
-        ask = request(group, term, founding, False)
-    ballots = await poll(group, ask)
-    await catch_up(group, ballots)
+        ask = make_vote_request(group, term, founding, False)
+    ballots = await collect_votes(group, ask)
+    await adopt_newest_term(group, ballots)
     async with group.lock:
         if group.term != term or group.role is not Role.CANDIDATE:
             return
-        if not elected(group, ballots, founding):
+        if not has_won(group, ballots, founding):
             group.role = Role.FOLLOWER
             return
-        group.start_leading()
-        group.append(founders(group, ballots) if founding else messages.Noop())
+        group.become_leader()
+        group.append(
+            make_first_voters(group, ballots) if founding else messages.Noop()
+        )
 
 
-async def catch_up(group: "consensus.Group", ballots: Ballots) -> None:
+async def adopt_newest_term(
+    group: "consensus.Group", ballots: VoteReplies
+) -> None:
     """Enters the newest term that a voter has seen."""
     # Otherwise the only host with the longest log could stay refused for
     # ever, for its term, by voters that cannot be elected for their logs.
@@ -176,7 +188,7 @@
             await group.enter_term(newest)
 
 
-def request(
+def make_vote_request(
     group: "consensus.Group", term: int, founding: bool, prevote: bool
 ) -> messages.VoteRequest:
     """Returns what this host asks the others as a candidate."""
@@ -191,16 +203,18 @@
     )
 
 
-async def poll(group: "consensus.Group", ask: messages.VoteRequest) -> Ballots:
+async def collect_votes(
+    group: "consensus.Group", ask: messages.VoteRequest
+) -> VoteReplies:
     """Returns the answers that came in time, by address."""
-    ballots: Ballots = {}
+    ballots: VoteReplies = {}
     patience = group.settings.election_timeout / 2
 
     async def one(address: options.Address) -> None:
-        ballot = await group.ask(address, ask, patience)
+        ballot = await group.send_request(address, ask, patience)
         if isinstance(ballot, messages.VoteReply):
             ballots[address] = ballot
-        if elected(group, ballots, ask.founding):
+        if has_won(group, ballots, ask.founding):
             enough.set()
 
     enough = asyncio.Event()
@@ -209,7 +223,7 @@
             tasks.create_task(one(other.address))
             for other in group.followers.all
         ]
-        tasks.create_task(finished(asked, enough))
+        tasks.create_task(set_when_done(asked, enough))
         # A dead host answers at the timeout; the others need not wait.
         await enough.wait()
         for task in asked:
@@ -217,7 +231,7 @@
     return ballots
 
 
-async def finished(
+async def set_when_done(
     tasks: "list[asyncio.Task[None]]", enough: asyncio.Event
 ) -> None:
     """Sets the event once every task has ended."""
@@ -226,18 +240,22 @@
     enough.set()
 
 
-def elected(group: "consensus.Group", ballots: Ballots, founding: bool) -> bool:
+def has_won(
+    group: "consensus.Group", ballots: VoteReplies, founding: bool
+) -> bool:
     """Whether the votes make this host leader."""
     granted = {b.identity for b in ballots.values() if b.granted}
     granted.add(group.identity)
     if founding:
         return len(granted) == len(group.settings.hosts)
-    vote = group.voters.quorum(group.commit, lambda disk: disk in granted)
+    vote = group.voters.quorum_value(
+        group.commit_index, lambda disk: disk in granted
+    )
     return vote > 0
 
 
-def founders(
-    group: "consensus.Group", ballots: Ballots
+def make_first_voters(
+    group: "consensus.Group", ballots: VoteReplies
 ) -> messages.VoterChange:
     """Returns the first entry: every host with the disk that voted for it."""
     logs.say(logs.Part.GROUP, "founds a new group", hosts=len(ballots) + 1)
@@ -252,20 +270,20 @@
     return messages.VoterChange(voters=[me, *voters])
 
 
-async def follow(
+async def accept_leader(
     group: "consensus.Group",
     body: messages.AppendRequest | messages.SnapshotPut,
 ) -> bool:
     """Follows the sender; returns False when its term is over."""
     if body.term < group.term:
         return False
-    group.saw_leader(body.term, body.identity)
+    group.check_single_leader(body.term, body.identity)
     if body.term > group.term:
         await group.enter_term(body.term)
     else:
-        group.stop_leading()
+        group.step_down()
     group.leader = body.leader
     group.leader_address = body.address
-    group.leader_heard = group.now()
-    group.put_off_campaign()
+    group.leader_contact_at = group.now()
+    group.reset_election_timer()
     return True
--- a/mangobay/joining.py
+++ b/mangobay/joining.py
@@ -14,16 +14,16 @@
 if typing.TYPE_CHECKING:
     from mangobay import consensus, peers
 
-ASK_SECONDS = 0.3
+JOIN_INTERVAL_SECONDS = 0.3
 """Between two rounds of asking while this host is no voter: ten rounds fit
 into the time in which a replaced host should be back."""
-REST_SECONDS = 1.0
+VOTER_CHECK_SECONDS = 1.0
 """Between two looks whether it still is one."""
-PATIENCE = 0.25
+REPLY_TIMEOUT_SECONDS = 0.25
 """Seconds for an answer; a seed that is down must not hold up the others."""
 
 
-def with_seeds(
+def group_with_seeds(
     group: settings.ControlGroup, address: options.Address
 ) -> settings.ControlGroup:
     """Returns the settings with the seeds as the first hosts of the group.
@@ -37,22 +37,22 @@
     """
     if not group.seeds:
         return group
-    hosts = at_port(group.seeds, address.port)
+    hosts = seed_addresses(group.seeds, address.port)
     join = group.join or address not in hosts
     return dataclasses.replace(group, hosts=hosts, join=join)
 
 
-def known_hosts(
+def node_control_with_seeds(
     control: settings.NodeControl, address: options.Address
 ) -> settings.NodeControl:
     """Returns a node's settings with the seeds as its control hosts."""
     if not control.seeds:
         return control
-    hosts = at_port(control.seeds, address.port)
+    hosts = seed_addresses(control.seeds, address.port)
     return dataclasses.replace(control, hosts=hosts)
 
 
-def at_port(
+def seed_addresses(
     seeds: tuple[options.Address, ...], port: int
 ) -> tuple[options.Address, ...]:
     """Returns where the seeds take the messages of processes."""
@@ -65,19 +65,19 @@
     """Asks to be let in whenever this host is no voter, until cancelled."""
     known = set(group.settings.hosts) - {group.address}
     while True:
-        if group.votes:
-            await asyncio.sleep(REST_SECONDS)
+        if group.is_voter:
+            await asyncio.sleep(VOTER_CHECK_SECONDS)
             continue
         answers = await asyncio.gather(
-            *(ask(group, transport, address) for address in known)
+            *(request_join(group, transport, address) for address in known)
         )
         for told in answers:
             known |= told
         known.discard(group.address)
-        await asyncio.sleep(ASK_SECONDS)
+        await asyncio.sleep(JOIN_INTERVAL_SECONDS)
 
 
-async def ask(
+async def request_join(
     group: "consensus.Group",
     transport: "peers.Transport",
     address: options.Address,
@@ -85,7 +85,7 @@
     """Makes this host known to another one; returns whom that one knows."""
     body = messages.GroupJoin(address=str(group.address))
     try:
-        reply = await transport.ask(address, body, PATIENCE)
+        reply = await transport.ask(address, body, REPLY_TIMEOUT_SECONDS)
     except (errors.PeerError, TimeoutError):
         return set()
     if not isinstance(reply, messages.GroupJoinReply):
@@ -93,7 +93,7 @@
     return {options.parse_address(text) for text in reply.addresses}
 
 
-def answer(
+def handle_join(
     group: "consensus.Group", body: messages.GroupJoin
 ) -> messages.GroupJoinReply:
     """Takes another control host among the followers; names the voters.
@@ -102,7 +102,7 @@
       errors.PeerProtocolError: it names no address.
     """
     try:
-        group.meet(options.parse_address(body.address))
+        group.add_follower(options.parse_address(body.address))
     except ValueError as error:
         raise errors.PeerProtocolError(f"no address: {error}") from None
     addresses = set(group.voter_addresses())
--- a/mangobay/leases.py
+++ b/mangobay/leases.py
@@ -56,7 +56,7 @@
         """Returns the peer addresses of the voters."""
         ...
 
-    async def confirm(self) -> None:
+    async def confirm_leadership(self) -> None:
         """Returns once a quorum confirmed that this host leads."""
         ...
 
@@ -113,7 +113,7 @@
             # grants would let a node act beside the owner that the other
             # side appoints; a quorum that answers after the renewal arrived
             # rules that other side out.
-            await self.group.confirm()
+            await self.group.confirm_leadership()
         except (errors.NotLeaderError, errors.UncertainError):
             return self.refusal()
         record = self.machine.members.get(renewal.host)
--- a/mangobay/rejoin.py
+++ b/mangobay/membership.py
@@ -15,18 +15,18 @@
     from mangobay import consensus
 
 
-def settle_voters(group: "consensus.Group") -> None:
+def promote_learner(group: "consensus.Group") -> None:
     """Names a disk that has caught up a voter, one at a time."""
     if (
         not group.leading.is_set()
-        or group.commit < group.term_start
-        or group.voters.pending(group.commit)
+        or group.commit_index < group.term_start_index
+        or group.voters.has_pending_change(group.commit_index)
     ):
         return
     for follower in group.followers.all:
-        if not may_vote(group, follower):
+        if not can_promote(group, follower):
             continue
-        place = place_for(group, follower.peer())
+        place = make_voter_change(group, follower.to_peer())
         if place is None:
             continue
         logs.say(
@@ -40,18 +40,18 @@
         return
 
 
-def may_vote(group: "consensus.Group", follower: progress.Follower) -> bool:
+def can_promote(group: "consensus.Group", follower: progress.Follower) -> bool:
     """Whether a follower is no voter yet, answers and has caught up."""
-    silent = group.now() - follower.heard
+    silent = group.now() - follower.last_contact_at
     return (
         bool(follower.identity)
-        and not group.voters.names(follower.identity)
-        and follower.match >= group.commit
+        and not group.voters.is_voter(follower.identity)
+        and follower.match_index >= group.commit_index
         and silent <= group.settings.election_timeout
     )
 
 
-def place_for(
+def make_voter_change(
     group: "consensus.Group", peer: messages.Peer
 ) -> messages.VoterChange | None:
     """Returns the voters with a host among them, None while there is no place.
@@ -62,29 +62,29 @@
     """
     current = group.voters.newest()
     if any(voter.address == peer.address for voter in current):
-        return changed(current, peer)
+        return with_voter(current, peer)
     wanted = group.settings.voters
     if not wanted or len(current) < wanted:
-        return changed(current, peer)
-    gone = longest_silent(group, current)
+        return with_voter(current, peer)
+    gone = find_replaceable_voter(group, current)
     if gone is None:
         return None
     kept = [voter for voter in current if voter.identity != gone.identity]
     return messages.VoterChange(voters=[*kept, peer])
 
 
-def longest_silent(
+def find_replaceable_voter(
     group: "consensus.Group", current: list[messages.Peer]
 ) -> messages.Peer | None:
     """Returns the voter to replace, None where all were heard lately."""
     latest = group.now() - group.settings.replace_after
-    if group.led_since > latest:
+    if group.elected_at > latest:
         # A new leader has heard nobody yet.
         return None
     others = [voter for voter in current if voter.identity != group.identity]
     heard = {
-        voter.identity: group.followers.reached(
-            voter.identity, progress.Measure.HEARD
+        voter.identity: group.followers.value_of(
+            voter.identity, progress.Measure.LAST_CONTACT
         )
         for voter in others
     }
@@ -94,7 +94,7 @@
     return silent
 
 
-def changed(
+def with_voter(
     current: list[messages.Peer], peer: messages.Peer
 ) -> messages.VoterChange:
     """Returns the voters with one added, in place of its address's former."""
@@ -102,12 +102,15 @@
     return messages.VoterChange(voters=[*others, peer])
 
 
-async def remember_voters(group: "consensus.Group") -> None:
+async def persist_voter_commit(group: "consensus.Group") -> None:
     """Makes durable that the newest voters are committed; `lock` is held."""
     # Without this a host that restarts would ask for a majority of the former
     # voters too, and a lost disk is one of those.
-    if group.voters.pending(group.commit) or not group.voters.configs:
+    if (
+        group.voters.has_pending_change(group.commit_index)
+        or not group.voters.configs
+    ):
         return
     index = group.voters.configs[-1].index
-    if group.log.state.commit < index <= group.log.synced:
-        await group.save_state(group.term, group.log.state.voted_for)
+    if group.log.hard_state.commit < index <= group.log.synced_index:
+        await group.save_hard_state(group.term, group.log.hard_state.voted_for)
--- a/mangobay/operatorapi.py
+++ b/mangobay/operatorapi.py
@@ -45,13 +45,13 @@
 
     Attributes:
       host: the name of this control host.
-      commit: newest index known to be committed.
-      votes: whether it is a voter; a repaired one is once it has caught up.
+      commit_index: newest index known to be committed.
+      is_voter: whether it is a voter; a repaired one is once it has caught up.
     """
 
     host: ids.HostId
-    commit: ids.LogIndex
-    votes: bool
+    commit_index: ids.LogIndex
+    is_voter: bool
 
 
 class OperatorApi:
@@ -178,7 +178,7 @@
             {
                 "leader": self.group.leader,
                 "term": self.group.term,
-                "commit": self.group.commit,
+                "commit": self.group.commit_index,
                 "revision": revision,
                 "hosts": self.hosts(),
                 "in_force": in_force(self.leases.reports.reached(revision)),
@@ -241,7 +241,7 @@
             {
                 "host": self.group.host,
                 "leads": self.group.leading.is_set(),
-                "votes": self.group.votes,
+                "votes": self.group.is_voter,
                 "leader": self.group.leader,
                 "term": self.group.term,
             }
@@ -259,7 +259,7 @@
         Raises:
           errors.NotLeaderError: another host must be asked.
         """
-        await self.group.confirm()
+        await self.group.confirm_leadership()
         self.leases.take_office()
 
     def hosts(self) -> list[dict]:
--- a/mangobay/progress.py
+++ b/mangobay/progress.py
@@ -17,9 +17,9 @@
 class Measure(enum.Enum):
     """What of a follower is compared with a quorum; names an attribute."""
 
-    MATCH = "match"
-    HEARD = "heard"
-    ROUND = "round"
+    MATCH_INDEX = "match_index"
+    LAST_CONTACT = "last_contact_at"
+    CONFIRMED_ROUND = "confirmed_round"
 
 
 @dataclasses.dataclass(slots=True)
@@ -30,34 +30,34 @@
       address: where it listens.
       host: its name, empty until it answered.
       identity: its disk, empty until it answered.
-      next: index of the entry to send next.
-      match: newest index that its disk is known to hold.
-      heard: when the last request was sent that it answered, seconds.
-      round: newest round of confirmation that it answered.
+      next_index: index of the entry to send next.
+      match_index: newest index that its disk is known to hold.
+      last_contact_at: when the last request was sent that it answered, seconds.
+      confirmed_round: newest round of confirmation that it answered.
       wake: set when there is something to send.
-      sending: a snapshot that is on its way there.
+      outgoing_snapshot: a snapshot that is on its way there.
     """
 
     address: options.Address
     host: ids.HostId = ids.HostId("")
     identity: ids.DiskId = ids.DiskId("")
-    next: int = 1
-    match: int = 0
-    heard: float = NEVER
-    round: int = 0
+    next_index: int = 1
+    match_index: int = 0
+    last_contact_at: float = NEVER
+    confirmed_round: int = 0
     wake: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
-    sending: "transfer.Sending | None" = None
+    outgoing_snapshot: "transfer.Sending | None" = None
 
     def reset(self, next_index: int) -> None:
         """Forgets what an earlier term or another disk had confirmed."""
-        self.next = next_index
-        self.match = 0
-        self.heard = NEVER
-        self.round = 0
-        self.sending = None
+        self.next_index = next_index
+        self.match_index = 0
+        self.last_contact_at = NEVER
+        self.confirmed_round = 0
+        self.outgoing_snapshot = None
         self.wake.set()
 
-    def peer(self) -> messages.Peer:
+    def to_peer(self) -> messages.Peer:
         """Returns the host as a voter."""
         return messages.Peer(
             host=self.host, identity=self.identity, address=str(self.address)
@@ -84,7 +84,7 @@
 
     def add(self, address: options.Address, next_index: int) -> Follower:
         """Returns a follower that has joined."""
-        follower = Follower(address, next=next_index)
+        follower = Follower(address, next_index=next_index)
         self.all.append(follower)
         return follower
 
@@ -93,12 +93,12 @@
         for follower in self.all:
             follower.reset(next_index)
 
-    def nudge(self) -> None:
+    def wake_all(self) -> None:
         """Wakes the tasks that replicate."""
         for follower in self.all:
             follower.wake.set()
 
-    def reached(self, identity: ids.DiskId, measure: Measure) -> float:
+    def value_of(self, identity: ids.DiskId, measure: Measure) -> float:
         """Returns how far a disk has come; not at all when none has it."""
         for follower in self.all:
             if follower.identity == identity:
--- a/mangobay/publishing.py
+++ b/mangobay/publishing.py
@@ -105,7 +105,7 @@
                     outcome = await self.accept(body.change)
                     return messages.RoutesReply(outcome=outcome)
                 case messages.RoutesFetch():
-                    await self.group.confirm()
+                    await self.group.confirm_leadership()
                     return messages.RoutesReply(
                         outcome=Outcome.ACCEPTED, current=self.machine.routes
                     )
@@ -121,7 +121,7 @@
             its true answer.
         """
         async with self.lock:
-            await self.group.confirm()
+            await self.group.confirm_leadership()
             if self.machine.has_accepted(change):
                 return Outcome.ACCEPTED
             current = self.machine.routes.version
--- a/mangobay/recordlog.py
+++ b/mangobay/recordlog.py
@@ -17,7 +17,7 @@
 HEADER = struct.Struct("<4sIQQ")
 """Magic, payload length in bytes, checksum, index of the first entry."""
 LENGTH = struct.Struct("<I")
-SEED = struct.Struct("<IQ")
+CHECKSUM_PREFIX = struct.Struct("<IQ")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,12 +25,12 @@
     """What one sync made durable.
 
     Attributes:
-      first: index of the first record.
+      first_index: index of the first record.
       records: the entries, encoded.
       size: bytes of the frame in the file.
     """
 
-    first: int
+    first_index: int
     records: tuple[bytes, ...]
     size: int
 
@@ -41,28 +41,30 @@
 
     Attributes:
       frames: the whole frames, in order.
-      size: bytes up to the end of the last whole frame.
-      torn: bytes after it.
+      whole_bytes: bytes up to the end of the last whole frame.
+      torn_bytes: bytes after it.
     """
 
     frames: list[Frame]
-    size: int
-    torn: int
+    whole_bytes: int
+    torn_bytes: int
 
 
 def checksum(length: int, first: int, payload: bytes) -> int:
     """Returns the checksum over a frame's payload and its other fields."""
-    return xxhash.xxh3_64_intdigest(SEED.pack(length, first) + payload)
+    return xxhash.xxh3_64_intdigest(
+        CHECKSUM_PREFIX.pack(length, first) + payload
+    )
 
 
-def encode(first: int, records: list[bytes]) -> bytes:
+def encode_frame(first: int, records: list[bytes]) -> bytes:
     """Returns the frame of some records, `first` the index of the first."""
     payload = b"".join(LENGTH.pack(len(record)) + record for record in records)
     digest = checksum(len(payload), first, payload)
     return HEADER.pack(MAGIC, len(payload), digest, first) + payload
 
 
-def frame_at(data: bytes, offset: int) -> Frame | None:
+def decode_frame(data: bytes, offset: int) -> Frame | None:
     """Returns the frame that starts there, None when none whole does."""
     end = offset + HEADER.size
     if end > len(data):
@@ -73,10 +75,10 @@
     payload = data[end : end + length]
     if checksum(length, first, payload) != digest:
         return None
-    return Frame(first, records_of(payload), HEADER.size + length)
+    return Frame(first, split_records(payload), HEADER.size + length)
 
 
-def records_of(payload: bytes) -> tuple[bytes, ...]:
+def split_records(payload: bytes) -> tuple[bytes, ...]:
     """Returns the records in a frame's payload."""
     records = []
     offset = 0
@@ -98,20 +100,22 @@
     frames: list[Frame] = []
     offset = 0
     while offset < len(data):
-        frame = frame_at(data, offset)
+        frame = decode_frame(data, offset)
         if frame is None:
-            refuse_damage(data, offset, name)
+            check_torn_tail(data, offset, name)
             break
-        if frames and frame.first != frames[-1].first + len(frames[-1].records):
+        if frames and frame.first_index != frames[-1].first_index + len(
+            frames[-1].records
+        ):
             raise errors.DamagedLogError(
-                f"{name}: gap before the entry {frame.first} at byte {offset}"
+                f"{name}: gap before the entry {frame.first_index} at byte {offset}"
             )
         frames.append(frame)
         offset += frame.size
     return Scan(frames, offset, len(data) - offset)
 
 
-def refuse_damage(data: bytes, offset: int, name: str) -> None:
+def check_torn_tail(data: bytes, offset: int, name: str) -> None:
     """Refuses a bad frame that is not the last one.
 
     Raises:
@@ -121,7 +125,7 @@
     # there would lose committed entries.  A torn write has nothing after it.
     after = data.find(MAGIC, offset + 1)
     while after >= 0:
-        if frame_at(data, after) is not None:
+        if decode_frame(data, after) is not None:
             raise errors.DamagedLogError(
                 f"{name}: damaged at byte {offset}, a whole record follows at"
                 f" byte {after}; nothing was cut"
--- a/mangobay/replication.py
+++ b/mangobay/replication.py
@@ -3,15 +3,15 @@
 import asyncio
 import typing
 
-from mangobay import election, ids, invariants, progress, rejoin, transfer
+from mangobay import election, ids, invariants, membership, progress, transfer
 from mangobay.generated import messages
 
 if typing.TYPE_CHECKING:
     from mangobay import consensus
 
-BATCH_BYTES = 1 << 20
+MAX_BATCH_BYTES = 1 << 20
 """Entries in one request, but at least one."""
-Answer = messages.AppendReply | messages.SnapshotReply
+FollowerReply = messages.AppendReply | messages.SnapshotReply
 
 
 async def replicate(
@@ -21,20 +21,22 @@
     while True:
         await group.leading.wait()
         follower.wake.clear()
-        answered = await exchange(group, follower)
-        if answered and has_more(group, follower):
+        answered = await send_next(group, follower)
+        if answered and has_more_to_send(group, follower):
             continue
-        await pause(group, follower, answered)
+        await wait_for_work(group, follower, answered)
 
 
-def has_more(group: "consensus.Group", follower: progress.Follower) -> bool:
+def has_more_to_send(
+    group: "consensus.Group", follower: progress.Follower
+) -> bool:
     """Returns whether the follower can take more at once."""
-    if follower.sending is not None:
-        return not follower.sending.is_sent
-    return follower.next <= group.log.last_index
+    if follower.outgoing_snapshot is not None:
+        return not follower.outgoing_snapshot.is_sent
+    return follower.next_index <= group.log.last_index
 
 
-async def pause(
+async def wait_for_work(
     group: "consensus.Group", follower: progress.Follower, answered: bool
 ) -> None:
     """Waits until there is something to send, or for the next heartbeat."""
@@ -50,20 +52,23 @@
         return
 
 
-async def exchange(
+async def send_next(
     group: "consensus.Group", follower: progress.Follower
 ) -> bool:
     """Sends what comes next; returns whether the follower answered."""
     term = group.term
-    sent_round = group.waiters.round
+    sent_round = group.waiters.newest_round
     sent_at = group.now()
     patience = group.settings.election_timeout / 2
-    if follower.sending or group.log.term_at(follower.next - 1) is None:
+    if (
+        follower.outgoing_snapshot
+        or group.log.term_at(follower.next_index - 1) is None
+    ):
         body: messages.EnvelopeBody = transfer.next_part(group, follower)
     else:
-        body = append_request(group, follower)
-    reply = await group.ask(follower.address, body, patience)
-    if not isinstance(reply, Answer):
+        body = make_append_request(group, follower)
+    reply = await group.send_request(follower.address, body, patience)
+    if not isinstance(reply, FollowerReply):
         return False
     if reply.term > group.term:
         async with group.lock:
@@ -74,18 +79,18 @@
         return True
     if reply.term < term:
         return False
-    take_reply(group, follower, body, reply)
-    follower.heard = sent_at
-    follower.round = sent_round
-    group.advance()
+    process_reply(group, follower, body, reply)
+    follower.last_contact_at = sent_at
+    follower.confirmed_round = sent_round
+    group.advance_commit_index()
     return True
 
 
-def take_reply(
+def process_reply(
     group: "consensus.Group",
     follower: progress.Follower,
     sent: messages.AppendRequest | messages.SnapshotPut,
-    reply: Answer,
+    reply: FollowerReply,
 ) -> None:
     """Takes in what a follower of the same term said it holds."""
     if follower.identity != reply.identity:
@@ -96,32 +101,32 @@
     match reply:
         case messages.AppendReply(matched=False):
             hint = min(reply.last_index + 1, sent.prev_index)
-            follower.next = max(1, hint)
+            follower.next_index = max(1, hint)
         case messages.AppendReply():
-            follower.match = max(follower.match, reply.last_index)
-            follower.next = follower.match + 1
+            follower.match_index = max(follower.match_index, reply.last_index)
+            follower.next_index = follower.match_index + 1
         case messages.SnapshotReply():
             transfer.take_reply(follower, reply)
 
 
-def append_request(
+def make_append_request(
     group: "consensus.Group", follower: progress.Follower
 ) -> messages.AppendRequest:
     """Returns the next entries; none makes it a heartbeat."""
-    previous = follower.next - 1
+    previous = follower.next_index - 1
     return messages.AppendRequest(
         term=ids.Term(group.term),
         leader=group.host,
         prev_index=ids.LogIndex(previous),
         prev_term=ids.Term(group.log.term_at(previous) or 0),
-        entries=group.log.batch(follower.next, BATCH_BYTES),
-        commit=ids.LogIndex(group.commit),
+        entries=group.log.batch(follower.next_index, MAX_BATCH_BYTES),
+        commit=ids.LogIndex(group.commit_index),
         identity=group.identity,
         address=str(group.address),
     )
 
 
-async def take_entries(
+async def handle_append_request(
     group: "consensus.Group", body: messages.AppendRequest
 ) -> messages.AppendReply:
     """Adds a leader's entries, durably; the group's lock is held.
@@ -129,18 +134,20 @@
     Raises:
       errors.StorageError: the disk failed: nothing is acknowledged.
     """
-    if not await election.follow(group, body):
-        return append_reply(group, False, group.log.last_index)
-    if not continues(group, body):
-        return append_reply(group, False, look_back(group, body.prev_index))
+    if not await election.accept_leader(group, body):
+        return make_append_reply(group, False, group.log.last_index)
+    if not has_previous_entry(group, body):
+        return make_append_reply(
+            group, False, find_conflict_hint(group, body.prev_index)
+        )
     last = body.prev_index + len(body.entries)
-    await add(group, body.entries)
-    group.commit_to(min(body.commit, last))
-    await rejoin.remember_voters(group)
-    return append_reply(group, True, last)
+    await append_entries(group, body.entries)
+    group.commit_and_apply(min(body.commit, last))
+    await membership.persist_voter_commit(group)
+    return make_append_reply(group, True, last)
 
 
-def append_reply(
+def make_append_reply(
     group: "consensus.Group", matched: bool, last: int
 ) -> messages.AppendReply:
     """Returns this host's answer to a leader."""
@@ -153,24 +160,26 @@
     )
 
 
-def continues(group: "consensus.Group", body: messages.AppendRequest) -> bool:
+def has_previous_entry(
+    group: "consensus.Group", body: messages.AppendRequest
+) -> bool:
     """Whether the log holds the entry right before a leader's entries."""
-    if body.prev_index <= group.commit:
+    if body.prev_index <= group.commit_index:
         return True
     return group.log.term_at(body.prev_index) == body.prev_term
 
 
-def look_back(group: "consensus.Group", index: int) -> int:
+def find_conflict_hint(group: "consensus.Group", index: int) -> int:
     """Returns the newest index that may agree: before the term that differs."""
     if index > group.log.last_index:
         return group.log.last_index
     term = group.log.term_at(index)
-    while index > group.commit and group.log.term_at(index) == term:
+    while index > group.commit_index and group.log.term_at(index) == term:
         index -= 1
     return index
 
 
-async def add(
+async def append_entries(
     group: "consensus.Group", entries: list[messages.LogEntry]
 ) -> None:
     """Adds the entries that the log does not hold yet; cuts what differs."""
@@ -179,19 +188,19 @@
     while new and log.term_at(new[0].index) == new[0].term:
         new.pop(0)
     if new and new[0].index <= log.last_index:
-        await cut(group, new[0].index)
+        await truncate_log(group, new[0].index)
     if new:
         log.append(new)
-        group.voters.learn(new)
+        group.voters.add_entries(new)
     await log.flush()
 
 
-async def cut(group: "consensus.Group", index: int) -> None:
+async def truncate_log(group: "consensus.Group", index: int) -> None:
     """Forgets entries that another leader's replace."""
     invariants.check(
         invariants.Promise.COMMITTED_NEVER_LOST,
-        index > group.commit,
-        f"entry {index} would be cut, {group.commit} is committed",
+        index > group.commit_index,
+        f"entry {index} would be cut, {group.commit_index} is committed",
     )
-    group.voters.forget_from(index)
+    group.voters.truncate(index)
     await group.log.truncate(index)
--- a/mangobay/handover.py
+++ b/mangobay/stepdown.py
@@ -14,12 +14,12 @@
 if typing.TYPE_CHECKING:
     from mangobay import consensus
 
-HASTE = 0.25
+CAMPAIGN_SPREAD_SHARE = 0.25
 """Share of an election timeout over which the followers' campaigns spread, so
 that two of them seldom split the votes."""
 
 
-async def hand_over(group: "consensus.Group") -> None:
+async def step_down_and_notify(group: "consensus.Group") -> None:
     """Stops to lead and tells the others to elect a leader now.
 
     Returns once they have answered, or after half an election timeout.
@@ -28,22 +28,25 @@
         return
     farewells = []
     for follower in group.followers.all:
-        if group.log.term_at(follower.next - 1) is None:
+        if group.log.term_at(follower.next_index - 1) is None:
             continue
-        body = replication.append_request(group, follower)
+        body = replication.make_append_request(group, follower)
         body.leaving = True
         farewells.append((follower.address, body))
-    group.stop_leading()
+    group.step_down()
     patience = group.settings.election_timeout / 2
     await asyncio.gather(
-        *(group.ask(address, body, patience) for address, body in farewells)
+        *(
+            group.send_request(address, body, patience)
+            for address, body in farewells
+        )
     )
 
 
-def leader_left(group: "consensus.Group") -> None:
+def handle_leader_leaving(group: "consensus.Group") -> None:
     """Forgets a leader that said farewell; campaigns soon."""
     # A host that still counts the farewell as a sign of life would refuse
     # its vote to whoever campaigns first.
-    group.leader_heard = -math.inf
-    spread = HASTE * group.settings.election_timeout
+    group.leader_contact_at = -math.inf
+    spread = CAMPAIGN_SPREAD_SHARE * group.settings.election_timeout
     group.campaign_at = group.now() + spread * group.rng.random()
--- a/mangobay/storage.py
+++ b/mangobay/storage.py
@@ -12,13 +12,13 @@
 from mangobay import errors, ids, logs, recordlog
 from mangobay.generated import messages
 
-STATE = "state"
-SNAPSHOT = "snapshot"
-LOG = "log"
-NEW = ".new"
-STAGED = "snapshot.staged"
-RECEIVED = "snapshot.received"
-SUM = struct.Struct("<Q")
+STATE_FILE = "state"
+SNAPSHOT_FILE = "snapshot"
+LOG_FILE = "log"
+TEMPORARY_SUFFIX = ".new"
+STAGED_FILE = "snapshot.staged"
+RECEIVED_FILE = "snapshot.received"
+CHECKSUM = struct.Struct("<Q")
 
 
 @dataclasses.dataclass(slots=True)
@@ -37,26 +37,26 @@
     every later write is refused until the process starts again.
 
     Attributes:
-      state: term, vote and identity as they were last synced.
+      hard_state: term, vote and identity as they were last synced.
       snapshot: the newest one.
       snapshot_data: the same, encoded.
       records: the entries at hand, without a gap, from `first` on.
-      first: index of the first of them.
-      synced: newest index that is durable.
+      first_index: index of the first of them.
+      synced_index: newest index that is durable.
       failure: why the storage refuses to write, empty while it works.
-      full: that is since the disk is full.
+      disk_full: that is since the disk is full.
     """
 
     def __init__(self, disk: disk_module.Disk):
         self.disk = disk
-        self.state = messages.HardState()
+        self.hard_state = messages.HardState()
         self.snapshot = messages.Snapshot()
         self.snapshot_data = b""
         self.records: list[Record] = []
-        self.first = 1
-        self.synced = 0
+        self.first_index = 1
+        self.synced_index = 0
         self.failure = ""
-        self.full = False
+        self.disk_full = False
 
     def open(self) -> None:
         """Reads the folder, or makes a new identity in an empty one.
@@ -70,94 +70,100 @@
             self.disk.open()
             self.load()
         except OSError as error:
-            self.fail(error, f"{self.disk}: {error.strerror or error}")
-            raise self.error() from error
+            self.record_failure(
+                error, f"{self.disk}: {error.strerror or error}"
+            )
+            raise self.make_error() from error
 
     def load(self) -> None:
         """Takes in what the folder holds."""
-        body = self.checked(STATE)
+        body = self.read_checked(STATE_FILE)
         state = None
         if body is not None:
-            state = self.decoded(STATE, body, messages.decode_hard_state)
-        log = self.disk.read(LOG)
-        if state is None and (log or self.disk.read(SNAPSHOT)):
-            raise errors.DamagedLogError(f"{self.disk}/{STATE}: missing")
+            state = self.decode_file(
+                STATE_FILE, body, messages.decode_hard_state
+            )
+        log = self.disk.read(LOG_FILE)
+        if state is None and (log or self.disk.read(SNAPSHOT_FILE)):
+            raise errors.DamagedLogError(f"{self.disk}/{STATE_FILE}: missing")
         if state is None:
             # An empty disk is another voter: as its old self it could vote
             # again in a term, or deny an entry that it had acknowledged.
             identity = ids.DiskId(str(uuid.uuid4()))
             state = messages.HardState(identity=identity)
-            self.put(STATE, messages.encode_hard_state(state))
-        self.state = state
-        body = self.checked(SNAPSHOT)
+            self.replace_file(STATE_FILE, messages.encode_hard_state(state))
+        self.hard_state = state
+        body = self.read_checked(SNAPSHOT_FILE)
         if body is not None:
             self.snapshot_data = body
-            self.snapshot = self.decoded(
-                SNAPSHOT, body, messages.decode_snapshot
+            self.snapshot = self.decode_file(
+                SNAPSHOT_FILE, body, messages.decode_snapshot
             )
         self.load_log(log or b"")
 
     def load_log(self, data: bytes) -> None:
         """Takes in the log file; cuts a torn tail."""
-        name = f"{self.disk}/{LOG}"
+        name = f"{self.disk}/{LOG_FILE}"
         scan = recordlog.scan(data, name)
-        if scan.torn:
-            logs.say(logs.Part.STORAGE, "cut a torn tail", bytes=scan.torn)
-            self.disk.cut(LOG, scan.size)
+        if scan.torn_bytes:
+            logs.say(
+                logs.Part.STORAGE, "cut a torn tail", bytes=scan.torn_bytes
+            )
+            self.disk.truncate(LOG_FILE, scan.whole_bytes)
         if data:
             # A killed process leaves bytes that it never synced; they count
             # as held from here on and must not go with a loss of power.
-            self.disk.sync(LOG)
-        self.first = scan.frames[0].first if scan.frames else 1
+            self.disk.sync(LOG_FILE)
+        self.first_index = scan.frames[0].first_index if scan.frames else 1
         self.records = [
             Record(messages.decode_log_entry(data), data)
             for frame in scan.frames
             for data in frame.records
         ]
-        self.drop_what_the_snapshot_replaced()
+        self.discard_replaced_entries()
         if scan.frames and not self.records:
             # Power went between an installed snapshot and the cut of the log.
             # Entries added behind the old ones would leave a gap, which the
             # next start would refuse as damage.
-            self.put(LOG, b"", with_sum=False)
-        if self.first > self.snapshot.last_index + 1:
+            self.replace_file(LOG_FILE, b"", with_checksum=False)
+        if self.first_index > self.snapshot.last_index + 1:
             raise errors.DamagedLogError(
-                f"{name}: starts at {self.first}, the snapshot ends at"
+                f"{name}: starts at {self.first_index}, the snapshot ends at"
                 f" {self.snapshot.last_index}"
             )
         # Damage in the very last frame looks like a torn write.  What was
         # known to be committed tells them apart.
-        if self.last_index < self.state.commit:
+        if self.last_index < self.hard_state.commit:
             raise errors.DamagedLogError(
-                f"{name}: ends at {self.last_index}, but {self.state.commit}"
+                f"{name}: ends at {self.last_index}, but {self.hard_state.commit}"
                 " was committed"
             )
-        self.synced = self.last_index
+        self.synced_index = self.last_index
 
-    def drop_what_the_snapshot_replaced(self) -> None:
+    def discard_replaced_entries(self) -> None:
         """Forgets the log when the snapshot does not continue it."""
         last = self.snapshot.last_index
         if not last:
             return
         if self.term_at(last, log_only=True) == self.snapshot.last_term:
             return
-        if self.records and self.first <= last:
+        if self.records and self.first_index <= last:
             self.records = []
         if not self.records:
-            self.first = last + 1
+            self.first_index = last + 1
 
-    def checked(self, name: str) -> bytes | None:
+    def read_checked(self, name: str) -> bytes | None:
         """Returns what a file holds, None when there is no such file."""
         data = self.disk.read(name)
         if data is None:
             return None
-        body = data[SUM.size :]
-        digest = SUM.pack(xxhash.xxh3_64_intdigest(body))
-        if digest != data[: SUM.size]:
+        body = data[CHECKSUM.size :]
+        digest = CHECKSUM.pack(xxhash.xxh3_64_intdigest(body))
+        if digest != data[: CHECKSUM.size]:
             raise errors.DamagedLogError(f"{self.disk}/{name}: bad checksum")
         return body
 
-    def decoded(
+    def decode_file(
         self, name: str, body: bytes, decode: typing.Callable
     ) -> typing.Any:
         """Returns the message in the body of a file."""
@@ -168,15 +174,23 @@
                 f"{self.disk}/{name}: {error}"
             ) from error
 
-    def put(self, name: str, body: bytes, with_sum: bool = True) -> None:
+    def replace_file(
+        self, name: str, body: bytes, with_checksum: bool = True
+    ) -> None:
         """Replaces a file so that a crash leaves the old one or the new."""
-        self.put_beside(name + NEW, body, with_sum)
-        self.disk.rename(name + NEW, name)
-        self.disk.sync_folder()
+        self.write_file(name + TEMPORARY_SUFFIX, body, with_checksum)
+        self.disk.rename(name + TEMPORARY_SUFFIX, name)
+        self.disk.sync_directory()
 
-    def put_beside(self, name: str, body: bytes, with_sum: bool = True) -> None:
+    def write_file(
+        self, name: str, body: bytes, with_checksum: bool = True
+    ) -> None:
         """Writes a file that is to take the place of another."""
-        prefix = SUM.pack(xxhash.xxh3_64_intdigest(body)) if with_sum else b""
+        prefix = (
+            CHECKSUM.pack(xxhash.xxh3_64_intdigest(body))
+            if with_checksum
+            else b""
+        )
         self.disk.write(name, prefix + body)
         # Unsynced bytes under the final name could be found empty later.
         self.disk.sync(name)
@@ -184,7 +198,9 @@
     @property
     def last_index(self) -> int:
         """Newest index, 0 when there is none."""
-        return max(self.first + len(self.records) - 1, self.snapshot.last_index)
+        return max(
+            self.first_index + len(self.records) - 1, self.snapshot.last_index
+        )
 
     @property
     def last_term(self) -> int:
@@ -193,23 +209,23 @@
 
     def term_at(self, index: int, log_only: bool = False) -> int | None:
         """Returns the term of an entry, None when it is not at hand."""
-        if self.first <= index < self.first + len(self.records):
-            return self.records[index - self.first].entry.term
+        if self.first_index <= index < self.first_index + len(self.records):
+            return self.records[index - self.first_index].entry.term
         if index == self.snapshot.last_index and not log_only:
             return self.snapshot.last_term
         return None
 
     def entry(self, index: int) -> messages.LogEntry:
         """Returns an entry that is at hand."""
-        return self.records[index - self.first].entry
+        return self.records[index - self.first_index].entry
 
-    def batch(self, start: int, most: int) -> list[messages.LogEntry]:
+    def batch(self, start: int, max_bytes: int) -> list[messages.LogEntry]:
         """Returns the entries from `start` on, in `most` bytes; one at least."""
         entries: list[messages.LogEntry] = []
         size = 0
-        for record in self.records[start - self.first :]:
+        for record in self.records[start - self.first_index :]:
             size += len(record.data)
-            if entries and size > most:
+            if entries and size > max_bytes:
                 break
             entries.append(record.entry)
         return entries
@@ -226,26 +242,28 @@
         Raises:
           errors.StorageError: the disk is full or failed.
         """
-        self.check()
-        start = self.synced + 1
+        self.check_usable()
+        start = self.synced_index + 1
         last = self.last_index
         if start > last:
             return
-        records = [r.data for r in self.records[start - self.first :]]
-        created = start == self.first
-        await self.run(lambda: self.write_frame(start, records, created))
-        self.synced = last
+        records = [r.data for r in self.records[start - self.first_index :]]
+        created = start == self.first_index
+        await self.run_disk_work(
+            lambda: self.write_frame(start, records, created)
+        )
+        self.synced_index = last
 
     def write_frame(
         self, start: int, records: list[bytes], created: bool
     ) -> None:
         """Appends one frame and syncs it."""
-        self.disk.append(LOG, recordlog.encode(start, records))
-        self.disk.sync(LOG)
+        self.disk.append(LOG_FILE, recordlog.encode_frame(start, records))
+        self.disk.sync(LOG_FILE)
         if created:
-            self.disk.sync_folder()
+            self.disk.sync_directory()
 
-    async def save_state(
+    async def save_hard_state(
         self, term: int, voted_for: ids.DiskId, commit: int
     ) -> None:
         """Makes term and vote durable, before anyone is told of them.
@@ -256,12 +274,12 @@
         state = messages.HardState(
             term=ids.Term(term),
             voted_for=voted_for,
-            identity=self.state.identity,
+            identity=self.hard_state.identity,
             commit=ids.LogIndex(commit),
         )
         data = messages.encode_hard_state(state)
-        await self.run(lambda: self.put(STATE, data))
-        self.state = state
+        await self.run_disk_work(lambda: self.replace_file(STATE_FILE, data))
+        self.hard_state = state
 
     async def truncate(self, start: int) -> None:
         """Forgets the entries from `start` on.
@@ -269,17 +287,21 @@
         Raises:
           errors.StorageError: the disk is full or failed.
         """
-        del self.records[start - self.first :]
-        await self.rewrite(min(self.synced, start - 1))
+        del self.records[start - self.first_index :]
+        await self.rewrite_log(min(self.synced_index, start - 1))
 
-    async def rewrite(self, last: int) -> None:
+    async def rewrite_log(self, last: int) -> None:
         """Writes the log file anew, with the entries up to `last`."""
         # Cutting the file in place and adding the kept part of a frame again
         # would, in a crash between the two, lose acknowledged entries.
-        kept = [r.data for r in self.records[: max(0, last - self.first + 1)]]
-        data = recordlog.encode(self.first, kept) if kept else b""
-        await self.run(lambda: self.put(LOG, data, with_sum=False))
-        self.synced = max(last, self.snapshot.last_index)
+        kept = [
+            r.data for r in self.records[: max(0, last - self.first_index + 1)]
+        ]
+        data = recordlog.encode_frame(self.first_index, kept) if kept else b""
+        await self.run_disk_work(
+            lambda: self.replace_file(LOG_FILE, data, with_checksum=False)
+        )
+        self.synced_index = max(last, self.snapshot.last_index)
 
     async def stage(self, snapshot: messages.Snapshot) -> bytes:
         """Writes a snapshot that nothing uses yet; returns it encoded.
@@ -293,10 +315,10 @@
 
         def work() -> bytes:
             data = messages.encode_snapshot(snapshot)
-            self.put_beside(STAGED, data)
+            self.write_file(STAGED_FILE, data)
             return data
 
-        return await self.run(work)
+        return await self.run_disk_work(work)
 
     async def stage_received(self, data: bytes) -> messages.Snapshot:
         """Does the same with an encoded snapshot; returns it decoded.
@@ -307,12 +329,12 @@
 
         def work() -> messages.Snapshot:
             snapshot = messages.decode_snapshot(data)
-            self.put_beside(RECEIVED, data)
+            self.write_file(RECEIVED_FILE, data)
             return snapshot
 
-        return await self.run(work)
+        return await self.run_disk_work(work)
 
-    async def adopt(
+    async def install_staged(
         self,
         name: str,
         snapshot: messages.Snapshot,
@@ -330,24 +352,24 @@
         Raises:
           errors.StorageError: the disk is full or failed.
         """
-        await self.run(lambda: self.replace_snapshot(name))
+        await self.run_disk_work(lambda: self.rename_staged(name))
         self.snapshot = snapshot
         self.snapshot_data = data
-        self.drop_what_the_snapshot_replaced()
-        cut = max(self.first, snapshot.last_index + 1 - trailing)
-        del self.records[: cut - self.first]
-        self.first = cut
+        self.discard_replaced_entries()
+        cut = max(self.first_index, snapshot.last_index + 1 - trailing)
+        del self.records[: cut - self.first_index]
+        self.first_index = cut
         # What the snapshot replaced counts as synced no more: entries that
         # come in its place would never be written, yet be acknowledged.
-        self.synced = min(self.synced, self.last_index)
-        await self.rewrite(max(self.synced, snapshot.last_index))
+        self.synced_index = min(self.synced_index, self.last_index)
+        await self.rewrite_log(max(self.synced_index, snapshot.last_index))
 
-    def replace_snapshot(self, name: str) -> None:
+    def rename_staged(self, name: str) -> None:
         """Gives a staged file the snapshot's name."""
-        self.disk.rename(name, SNAPSHOT)
-        self.disk.sync_folder()
+        self.disk.rename(name, SNAPSHOT_FILE)
+        self.disk.sync_directory()
 
-    def check(self) -> None:
+    def check_usable(self) -> None:
         """Refuses to go on after a failure.
 
         Raises:
@@ -355,26 +377,28 @@
           errors.StorageError: the first failure, of any other kind.
         """
         if self.failure:
-            raise self.error()
+            raise self.make_error()
 
-    def error(self) -> errors.StorageError:
+    def make_error(self) -> errors.StorageError:
         """Returns the error that tells of the first failure."""
-        kind = errors.DiskFullError if self.full else errors.StorageError
+        kind = errors.DiskFullError if self.disk_full else errors.StorageError
         return kind(self.failure)
 
-    def fail(self, error: OSError, why: str) -> None:
+    def record_failure(self, error: OSError, why: str) -> None:
         """Refuses every later write."""
         self.failure = why
-        self.full = error.errno in disk_module.FULL
+        self.disk_full = error.errno in disk_module.FULL_ERRNOS
         logs.say(logs.Part.STORAGE, "disk failed", why=str(error))
 
-    async def run(self, work: typing.Callable[[], typing.Any]) -> typing.Any:
+    async def run_disk_work(
+        self, work: typing.Callable[[], typing.Any]
+    ) -> typing.Any:
         """Runs disk work off the loop; after a failure nothing more is run."""
-        self.check()
+        self.check_usable()
         try:
             return await self.disk.offload(work)
         except OSError as error:
             # A sync that failed may have dropped the pages it could not
             # write; a later one would report success without them.
-            self.fail(error, f"{self.disk}: {error}")
-            raise self.error() from error
+            self.record_failure(error, f"{self.disk}: {error}")
+            raise self.make_error() from error
--- a/mangobay/transfer.py
+++ b/mangobay/transfer.py
@@ -74,14 +74,14 @@
     group: "consensus.Group", follower: "progress.Follower"
 ) -> messages.SnapshotPut:
     """Returns the next part for a host behind the log's start."""
-    if follower.sending is None:
+    if follower.outgoing_snapshot is None:
         data = group.log.snapshot_data
-        follower.sending = Sending(
+        follower.outgoing_snapshot = Sending(
             last_index=group.log.snapshot.last_index,
             data=data,
             checksum=xxhash.xxh3_64_intdigest(data),
         )
-    sending = follower.sending
+    sending = follower.outgoing_snapshot
     return messages.SnapshotPut(
         term=ids.Term(group.term),
         leader=group.host,
@@ -99,35 +99,37 @@
     follower: "progress.Follower", reply: messages.SnapshotReply
 ) -> None:
     """Takes in how much a follower holds, or that it has installed it."""
-    sending = follower.sending
+    sending = follower.outgoing_snapshot
     if sending is None:
         return
     if reply.last_index < sending.last_index:
         sending.offset = reply.received
         return
-    follower.sending = None
-    follower.match = max(follower.match, reply.last_index)
-    follower.next = follower.match + 1
+    follower.outgoing_snapshot = None
+    follower.match_index = max(follower.match_index, reply.last_index)
+    follower.next_index = follower.match_index + 1
 
 
 async def take_part(
     group: "consensus.Group", body: messages.SnapshotPut
 ) -> messages.SnapshotReply:
     """Keeps a part of a leader's snapshot; the group's lock is held."""
-    if not await election.follow(group, body):
+    if not await election.accept_leader(group, body):
         return reply_of(group, 0, 0)
-    if body.last_index <= group.commit:
-        group.receiving = None
+    if body.last_index <= group.commit_index:
+        group.incoming_snapshot = None
         return reply_of(group, body.last_index, body.size)
-    receiving = group.receiving
+    receiving = group.incoming_snapshot
     if receiving is None or not receiving.continues(body):
         receiving = Receiving(body.last_index, body.size, body.checksum)
-        group.receiving = receiving
+        group.incoming_snapshot = receiving
     if body.offset == len(receiving.data):
         receiving.data += body.part
     received = len(receiving.data)
     if received >= receiving.size and receiving.installing is None:
-        receiving.installing = group.answer_later(install(group, receiving))
+        receiving.installing = group.start_background_task(
+            install(group, receiving)
+        )
     return reply_of(group, 0, received)
 
 
@@ -154,16 +156,16 @@
         # this host from answering the leader's heartbeats.
         snapshot = await group.log.stage_received(data)
         async with group.lock:
-            if snapshot.last_index > group.commit:
+            if snapshot.last_index > group.commit_index:
                 await adopt(group, snapshot, data)
     except errors.StorageError:
-        group.fail()
+        group.abort_run()
     except (errors.PeerProtocolError, capnp.KjException) as error:
         logs.say(logs.Part.GROUP, "snapshot not installed", why=str(error))
     finally:
         # From the first byte again, if it was not installed.
-        if group.receiving is receiving:
-            group.receiving = None
+        if group.incoming_snapshot is receiving:
+            group.incoming_snapshot = None
 
 
 async def adopt(
@@ -174,8 +176,8 @@
     Raises:
       errors.StorageError: the disk failed.
     """
-    await group.log.adopt(storage.RECEIVED, snapshot, data, 0)
-    group.voters.forget_from(group.log.last_index + 1)
-    group.voters.learn_snapshot(snapshot)
+    await group.log.install_staged(storage.RECEIVED_FILE, snapshot, data, 0)
+    group.voters.truncate(group.log.last_index + 1)
+    group.voters.restore_snapshot(snapshot)
     group.machine.restore(snapshot)
-    group.commit = group.applied = snapshot.last_index
+    group.commit_index = group.applied_index = snapshot.last_index
--- a/mangobay/voters.py
+++ b/mangobay/voters.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Config:
+class VoterConfig:
     """The voters from one index of the log on.
 
     Attributes:
@@ -38,33 +38,33 @@
     """
 
     def __init__(self) -> None:
-        self.configs: list[Config] = []
+        self.configs: list[VoterConfig] = []
 
-    def learn(self, entries: list[messages.LogEntry]) -> None:
+    def add_entries(self, entries: list[messages.LogEntry]) -> None:
         """Takes in the changes among entries added to the log."""
         for entry in entries:
             match entry.body:
                 case messages.VoterChange() as change:
-                    self.configs.append(Config(entry.index, change))
+                    self.configs.append(VoterConfig(entry.index, change))
 
-    def learn_snapshot(self, snapshot: messages.Snapshot) -> None:
+    def restore_snapshot(self, snapshot: messages.Snapshot) -> None:
         """Takes in the voters of a snapshot, in place of what came before."""
         if not snapshot.voters.voters:
             return
         later = [c for c in self.configs if c.index > snapshot.last_index]
-        base = Config(snapshot.last_index, snapshot.voters)
+        base = VoterConfig(snapshot.last_index, snapshot.voters)
         self.configs = [base, *later]
 
-    def forget_from(self, index: int) -> None:
+    def truncate(self, index: int) -> None:
         """Drops the changes of entries that were cut from the log."""
         self.configs = [c for c in self.configs if c.index < index]
 
-    def at(self, index: int) -> messages.VoterChange:
+    def voters_at(self, index: int) -> messages.VoterChange:
         """Returns the voters that the log names up to an index."""
         known = [c.change for c in self.configs if c.index <= index]
         return known[-1] if known else messages.VoterChange()
 
-    def active(self, commit: int) -> list[messages.VoterChange]:
+    def active_voter_sets(self, commit: int) -> list[messages.VoterChange]:
         """Returns the sets of voters whose majorities make a quorum now."""
         pending = [c.change for c in self.configs if c.index > commit]
         settled = [c.change for c in self.configs if c.index <= commit]
@@ -74,15 +74,15 @@
         """Returns the voters that the last change names."""
         return self.configs[-1].change.voters if self.configs else []
 
-    def pending(self, commit: int) -> bool:
+    def has_pending_change(self, commit: int) -> bool:
         """Whether a change is not known to be committed."""
         return bool(self.configs) and self.configs[-1].index > commit
 
-    def names(self, identity: ids.DiskId) -> bool:
+    def is_voter(self, identity: ids.DiskId) -> bool:
         """Whether the last change names a disk."""
         return any(peer.identity == identity for peer in self.newest())
 
-    def quorum(
+    def quorum_value(
         self, commit: int, value: typing.Callable[[ids.DiskId], float]
     ) -> float:
         """Returns the highest value that a quorum of the voters has reached.
@@ -94,18 +94,20 @@
         Returns:
           The value; minus infinity when no voters are known.
         """
-        sets = self.active(commit)
+        sets = self.active_voter_sets(commit)
         if not sets:
             return float("-inf")
-        return min(majority(change.voters, value) for change in sets)
+        return min(majority_value(change.voters, value) for change in sets)
 
-    def unanimous(self, value: typing.Callable[[ids.DiskId], float]) -> float:
+    def unanimous_value(
+        self, value: typing.Callable[[ids.DiskId], float]
+    ) -> float:
         """Returns what every one of the newest voters has reached."""
         reached = (value(peer.identity) for peer in self.newest())
         return min(reached, default=float("-inf"))
 
 
-def majority(
+def majority_value(
     voters: list[messages.Peer], value: typing.Callable[[ids.DiskId], float]
 ) -> float:
     """Returns the highest value that more than half of the voters reached."""
--- a/mangobay/waiters.py
+++ b/mangobay/waiters.py
@@ -8,63 +8,63 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reader:
+class ConfirmationWaiter:
     """A caller that waits until a quorum confirmed the leader."""
 
     round: int
-    confirmed: "asyncio.Future[None]"
+    future: "asyncio.Future[None]"
 
 
 class Waiters:
     """Callers whose entry is not applied or whose round is not confirmed.
 
     Attributes:
-      round: newest round of confirmation that a caller waits for.
+      newest_round: newest round of confirmation that a caller waits for.
       proposals: by index, the callers that wait for an entry.
-      readers: the callers that wait for a round.
+      confirmations: the callers that wait for a round.
     """
 
     def __init__(self) -> None:
-        self.round = 0
+        self.newest_round = 0
         self.proposals: dict[int, asyncio.Future[messages.LogEntry]] = {}
-        self.readers: list[Reader] = []
+        self.confirmations: list[ConfirmationWaiter] = []
 
-    def applied(self, index: int) -> "asyncio.Future[messages.LogEntry]":
+    def add_proposal(self, index: int) -> "asyncio.Future[messages.LogEntry]":
         """Returns what resolves once the entry is applied."""
         future = asyncio.get_running_loop().create_future()
         self.proposals[index] = future
         return future
 
-    def confirmed(self) -> "asyncio.Future[None]":
+    def add_confirmation(self) -> "asyncio.Future[None]":
         """Returns what resolves once a round that starts now is confirmed."""
-        self.round += 1
+        self.newest_round += 1
         future = asyncio.get_running_loop().create_future()
-        self.readers.append(Reader(self.round, future))
+        self.confirmations.append(ConfirmationWaiter(self.newest_round, future))
         return future
 
-    def apply(self, entry: messages.LogEntry) -> None:
+    def resolve_proposal(self, entry: messages.LogEntry) -> None:
         """Answers the caller of an entry."""
         future = self.proposals.pop(entry.index, None)
         if future and not future.done():
             future.set_result(entry)
 
-    def confirm(self, reached: float) -> None:
+    def resolve_confirmations(self, reached: float) -> None:
         """Answers the callers of every round up to the one reached."""
         waiting = []
-        for reader in self.readers:
+        for reader in self.confirmations:
             if reader.round > reached:
                 waiting.append(reader)
-            elif not reader.confirmed.done():
-                reader.confirmed.set_result(None)
-        self.readers = waiting
+            elif not reader.future.done():
+                reader.future.set_result(None)
+        self.confirmations = waiting
 
-    def fail(self, why: errors.NotLeaderError) -> None:
+    def fail_all(self, why: errors.NotLeaderError) -> None:
         """Tells everyone that the lead is lost."""
         proposals, self.proposals = self.proposals, {}
         for index, future in proposals.items():
             if not future.done():
                 future.set_exception(errors.UncertainError(index))
-        readers, self.readers = self.readers, []
+        readers, self.confirmations = self.confirmations, []
         for reader in readers:
-            if not reader.confirmed.done():
-                reader.confirmed.set_exception(why)
+            if not reader.future.done():
+                reader.future.set_exception(why)
--- a/tests/controlfakes.py
+++ b/tests/controlfakes.py
@@ -33,12 +33,12 @@
         self.leader = ids.HostId(host)
         self.leader_address = address
         self.index = 0
-        self.votes = True
+        self.is_voter = True
         self.whole = asyncio.Event()
         self.whole.set()
 
     async def propose(self, body):
-        await self.confirm()
+        await self.confirm_leadership()
         return self.append(body)
 
     def voter_addresses(self):
@@ -51,10 +51,10 @@
         return entry
 
     @property
-    def commit(self):
+    def commit_index(self):
         return self.index
 
-    async def confirm(self):
+    async def confirm_leadership(self):
         await self.whole.wait()
         await asyncio.sleep(0.003)
         if not self.leading.is_set():
--- a/tests/groupfakes.py
+++ b/tests/groupfakes.py
@@ -9,10 +9,10 @@
 from mangobay.generated import messages, settings
 
 ELECTION_TIMEOUT = 0.6
-HEARTBEAT = 0.1
+HEARTBEAT_INTERVAL = 0.1
 REPLACE_AFTER = 1.5
 SNAPSHOT_ENTRIES = 40
-FOREVER = 5.0
+LOST_DELAY_SECONDS = 5.0
 
 
 class FakeDisk:
@@ -20,13 +20,13 @@
 
     def __init__(self, rng: random.Random):
         self.rng = rng
-        self.names: dict[str, bytearray] = {}
-        self.lasting_names: dict[str, bytearray] = {}
-        self.lasting: dict[int, tuple[bytearray, bytes]] = {}
+        self.files: dict[str, bytearray] = {}
+        self.durable_files: dict[str, bytearray] = {}
+        self.durable_contents: dict[int, tuple[bytearray, bytes]] = {}
         self.full = False
         self.steps_to_power_loss = -1
         self.sync_seconds = 0.0
-        self.syncs = 0
+        self.sync_count = 0
 
     def __str__(self) -> str:
         return "disk"
@@ -34,9 +34,9 @@
     def open(self) -> None:
         self.full = False
         self.steps_to_power_loss = -1
-        self.sync_folder()
+        self.sync_directory()
 
-    def step(self) -> None:
+    def count_step(self) -> None:
         self.steps_to_power_loss -= 1
         if self.steps_to_power_loss == 0:
             self.full = True
@@ -44,36 +44,36 @@
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def read(self, name):
-        file = self.names.get(name)
+        file = self.files.get(name)
         return None if file is None else bytes(file)
 
     def write(self, name, data):
-        self.names[name] = bytearray()
+        self.files[name] = bytearray()
         self.append(name, data)
 
     def append(self, name, data):
-        file = self.names.setdefault(name, bytearray())
+        file = self.files.setdefault(name, bytearray())
         file += data[: len(data) // 2]
-        self.step()
+        self.count_step()
         file += data[len(data) // 2 :]
 
-    def cut(self, name, size):
-        self.step()
-        del self.names[name][size:]
+    def truncate(self, name, size):
+        self.count_step()
+        del self.files[name][size:]
 
     def sync(self, name):
-        self.step()
-        self.syncs += 1
-        file = self.names[name]
-        self.lasting[id(file)] = (file, bytes(file))
+        self.count_step()
+        self.sync_count += 1
+        file = self.files[name]
+        self.durable_contents[id(file)] = (file, bytes(file))
 
     def rename(self, old, new):
-        self.step()
-        self.names[new] = self.names.pop(old)
+        self.count_step()
+        self.files[new] = self.files.pop(old)
 
-    def sync_folder(self):
-        self.step()
-        self.lasting_names = dict(self.names)
+    def sync_directory(self):
+        self.count_step()
+        self.durable_files = dict(self.files)
 
     async def offload(self, work):
         if self.sync_seconds:
@@ -83,29 +83,31 @@
     def crash(self) -> None:
         """Loses the names and any part of the bytes that were not synced."""
         if self.rng.random() < 0.5:
-            self.names = dict(self.lasting_names)
-        for file in self.names.values():
-            _, kept = self.lasting.get(id(file), (file, b""))
+            self.files = dict(self.durable_files)
+        for file in self.files.values():
+            _, kept = self.durable_contents.get(id(file), (file, b""))
             tail = bytes(file[len(kept) :]) if file.startswith(kept) else b""
             file[:] = kept + tail[: self.rng.randint(0, len(tail))]
-        self.names = {n: bytearray(f) for n, f in self.names.items()}
-        self.lasting_names = dict(self.names)
-        self.lasting = {id(f): (f, bytes(f)) for f in self.names.values()}
+        self.files = {n: bytearray(f) for n, f in self.files.items()}
+        self.durable_files = dict(self.files)
+        self.durable_contents = {
+            id(f): (f, bytes(f)) for f in self.files.values()
+        }
         self.full = False
 
 
-class FakeMachine:
+class FakeStateMachine:
     """Remembers the index and version of every sheet."""
 
     def __init__(self, committed: dict[int, messages.LogEntry]) -> None:
         self.committed = committed
-        self.applied = 0
+        self.applied_index = 0
         self.sheets: list[tuple[int, str]] = []
 
     def apply(self, entry):
-        assert entry.index == self.applied + 1
+        assert entry.index == self.applied_index + 1
         assert self.committed.setdefault(entry.index, entry) == entry
-        self.applied = entry.index
+        self.applied_index = entry.index
         match entry.body:
             case messages.SheetChange(version=version):
                 self.sheets.append((entry.index, version))
@@ -118,8 +120,8 @@
         return messages.Snapshot(history=history)
 
     def restore(self, snapshot):
-        assert snapshot.last_index >= self.applied
-        self.applied = snapshot.last_index
+        assert snapshot.last_index >= self.applied_index
+        self.applied_index = snapshot.last_index
         self.sheets = [(h.revision, h.version) for h in snapshot.history]
 
 
@@ -129,39 +131,39 @@
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.groups: dict[options.Address, consensus.Group] = {}
-        self.cut: set[tuple[options.Address, options.Address]] = set()
-        self.frozen: set[options.Address] = set()
-        self.under_way: set[asyncio.Task] = set()
-        self.loss = 0.0
-        self.delay = 0.003
-
-    def silent(self, sender, receiver) -> bool:
-        lost = self.rng.random() < self.loss
-        return lost or (sender, receiver) in self.cut
-
-    async def carry(self, sender, receiver, body):
-        await asyncio.sleep(self.delay * (0.5 + self.rng.random()))
-        while sender in self.frozen or receiver in self.frozen:
+        self.cut_links: set[tuple[options.Address, options.Address]] = set()
+        self.frozen_hosts: set[options.Address] = set()
+        self.deliveries: set[asyncio.Task] = set()
+        self.loss_rate = 0.0
+        self.delay_seconds = 0.003
+
+    def is_lost(self, sender, receiver) -> bool:
+        lost = self.rng.random() < self.loss_rate
+        return lost or (sender, receiver) in self.cut_links
+
+    async def deliver(self, sender, receiver, body):
+        await asyncio.sleep(self.delay_seconds * (0.5 + self.rng.random()))
+        while sender in self.frozen_hosts or receiver in self.frozen_hosts:
             await asyncio.sleep(0.05)
-        if self.silent(sender, receiver):
-            await asyncio.sleep(FOREVER)
+        if self.is_lost(sender, receiver):
+            await asyncio.sleep(LOST_DELAY_SECONDS)
         return copy.deepcopy(body)
 
-    async def ask(self, sender, receiver, body, timeout):
+    async def send_request(self, sender, receiver, body, timeout):
         # The receiver acts on a message even when its sender gave up.
-        task = asyncio.create_task(self.exchange(sender, receiver, body))
-        self.under_way.add(task)
-        task.add_done_callback(self.arrived)
+        task = asyncio.create_task(self.round_trip(sender, receiver, body))
+        self.deliveries.add(task)
+        task.add_done_callback(self.discard_delivery)
         async with asyncio.timeout(timeout):
             return await asyncio.shield(task)
 
-    def arrived(self, task) -> None:
-        self.under_way.discard(task)
+    def discard_delivery(self, task) -> None:
+        self.deliveries.discard(task)
         if not task.cancelled():
             task.exception()
 
-    async def exchange(self, sender, receiver, body):
-        body = await self.carry(sender, receiver, body)
+    async def round_trip(self, sender, receiver, body):
+        body = await self.deliver(sender, receiver, body)
         group = self.groups.get(receiver)
         if group is None:
             raise errors.PeerUnreachableError(str(receiver))
@@ -169,7 +171,7 @@
             reply = await group.handle(body)
         except (errors.StorageError, asyncio.CancelledError) as error:
             raise errors.PeerBrokenError(str(error)) from error
-        return await self.carry(receiver, sender, reply)
+        return await self.deliver(receiver, sender, reply)
 
 
 class FakeTransport:
@@ -180,7 +182,9 @@
         self.address = address
 
     async def ask(self, address, body, timeout):
-        return await self.network.ask(self.address, address, body, timeout)
+        return await self.network.send_request(
+            self.address, address, body, timeout
+        )
 
 
 class FakeHost:
@@ -193,17 +197,17 @@
         self.disk = FakeDisk(cluster.rng)
         self.task: asyncio.Task | None = None
         self.group: consensus.Group
-        self.machine: FakeMachine
+        self.machine: FakeStateMachine
 
     def start(self, join: bool = False) -> None:
         log = storage.Storage(self.disk)
         log.open()
-        self.machine = FakeMachine(self.cluster.committed)
+        self.machine = FakeStateMachine(self.cluster.committed)
         self.group = consensus.Group(
             settings.ControlGroup(
                 hosts=self.cluster.addresses,
                 election_timeout=ELECTION_TIMEOUT,
-                heartbeat_interval=HEARTBEAT,
+                heartbeat_interval=HEARTBEAT_INTERVAL,
                 data="",
                 snapshot_entries=self.cluster.snapshot_entries,
                 join=join,
@@ -236,7 +240,7 @@
         self.disk = FakeDisk(self.cluster.rng)
 
     @property
-    def leads(self) -> bool:
+    def is_leading(self) -> bool:
         return self.task is not None and self.group.leading.is_set()
 
 
@@ -270,51 +274,56 @@
     async def __aexit__(self, *unused):
         for host in self.hosts:
             await host.crash()
-        for task in self.network.under_way:
+        for task in self.network.deliveries:
             task.cancel()
 
-    def cut_off(self, host: FakeHost) -> None:
+    def isolate(self, host: FakeHost) -> None:
         """Silently drops everything from and to a host."""
         for other in self.addresses:
-            self.network.cut |= {(host.address, other), (other, host.address)}
+            self.network.cut_links |= {
+                (host.address, other),
+                (other, host.address),
+            }
 
     def heal(self) -> None:
-        self.network.cut.clear()
-        self.network.frozen.clear()
-        self.network.loss = 0.0
-        self.network.delay = 0.003
+        self.network.cut_links.clear()
+        self.network.frozen_hosts.clear()
+        self.network.loss_rate = 0.0
+        self.network.delay_seconds = 0.003
 
-    async def leader(self, seconds: float = 30) -> FakeHost:
+    async def leader(self, timeout_seconds: float = 30) -> FakeHost:
         """Returns a host that a quorum has confirmed."""
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_seconds):
             while True:
                 for host in self.hosts:
-                    if host.leads:
+                    if host.is_leading:
                         try:
-                            await host.group.confirm()
+                            await host.group.confirm_leadership()
                             return host
                         except errors.NotLeaderError:
                             pass
-                await asyncio.sleep(HEARTBEAT / 2)
+                await asyncio.sleep(HEARTBEAT_INTERVAL / 2)
 
-    async def commit(self, version: str, seconds: float = 30) -> FakeHost:
+    async def commit(
+        self, version: str, timeout_seconds: float = 30
+    ) -> FakeHost:
         """Proposes a sheet until a leader has applied it."""
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_seconds):
             while True:
-                leader = await self.leader(seconds)
+                leader = await self.leader(timeout_seconds)
                 try:
                     await leader.group.propose(
                         messages.SheetChange(version=version)
                     )
                     return leader
                 except (errors.NotLeaderError, errors.UncertainError):
-                    await asyncio.sleep(HEARTBEAT)
+                    await asyncio.sleep(HEARTBEAT_INTERVAL)
 
-    async def until(self, condition, seconds: float = 30) -> None:
+    async def wait_until(self, condition, timeout_seconds: float = 30) -> None:
         """Returns once the condition holds."""
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_seconds):
             while not condition():
-                await asyncio.sleep(HEARTBEAT / 2)
+                await asyncio.sleep(HEARTBEAT_INTERVAL / 2)
 
     def others(self, host: FakeHost) -> list[FakeHost]:
         return [other for other in self.hosts if other is not host]
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -5,7 +5,7 @@
 import groupfakes
 import pytest
 
-from mangobay import errors, handover, storage, transfer
+from mangobay import errors, stepdown, storage, transfer
 from mangobay.generated import messages
 
 pytestmark = pytest.mark.looptime
@@ -18,7 +18,7 @@
         async with groupfakes.Cluster() as cluster:
             for number in range(100):
                 await cluster.commit(str(number))
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: all(len(h.machine.sheets) == 100 for h in cluster.hosts)
             )
             machines = [host.machine.sheets for host in cluster.hosts]
@@ -30,7 +30,7 @@
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
             follower = cluster.others(leader)[0]
-            await cluster.until(lambda: follower.group.leader)
+            await cluster.wait_until(lambda: follower.group.leader)
             with pytest.raises(errors.NotLeaderError) as told:
                 await follower.group.propose(messages.Noop())
             assert told.value.leader == leader.name
@@ -40,17 +40,17 @@
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.leader()
             leader.disk.sync_seconds = 0.02
-            before = leader.disk.syncs
+            before = leader.disk.sync_count
             await asyncio.gather(
                 *(
                     leader.group.propose(messages.SheetChange(version=str(n)))
                     for n in range(30)
                 )
             )
-            assert leader.disk.syncs - before < 10
+            assert leader.disk.sync_count - before < 10
 
 
-class TestHandover:
+class TestStepDown:
     """A leader that stops as planned."""
 
     async def test_another_leads_before_the_others_miss_it(self):
@@ -65,11 +65,11 @@
                 former = await cluster.commit("before")
                 timeout = former.group.settings.election_timeout
                 began = former.group.now()
-                await handover.hand_over(former.group)
-                assert not former.leads
-                await cluster.until(
+                await stepdown.step_down_and_notify(former.group)
+                assert not former.is_leading
+                await cluster.wait_until(
                     lambda c=cluster, f=former: any(
-                        host.leads for host in c.others(f)
+                        host.is_leading for host in c.others(f)
                     )
                 )
                 assert cluster.hosts[0].group.now() - began < timeout
@@ -82,16 +82,18 @@
 class TestLostDisk:
     """Hosts whose disks come back empty."""
 
-    async def repaired(self, cluster, host) -> None:
+    async def replace_disk(self, cluster, host) -> None:
         """Gives a host an empty disk and waits until that one votes."""
         await host.crash()
         host.lose_disk()
         host.start(join=True)
         leader = await cluster.leader()
-        await cluster.until(
+        await cluster.wait_until(
             lambda: (
-                leader.group.voters.names(host.group.identity)
-                and not leader.group.voters.pending(leader.group.commit)
+                leader.group.voters.is_voter(host.group.identity)
+                and not leader.group.voters.has_pending_change(
+                    leader.group.commit_index
+                )
             )
         )
 
@@ -104,7 +106,7 @@
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("before")
             first, second = cluster.others(leader)
-            await self.repaired(cluster, first)
+            await self.replace_disk(cluster, first)
             await second.crash()
             await cluster.commit("after")
             assert [v for _, v in first.machine.sheets][0] == "before"
@@ -114,12 +116,14 @@
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("before")
             first, second = cluster.others(leader)
-            await self.repaired(cluster, first)
+            await self.replace_disk(cluster, first)
             await cluster.commit("between")
             await leader.crash()
             await cluster.commit("after")
             for host in (first, second):
-                await cluster.until(lambda h=host: len(h.machine.sheets) == 3)
+                await cluster.wait_until(
+                    lambda h=host: len(h.machine.sheets) == 3
+                )
                 versions = [v for _, v in host.machine.sheets]
                 assert versions == ["before", "between", "after"]
 
@@ -138,10 +142,10 @@
                 host.start(join=join)
             await leader.crash()
             await asyncio.sleep(30)
-            assert not any(host.leads for host in cluster.hosts)
+            assert not any(host.is_leading for host in cluster.hosts)
             leader.start()
             await asyncio.sleep(30)
-            assert not any(host.leads for host in cluster.hosts)
+            assert not any(host.is_leading for host in cluster.hosts)
             bodies = [r.entry.body for r in leader.group.log.records]
             assert messages.SheetChange(version="kept") in bodies
             held = {h.group.log.last_index for h in cluster.others(leader)}
@@ -154,7 +158,7 @@
         async with cluster:
             await late.crash()
             await asyncio.sleep(30)
-            assert not any(host.leads for host in cluster.hosts)
+            assert not any(host.is_leading for host in cluster.hosts)
             late.start()
             await cluster.commit("1")
 
@@ -175,14 +179,16 @@
                 await host.crash()
                 host.start(join=True)
             leader = await cluster.leader()
-            await cluster.until(lambda: len(leader.group.voters.newest()) == 5)
+            await cluster.wait_until(
+                lambda: len(leader.group.voters.newest()) == 5
+            )
             await cluster.commit("2")
             for host in cluster.others(leader)[:2]:
                 await host.crash()
             await cluster.commit("3")
 
 
-class TestCuts:
+class TestCutLinks:
     """Leaders and followers behind cuts that drop silently."""
 
     async def test_a_leader_behind_a_silent_cut_confirms_nothing(self):
@@ -194,10 +200,10 @@
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
-            cluster.cut_off(leader)
+            cluster.isolate(leader)
             began = asyncio.get_running_loop().time()
             told = await asyncio.gather(
-                leader.group.confirm(),
+                leader.group.confirm_leadership(),
                 leader.group.propose(messages.SheetChange(version="2")),
                 return_exceptions=True,
             )
@@ -208,9 +214,9 @@
             later = await cluster.commit("3")
             assert later is not leader
             with pytest.raises(errors.NotLeaderError):
-                await leader.group.confirm()
+                await leader.group.confirm_leadership()
             cluster.heal()
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: leader.machine.sheets == later.machine.sheets
             )
             assert [v for _, v in leader.machine.sheets] == ["1", "3"]
@@ -224,13 +230,13 @@
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
-            leader.group.led_since = float("inf")  # No check of the quorum.
-            cluster.network.frozen.add(leader.address)
-            await cluster.until(
-                lambda: any(host.leads for host in cluster.others(leader))
+            leader.group.elected_at = float("inf")  # No check of the quorum.
+            cluster.network.frozen_hosts.add(leader.address)
+            await cluster.wait_until(
+                lambda: any(host.is_leading for host in cluster.others(leader))
             )
-            assert leader.leads
-            reading = asyncio.create_task(leader.group.confirm())
+            assert leader.is_leading
+            reading = asyncio.create_task(leader.group.confirm_leadership())
             writing = asyncio.create_task(
                 leader.group.propose(messages.SheetChange(version="stale"))
             )
@@ -242,7 +248,7 @@
             with pytest.raises(errors.UncertainError):
                 await writing
             later = await cluster.commit("2")
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: leader.machine.sheets == later.machine.sheets
             )
             assert [v for _, v in leader.machine.sheets] == ["1", "2"]
@@ -256,11 +262,11 @@
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
             term = leader.group.term
-            cluster.cut_off(cluster.others(leader)[0])
+            cluster.isolate(cluster.others(leader)[0])
             await asyncio.sleep(20)
             cluster.heal()
             await asyncio.sleep(5)
-            assert leader.leads
+            assert leader.is_leading
             assert leader.group.term == term
 
     async def test_one_link_cut_deposes_nobody(self):
@@ -272,12 +278,12 @@
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
             other = cluster.others(leader)[0]
-            cluster.network.cut |= {
+            cluster.network.cut_links |= {
                 (leader.address, other.address),
                 (other.address, leader.address),
             }
             await asyncio.sleep(20)
-            assert leader.leads
+            assert leader.is_leading
             await leader.group.propose(messages.SheetChange(version="2"))
 
     async def test_a_host_far_behind_gets_a_snapshot(self):
@@ -285,9 +291,9 @@
         async with groupfakes.Cluster() as cluster:
             late = await leave_behind(cluster)
             leader = await cluster.leader()
-            assert leader.group.log.first > late.group.log.last_index
+            assert leader.group.log.first_index > late.group.log.last_index
             late.start()
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: late.machine.sheets == leader.machine.sheets
             )
 
@@ -313,12 +319,16 @@
             for lost in cluster.others(leader):
                 await lost.crash()
             late.start()
-            await cluster.until(lambda: leader.leads and late.group.receiving)
+            await cluster.wait_until(
+                lambda: leader.is_leading and late.group.incoming_snapshot
+            )
             term = leader.group.term
-            await cluster.until(lambda: late.group.receiving.installing)
+            await cluster.wait_until(
+                lambda: late.group.incoming_snapshot.installing
+            )
             await leader.group.propose(messages.SheetChange(version="last"))
             assert leader.group.term == term
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: late.machine.sheets == leader.machine.sheets
             )
 
@@ -371,7 +381,7 @@
             late = await leave_behind(cluster)
             late.start()
             leader = await cluster.leader()
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: late.machine.sheets == leader.machine.sheets
             )
             assert damaged
@@ -412,16 +422,16 @@
             leader = await cluster.commit("1")
             host = leader if leads else cluster.others(leader)[0]
             host.disk.full = True
-            before = host.group.log.synced
+            before = host.group.log.synced_index
             await cluster.commit("2")
             with pytest.raises(errors.StorageError, match="No space"):
                 await host.task
-            assert not host.leads
-            assert host.group.log.synced == before
+            assert not host.is_leading
+            assert host.group.log.synced_index == before
             await host.crash()
             host.start()
             last = await cluster.commit("3")
-            await cluster.until(
+            await cluster.wait_until(
                 lambda: host.machine.sheets == last.machine.sheets
             )
 
@@ -472,7 +482,7 @@
         new.start(join=True)
         for host in cluster.hosts[:-1]:
             if host.task is not None:
-                host.group.meet(new.address)
+                host.group.add_follower(new.address)
         return new
 
     async def test_one_takes_the_place_of_a_voter_that_is_gone(self):
@@ -487,7 +497,7 @@
             gone, left = cluster.others(leader)
             await gone.crash()
             new = await self.make_joining(cluster)
-            await cluster.until(lambda: new.group.votes)
+            await cluster.wait_until(lambda: new.group.is_voter)
             assert len(new.group.voters.newest()) == 3
             assert str(gone.address) not in leader.group.voter_addresses()
             await left.crash()
@@ -499,7 +509,7 @@
             await cluster.commit("1")
             new = await self.make_joining(cluster)
             await asyncio.sleep(10)
-            assert not new.group.votes
+            assert not new.group.is_voter
             assert len(new.group.voters.newest()) == 3
 
     async def test_a_replaced_voter_that_comes_back_elects_nobody(self):
@@ -512,11 +522,11 @@
             await cluster.commit("1")
             leader = await cluster.leader()
             cut = cluster.others(leader)[0]
-            cluster.cut_off(cut)
+            cluster.isolate(cut)
             new = await self.make_joining(cluster)
-            await cluster.until(lambda: new.group.votes)
+            await cluster.wait_until(lambda: new.group.is_voter)
             cluster.heal()
             await asyncio.sleep(5)
             await cluster.commit("2")
-            assert not cut.leads
-            assert not cut.group.votes
+            assert not cut.is_leading
+            assert not cut.group.is_voter
--- a/tests/test_consensus_random.py
+++ b/tests/test_consensus_random.py
@@ -12,7 +12,7 @@
 from mangobay import errors, invariants, transfer
 from mangobay.generated import messages
 
-FOUNDING_STEPS = 10
+BOOTSTRAP_STEPS = 10
 """A group is founded only while all hosts are up: it may come to nothing."""
 STEPS = 120
 CI_SEEDS = range(4)
@@ -25,37 +25,37 @@
     monkeypatch.setattr(transfer, "PART_BYTES", 64)
 
 
-class Chaos:
+class RandomFaultRun:
     """One random run: faults, callers, and what must hold throughout.
 
     Attributes:
       acknowledged: versions whose proposal returned.
-      newest: newest index that a caller was told of.
+      newest_told_index: newest index that a caller was told of.
       leaders: the disk that led each term.
-      faults: how many of each kind were injected.
-      checks: how many checks were made.
+      fault_counts: how many of each kind were injected.
+      check_counts: how many checks were made.
     """
 
     def __init__(self, seed: int):
         self.rng = random.Random(seed)
         self.cluster = groupfakes.Cluster(seed)
         self.acknowledged: set[str] = set()
-        self.newest = 0
+        self.newest_told_index = 0
         self.leaders: dict[int, str] = {}
-        self.faults: collections.Counter[str] = collections.Counter()
-        self.checks: collections.Counter[str] = collections.Counter()
-        self.callers: set[asyncio.Task] = set()
-        self.proposed = 0
-        self.settlements = 0
-        self.before = invariants.checks.copy()
-
-    def call(self, work) -> None:
+        self.fault_counts: collections.Counter[str] = collections.Counter()
+        self.check_counts: collections.Counter[str] = collections.Counter()
+        self.caller_tasks: set[asyncio.Task] = set()
+        self.proposal_count = 0
+        self.recovery_count = 0
+        self.checks_before = invariants.checks.copy()
+
+    def start_caller(self, work) -> None:
         task = asyncio.create_task(work)
-        self.callers.add(task)
+        self.caller_tasks.add(task)
 
     async def propose(self, host) -> None:
-        self.proposed += 1
-        version = str(self.proposed)
+        self.proposal_count += 1
+        version = str(self.proposal_count)
         try:
             entry = await host.group.propose(
                 messages.SheetChange(version=version)
@@ -63,21 +63,25 @@
         except (errors.NotLeaderError, errors.UncertainError):
             return
         self.acknowledged.add(version)
-        self.newest = max(self.newest, entry.index)
+        self.newest_told_index = max(self.newest_told_index, entry.index)
 
     async def read(self, host) -> None:
-        newest, group, machine = self.newest, host.group, host.machine
+        newest, group, machine = (
+            self.newest_told_index,
+            host.group,
+            host.machine,
+        )
         try:
-            await group.confirm()
+            await group.confirm_leadership()
         except errors.NotLeaderError:
             return
-        self.checks["a confirmed host holds what callers were told"] += 1
-        assert machine.applied >= newest
+        self.check_counts["a confirmed host holds what callers were told"] += 1
+        assert machine.applied_index >= newest
 
-    def check(self) -> None:
+    def check_leaders(self) -> None:
         for host in self.cluster.hosts:
-            if host.leads:
-                self.checks["one leader a term"] += 1
+            if host.is_leading:
+                self.check_counts["one leader a term"] += 1
                 group = host.group
                 seen = self.leaders.setdefault(group.term, group.identity)
                 assert seen == group.identity
@@ -89,38 +93,43 @@
         host.disk.steps_to_power_loss = self.rng.randint(1, 12)
 
     async def cut_off(self, host) -> None:
-        self.cluster.cut_off(host)
+        self.cluster.isolate(host)
 
     async def cut_one_way(self, host) -> None:
         other = self.rng.choice(self.cluster.others(host))
-        self.cluster.network.cut.add((host.address, other.address))
+        self.cluster.network.cut_links.add((host.address, other.address))
 
     async def freeze(self, host) -> None:
-        self.cluster.network.frozen.add(host.address)
+        self.cluster.network.frozen_hosts.add(host.address)
 
     async def slow_disk(self, host) -> None:
         host.disk.sync_seconds = self.rng.choice((0.0, 0.01, 0.3))
 
     async def bad_links(self, host) -> None:
-        self.cluster.network.loss = self.rng.choice((0.0, 0.1, 0.3))
-        self.cluster.network.delay = self.rng.choice((0.003, 0.05, 0.4))
+        self.cluster.network.loss_rate = self.rng.choice((0.0, 0.1, 0.3))
+        self.cluster.network.delay_seconds = self.rng.choice((0.003, 0.05, 0.4))
 
     async def lose_disk(self, host) -> None:
         """Only once the former loss is repaired: the group needs a quorum."""
-        if any(self.settled(other) for other in self.cluster.others(host)):
+        if any(
+            self.leads_full_group(other) for other in self.cluster.others(host)
+        ):
             await host.crash()
             host.lose_disk()
             host.start(join=self.rng.random() < 0.5)
-            self.faults["disk lost"] += 1
+            self.fault_counts["disk lost"] += 1
 
-    def settled(self, host) -> bool:
+    def leads_full_group(self, host) -> bool:
         """Whether a host leads a group that every disk is a voter of."""
         group = host.group
         disks = {h.group.identity for h in self.cluster.hosts}
         known = {p.identity for p in group.voters.newest()}
-        pending = group.voters.pending(group.commit)
+        pending = group.voters.has_pending_change(group.commit_index)
         return (
-            host.leads and bool(group.commit) and known == disks and not pending
+            host.is_leading
+            and bool(group.commit_index)
+            and known == disks
+            and not pending
         )
 
     async def step(self) -> None:
@@ -145,7 +154,7 @@
             self.cluster.heal()
         else:
             if fault != self.lose_disk:
-                self.faults[fault.__name__] += 1
+                self.fault_counts[fault.__name__] += 1
             await fault(host)
 
     async def restart_dead(self, share: float) -> None:
@@ -160,56 +169,58 @@
 
     async def run(self) -> None:
         async with self.cluster:
-            await self.strain(FOUNDING_STEPS)
-            await self.settle()
-            await self.strain(STEPS)
-            await self.settle()
+            await self.inject_faults(BOOTSTRAP_STEPS)
+            await self.recover_and_check()
+            await self.inject_faults(STEPS)
+            await self.recover_and_check()
 
-    async def strain(self, steps: int) -> None:
+    async def inject_faults(self, steps: int) -> None:
         """Injects faults while callers propose and read at every host."""
         for _ in range(steps):
             await self.step()
             for _ in range(self.rng.randint(1, 6)):
                 await asyncio.sleep(self.rng.random() * 0.6)
                 for host in self.cluster.hosts:
-                    self.call(self.propose(host))
-                    self.call(self.read(host))
-                self.check()
+                    self.start_caller(self.propose(host))
+                    self.start_caller(self.read(host))
+                self.check_leaders()
             await self.restart_dead(0.4)
 
-    async def settle(self) -> None:
+    async def recover_and_check(self) -> None:
         """Everything works again: nothing a caller was told may be missing."""
         self.cluster.heal()
         for host in self.cluster.hosts:
             host.disk.steps_to_power_loss = -1
             host.disk.sync_seconds = 0.0
         await self.restart_dead(1)
-        self.settlements += 1
-        version = f"settled {self.settlements}"
+        self.recovery_count += 1
+        version = f"settled {self.recovery_count}"
         leader = await self.cluster.commit(version, 120)
-        await self.cluster.until(
+        await self.cluster.wait_until(
             lambda: all(
-                h.machine.applied == leader.machine.applied
-                and leader.group.voters.names(h.group.identity)
+                h.machine.applied_index == leader.machine.applied_index
+                and leader.group.voters.is_voter(h.group.identity)
                 for h in self.cluster.hosts
             ),
             120,
         )
         for host in self.cluster.hosts:
-            self.checks["nothing acknowledged is lost"] += 1
+            self.check_counts["nothing acknowledged is lost"] += 1
             held = [version for _, version in host.machine.sheets]
             assert self.acknowledged <= set(held)
             assert len(held) == len(set(held))
-        await asyncio.gather(*self.callers)
+        await asyncio.gather(*self.caller_tasks)
 
     def report(self) -> str:
         inside = {
             promise.value: count
-            for promise, count in (invariants.checks - self.before).items()
+            for promise, count in (
+                invariants.checks - self.checks_before
+            ).items()
         }
         return (
-            f"faults {dict(self.faults)}, checks {dict(self.checks)},"
-            f" inside {inside}, proposed {self.proposed},"
+            f"faults {dict(self.fault_counts)}, checks {dict(self.check_counts)},"
+            f" inside {inside}, proposed {self.proposal_count},"
             f" acknowledged {len(self.acknowledged)}"
         )
 
@@ -228,11 +239,13 @@
         await self.run(seed, capsys)
 
     async def run(self, seed, capsys) -> None:
-        chaos = Chaos(seed)
+        chaos = RandomFaultRun(seed)
         try:
             await chaos.run()
         finally:
             with capsys.disabled():
                 print(f"\nseed {seed}: {chaos.report()}")
-        assert sum(chaos.faults.values()) > STEPS // 3
-        assert chaos.checks["a confirmed host holds what callers were told"]
+        assert sum(chaos.fault_counts.values()) > STEPS // 3
+        assert chaos.check_counts[
+            "a confirmed host holds what callers were told"
+        ]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -203,9 +203,9 @@
         self.check()
         super().append(name, data)
 
-    def cut(self, name, size):
+    def truncate(self, name, size):
         self.check()
-        super().cut(name, size)
+        super().truncate(name, size)
 
 
 class TestFullDisk:
@@ -252,7 +252,7 @@
         FillingDisk.full = True
         with pytest.raises(errors.UncertainError):
             await first.group.propose(messages.SheetChange(version="2"))
-        await asyncio.sleep(3 * disk.ROOM_POLL)
+        await asyncio.sleep(3 * disk.FULL_POLL_SECONDS)
         assert not running.done()
         FillingDisk.full = False
         await until(
@@ -273,7 +273,7 @@
         """
         FillingDisk.full = True
         running = asyncio.create_task(program.run(self.config(tmp_path)))
-        await asyncio.sleep(3 * disk.ROOM_POLL)
+        await asyncio.sleep(3 * disk.FULL_POLL_SECONDS)
         assert not running.done()
         os.kill(os.getpid(), signal.SIGTERM)
         assert await running == 0
--- a/tests/test_operatorapi.py
+++ b/tests/test_operatorapi.py
@@ -124,7 +124,7 @@
         that the sheet is in force, whole.
         """
         late = controlfakes.sheet("1", controlfakes.operation("late"))
-        confirm = group.confirm
+        confirm = group.confirm_leadership
 
         async def confirm_with_late_entry():
             await confirm()
@@ -133,7 +133,7 @@
                 group.append(late)
 
         confirms = []
-        group.confirm = confirm_with_late_entry
+        group.confirm_leadership = confirm_with_late_entry
         async with serving(group) as operator:
             status, answer = await operator.apply("2", "sign")
             assert (status, answer["removed"]) == (200, 1)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -189,7 +189,7 @@
     ):
         async with self.stopping(tmp_path) as (stopping, caller, _):
             stopping.host.log.failure = "the disk is gone"
-            stopping.host.group.fail()
+            stopping.host.group.abort_run()
             answer = await caller.read_response()
             assert answer.status == 503, answer
             with pytest.raises(errors.StorageError):
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -16,11 +16,11 @@
     return messages.LogEntry(index=index, term=term, body=body)
 
 
-async def written(files, count: int) -> storage.Storage:
+async def make_synced_log(files, count: int) -> storage.Storage:
     """Returns a storage that synced the entries one by one."""
     log = storage.Storage(files)
     log.open()
-    await log.save_state(1, ids.DiskId(""), 0)
+    await log.save_hard_state(1, ids.DiskId(""), 0)
     for index in range(1, count + 1):
         log.append([entry(index)])
         await log.flush()
@@ -30,10 +30,10 @@
 async def save_snapshot(log, snapshot, trailing: int) -> None:
     """Stages and adopts a snapshot, as a host does that cuts its log."""
     data = await log.stage(snapshot)
-    await log.adopt(storage.STAGED, snapshot, data, trailing)
+    await log.install_staged(storage.STAGED_FILE, snapshot, data, trailing)
 
 
-def reopened(files) -> storage.Storage:
+def reopen(files) -> storage.Storage:
     log = storage.Storage(files)
     log.open()
     return log
@@ -49,16 +49,16 @@
 
     async def test_log_state_and_snapshot_come_back(self, tmp_path):
         folder = disk.Disk(str(tmp_path))
-        log = await written(folder, 20)
+        log = await make_synced_log(folder, 20)
         snapshot = messages.Snapshot(last_index=15, last_term=1)
         await save_snapshot(log, snapshot, 5)
         log.append([entry(21)])
         await log.flush()
         folder.close()
-        again = reopened(disk.Disk(str(tmp_path)))
-        assert again.state == log.state
+        again = reopen(disk.Disk(str(tmp_path)))
+        assert again.hard_state == log.hard_state
         assert again.snapshot == snapshot
-        assert again.first == 11
+        assert again.first_index == 11
         assert again.records == log.records
         assert again.last_index == 21
 
@@ -81,15 +81,15 @@
         Only a part of it is on the disk and nobody was told of it: the log
         ends before it, and what is added next is found again.
         """
-        await written(files, 3)
-        whole = len(files.names["log"])
+        await make_synced_log(files, 3)
+        whole = len(files.files["log"])
         for left in range(1, 40):
-            log = reopened(files)
+            log = reopen(files)
             log.append([entry(4)])
             await log.flush()
-            del files.names["log"][whole + left :]
-            assert reopened(files).last_index == 3
-            assert len(files.names["log"]) == whole
+            del files.files["log"][whole + left :]
+            assert reopen(files).last_index == 3
+            assert len(files.files["log"]) == whole
 
     @pytest.mark.parametrize("share", (0.0, 0.2, 0.5, 0.8))
     async def test_a_damaged_middle_is_refused(self, files, share):
@@ -98,35 +98,35 @@
         Cutting there would lose acknowledged entries, so the host does not
         start, names file and byte, and leaves the file as it is.
         """
-        await written(files, 10)
-        last = files.names["log"].rfind(b"mgbL")
-        files.names["log"][int(last * share)] ^= 1
-        before = bytes(files.names["log"])
+        await make_synced_log(files, 10)
+        last = files.files["log"].rfind(b"mgbL")
+        files.files["log"][int(last * share)] ^= 1
+        before = bytes(files.files["log"])
         with pytest.raises(errors.DamagedLogError, match="log: .*byte"):
-            reopened(files)
-        assert bytes(files.names["log"]) == before
+            reopen(files)
+        assert bytes(files.files["log"]) == before
 
     async def test_a_damaged_end_is_refused_when_known_committed(self, files):
         """The last record rots; cut as torn, a committed entry would go."""
-        log = await written(files, 5)
-        await log.save_state(1, ids.DiskId(""), 5)
-        files.names["log"][-1] ^= 1
+        log = await make_synced_log(files, 5)
+        await log.save_hard_state(1, ids.DiskId(""), 5)
+        files.files["log"][-1] ^= 1
         with pytest.raises(errors.DamagedLogError, match="5 was committed"):
-            reopened(files)
+            reopen(files)
 
     @pytest.mark.parametrize("name", ("state", "snapshot"))
     async def test_a_damaged_file_is_refused(self, files, name):
-        log = await written(files, 5)
+        log = await make_synced_log(files, 5)
         await save_snapshot(log, messages.Snapshot(last_index=5), 0)
-        files.names[name][-1] ^= 1
+        files.files[name][-1] ^= 1
         with pytest.raises(errors.DamagedLogError, match=name):
-            reopened(files)
+            reopen(files)
 
     async def test_a_lost_state_file_is_no_new_disk(self, files):
-        await written(files, 5)
-        del files.names["state"]
+        await make_synced_log(files, 5)
+        del files.files["state"]
         with pytest.raises(errors.DamagedLogError, match="state"):
-            reopened(files)
+            reopen(files)
 
     async def test_entries_replaced_by_a_snapshot_are_written_anew(self, files):
         """A follower's uncommitted tail goes with an installed snapshot.
@@ -134,7 +134,7 @@
         Were it still counted as synced, the entries that come in its place
         would be acknowledged without being written, and lost in a crash.
         """
-        log = await written(files, 9)
+        log = await make_synced_log(files, 9)
         await save_snapshot(
             log, messages.Snapshot(last_index=5, last_term=2), 0
         )
@@ -142,22 +142,22 @@
             log.append([entry(index, term=2)])
             await log.flush()
         files.crash()
-        assert [r.entry.index for r in reopened(files).records] == [6, 7, 8]
+        assert [r.entry.index for r in reopen(files).records] == [6, 7, 8]
 
     async def test_a_power_loss_at_any_step_keeps_what_was_synced(self, files):
         """Power goes at each step of cutting the log in turn."""
         for step in range(1, 9):
             one = groupfakes.FakeDisk(random.Random(step))
-            log = await written(one, 9)
+            log = await make_synced_log(one, 9)
             one.steps_to_power_loss = step
             with pytest.raises(errors.StorageError):
                 await save_snapshot(
                     log, messages.Snapshot(last_index=6, last_term=1), 0
                 )
             one.crash()
-            again = reopened(one)
+            again = reopen(one)
             assert again.last_index == 9
-            assert again.state.identity == log.state.identity
+            assert again.hard_state.identity == log.hard_state.identity
 
     async def test_a_power_loss_while_a_snapshot_is_installed(self, files):
         """Power goes at each step of replacing a log that is far behind.
@@ -167,18 +167,18 @@
         """
         for step in range(1, 9):
             one = groupfakes.FakeDisk(random.Random(step))
-            log = await written(one, 9)
+            log = await make_synced_log(one, 9)
             one.steps_to_power_loss = step
             with pytest.raises(errors.StorageError):
                 await save_snapshot(
                     log, messages.Snapshot(last_index=20, last_term=2), 0
                 )
             one.crash()
-            again = reopened(one)
+            again = reopen(one)
             assert again.last_index in (9, 20)
             again.append([entry(again.last_index + 1, term=2)])
             await again.flush()
-            assert reopened(one).last_index == again.last_index
+            assert reopen(one).last_index == again.last_index
 
 
 WRITER = """
@@ -196,7 +196,7 @@
         if index % 50 == 0:
             snapshot = messages.Snapshot(last_index=index)
             data = await log.stage(snapshot)
-            await log.adopt(storage.STAGED, snapshot, data, 5)
+            await log.install_staged(storage.STAGED_FILE, snapshot, data, 5)
         print(index, flush=True)
 
 asyncio.run(main())
@@ -219,5 +219,5 @@
                     told = int(writer.stdout.readline())
                 writer.kill()
             folder = disk.Disk(str(tmp_path))
-            assert reopened(folder).last_index >= told
+            assert reopen(folder).last_index >= told
             folder.close()
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -25,18 +25,18 @@
         must not commit anything yet.
         """
         group = voters.Voters()
-        group.learn([entry(1, "a", "b", "c"), entry(5, "a", "c", "d")])
+        group.add_entries([entry(1, "a", "b", "c"), entry(5, "a", "c", "d")])
         held = {"a": 9, "d": 9}
-        assert group.quorum(4, reached(held)) == 0
-        assert group.quorum(4, reached(held | {"c": 7})) == 7
-        assert group.quorum(5, reached(held)) == 9
+        assert group.quorum_value(4, reached(held)) == 0
+        assert group.quorum_value(4, reached(held | {"c": 7})) == 7
+        assert group.quorum_value(5, reached(held)) == 9
 
     def test_a_cut_change_is_forgotten(self):
         group = voters.Voters()
-        group.learn([entry(1, "a", "b", "c"), entry(5, "a", "c", "d")])
-        group.forget_from(5)
-        assert group.names(ids.DiskId("b"))
-        assert not group.pending(1)
+        group.add_entries([entry(1, "a", "b", "c"), entry(5, "a", "c", "d")])
+        group.truncate(5)
+        assert group.is_voter(ids.DiskId("b"))
+        assert not group.has_pending_change(1)
 
     def test_nobody_known_is_no_quorum(self):
-        assert voters.Voters().quorum(0, reached({"a": 9})) < 0
+        assert voters.Voters().quorum_value(0, reached({"a": 9})) < 0
