--- a/bench/controlslopes.py
+++ b/bench/controlslopes.py
@@ -15,9 +15,9 @@
     disk,
     ids,
     leases,
-    machine,
     options,
     peers,
+    statemachine,
     storage,
 )
 from mangobay.generated import messages, settings
@@ -45,9 +45,9 @@
     return series.heap(lambda: stock.machine_with(rows=rows))
 
 
-def machine_with_history(sheets: int) -> machine.ConfigMachine:
+def machine_with_history(sheets: int) -> statemachine.ConfigStateMachine:
     """Returns a machine that accepted so many sheets of one row."""
-    state = machine.ConfigMachine()
+    state = statemachine.ConfigStateMachine()
     for number in range(1, sheets + 1):
         change = stock.sheet_change(1, version=f"2026-12-03.{number}")
         change.base = state.revision
@@ -238,7 +238,7 @@
     group = consensus.Group(
         config,
         log,
-        machine.ConfigMachine(),
+        statemachine.ConfigStateMachine(),
         Unreachable(),
         host=HELLO.host,
         address=ADDRESS,
@@ -287,7 +287,7 @@
         began = time.perf_counter()
         log = storage.Storage(files)
         log.open()
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         for record in log.records:
             state.apply(record.entry)
         spent = time.perf_counter() - began
@@ -325,7 +325,9 @@
     """Time of decoding a snapshot and restoring the state."""
     data = messages.encode_snapshot(snapshot_of(members))
     return timed(
-        lambda: machine.ConfigMachine().restore(messages.decode_snapshot(data))
+        lambda: statemachine.ConfigStateMachine().restore(
+            messages.decode_snapshot(data)
+        )
     )
 
 
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -133,7 +133,7 @@
                 retry_budget=retrybudget.RetryBudget(retries),
                 transport=network.Link(world.network, self.home),
                 executor=self.executor,
-                lease=lease.Unneeded(),
+                lease=lease.UnlimitedLease(),
                 views=world,
                 tracer=traces.Tracer(),
                 rng=self.dice,
@@ -214,7 +214,7 @@
         self.network = network.Network()
         self.reasons: collections.Counter = collections.Counter()
         self.asked: collections.Counter = collections.Counter()
-        self.table = routes.Table(document_of(day))
+        self.table = routes.RouteTable(document_of(day))
         self.nodes: list[Node] = []
         for service in day.services:
             for place in range(len(service.speeds)):
@@ -285,18 +285,20 @@
                 name=kind.name,
                 hostname="fleet.example",
                 prefix=f"/{kind.name}/",
-                kind=(
-                    routes.Kind.SAFE if kind.idempotent else routes.Kind.UNSAFE
+                retry_safety=(
+                    routes.RetrySafety.SAFE
+                    if kind.idempotent
+                    else routes.RetrySafety.UNSAFE
                 ),
                 timeout=kind.timeout,
                 target_latency=kind.target,
                 priority=kind.priority,
-                parts=(
-                    routes.Part(
+                weighted_services=(
+                    routes.WeightedService(
                         service=ids.ServiceName(kind.service), weight=1.0
                     ),
                 ),
-                most_attempts=kind.attempts,
+                max_attempts=kind.attempts,
             )
             for kind in day.kinds
         ),
--- a/bench/nodeslopes.py
+++ b/bench/nodeslopes.py
@@ -177,7 +177,7 @@
     client = make_client(Answering(grant))
     client.take_views([stock.view(n, 0) for n in range(interests)])
     names = [stock.service_name(number) for number in range(interests)]
-    client.interests.settle(names, names, seconds=1)
+    client.interests.resolve(names, names, unknown_seconds=1)
 
     async def work():
         for _ in range(RENEWALS):
--- a/bench/stock.py
+++ b/bench/stock.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from mangobay import clock, ids, machine
+from mangobay import clock, ids, statemachine
 from mangobay.generated import messages
 
 MEMBERS = 7
@@ -85,12 +85,12 @@
 
 def machine_with(
     members: int = 0, rows: int = 0, runs: int = 1
-) -> machine.ConfigMachine:
+) -> statemachine.ConfigStateMachine:
     """Returns the replicated state of so many hosts, each started `runs` times.
 
     Several runs fill the former views, as restarts do in service.
     """
-    state = machine.ConfigMachine()
+    state = statemachine.ConfigStateMachine()
     index = 0
     if rows:
         index += 1
@@ -146,7 +146,9 @@
 class OneHostGroup:
     """Stands for a control group whose quorum answers at once."""
 
-    def __init__(self, state: machine.ConfigMachine, index: int = 1 << 20):
+    def __init__(
+        self, state: statemachine.ConfigStateMachine, index: int = 1 << 20
+    ):
         self.machine = state
         self.leading = asyncio.Event()
         self.leading.set()
--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -211,7 +211,7 @@
     def entry_lease(self) -> dispatch.Lease:
         """Returns what entry asks before a non-idempotent call."""
         if self.config.control.cut_off == "serve":
-            return lease.Unneeded()
+            return lease.UnlimitedLease()
         return self.control.lease
 
     async def answer(
--- a/mangobay/gathering.py
+++ b/mangobay/coalescing.py
@@ -5,17 +5,17 @@
 every node, and the leader would spend the product of nodes and changes.
 """
 
-MOST_ANSWERS = 400
+MAX_GRANTS_PER_SECOND = 400
 """Answers with news in a second that one leader gives."""
 
-LONGEST = 0.5
+MAX_DELAY_SECONDS = 0.5
 """Seconds; below what a node may act by former routes or views."""
 
 
-def seconds(nodes: int) -> float:
+def delay_seconds(node_count: int) -> float:
     """Returns how long news wait for further news.
 
     Args:
-      nodes: whose renewals are held.
+      node_count: whose renewals are held.
     """
-    return min(nodes / MOST_ANSWERS, LONGEST)
+    return min(node_count / MAX_GRANTS_PER_SECOND, MAX_DELAY_SECONDS)
--- a/mangobay/consensus.py
+++ b/mangobay/consensus.py
@@ -15,9 +15,9 @@
     options,
     progress,
     replication,
+    snapshottransfer,
     stepdown,
     storage,
-    transfer,
     voters,
     waiters,
 )
@@ -103,7 +103,7 @@
         )
         self.background_tasks: set[asyncio.Task] = set()
         self.task_group: asyncio.TaskGroup | None = None
-        self.incoming_snapshot: transfer.Receiving | None = None
+        self.incoming_snapshot: snapshottransfer.IncomingSnapshot | None = None
         compaction.restore_from_log(self)
 
     @property
@@ -227,7 +227,7 @@
                     stepdown.handle_leader_leaving(self)
                 return answer
             case messages.SnapshotPut():
-                return await transfer.take_part(self, body)
+                return await snapshottransfer.handle_snapshot_put(self, body)
         raise errors.PeerProtocolError(
             f"{type(body).__name__} is no message for the group"
         )
--- a/mangobay/control.py
+++ b/mangobay/control.py
@@ -17,10 +17,10 @@
     joining,
     leases,
     logs,
-    machine,
     operatorapi,
     peers,
-    publishing,
+    routespublisher,
+    statemachine,
     stepdown,
     storage,
     tls,
@@ -65,7 +65,7 @@
     def __init__(self, config: settings.Control):
         self.config = config
         self.disk = disk.Disk(config.group.data)
-        self.machine = machine.ConfigMachine()
+        self.machine = statemachine.ConfigStateMachine()
         self.log = storage.Storage(self.disk)
         self.forwarded = intake.Intake()
         self.hello = messages.Hello(
@@ -105,7 +105,7 @@
         self.leases = leases.LeaseTable(
             self.machine, self.group, config.lease.ttl, config.lease.margin
         )
-        self.publisher = publishing.Publisher(
+        self.publisher = routespublisher.RoutesPublisher(
             self.machine, self.group, self.peers
         )
         self.operators = self.make_operators()
@@ -160,7 +160,7 @@
                 hello.role == ROLE
             ):
                 return await self.forwarded.carry(
-                    functools.partial(self.publisher.answer, body)
+                    functools.partial(self.publisher.handle_request, body)
                 )
         raise errors.PeerProtocolError(
             f"{hello.role} {hello.host} may not send {type(body).__name__}"
--- a/mangobay/controlclient.py
+++ b/mangobay/controlclient.py
@@ -106,7 +106,7 @@
         if served == self.served:
             return
         self.served = list(served)
-        self.interests.serve(item.name for item in served)
+        self.interests.add_served(item.name for item in served)
         self.changed.set()
 
     @property
@@ -128,7 +128,7 @@
           errors.ControlUnavailableError: no control host answered in time, so
             nothing may be said of the service.
         """
-        if self.interests.is_settled(service):
+        if self.interests.is_resolved(service):
             return
         if service not in self.interests.wanted:
             self.interests.wanted.add(service)
@@ -136,7 +136,7 @@
         patience = self.config.patience * ANSWERS_AWAITED
         try:
             async with asyncio.timeout(patience):
-                while not self.interests.is_settled(service):
+                while not self.interests.is_resolved(service):
                     await self.answered.wait()
         except TimeoutError:
             raise errors.ControlUnavailableError(
@@ -158,7 +158,7 @@
 
     def note_lease(self) -> None:
         """Logs when the control group went out of reach, or came back."""
-        held = self.lease.holds()
+        held = self.lease.is_valid()
         if held == self.held:
             return
         self.held = held
@@ -252,9 +252,9 @@
     def renewal(self) -> messages.LeaseRenew:
         """Returns what this node reports and asks."""
         self.drop(self.interests.drop_idle())
-        new = self.interests.new()
+        new = self.interests.new_interests()
         # Held by a host that is silent too, it would delay news for longer.
-        sure = self.lease.holds() and not self.failures
+        sure = self.lease.is_valid() and not self.failures
         wait = sure and not new and not self.changed.is_set()
         self.changed.clear()
         hold = self.config.renew_interval if wait else 0
@@ -385,7 +385,7 @@
         steps: list[messages.ViewSteps],
     ) -> None:
         """Swaps the views for newer ones; none goes back to an older."""
-        merged = views.merged(
+        merged = views.merge_views(
             self.views.value, whole, steps, lambda view: self.ack(view).member
         )
         if merged != self.views.value:
@@ -399,7 +399,7 @@
         told.update(view.service for view in grant.views)
         told.update(steps.service for steps in grant.view_steps)
         told.update(item.name for item in renewal.serves)
-        self.interests.settle(
+        self.interests.resolve(
             [ids.ServiceName(name) for name in renewal.new_interests],
             told,
             self.config.renew_interval,
--- a/mangobay/controlmetrics.py
+++ b/mangobay/controlmetrics.py
@@ -4,7 +4,7 @@
 
 from prometheus_client import metrics_core, registry
 
-from mangobay import invariants, leases, machine
+from mangobay import invariants, leases, statemachine
 
 if typing.TYPE_CHECKING:
     from mangobay import operatorapi
@@ -31,7 +31,7 @@
     def __init__(
         self,
         group: "operatorapi.Group",
-        config: machine.ConfigMachine,
+        config: statemachine.ConfigStateMachine,
         lease_table: leases.LeaseTable,
     ):
         self.group = group
@@ -55,8 +55,8 @@
     def values(self) -> dict[str, float]:
         """Returns the value of each gauge by name."""
         revision = self.machine.revision
-        held = self.leases.news.hosts.values()
-        known = self.leases.activity
+        held = self.leases.notifier.events_by_host.values()
+        known = self.leases.view_activity
         return {
             "leads": int(self.group.leading.is_set()),
             "term": self.group.term,
@@ -65,8 +65,11 @@
             "history_items": len(self.machine.history),
             "services": len(self.machine.views),
             "hosts": len(self.machine.members),
-            "stragglers": len(self.leases.reports.reached(revision).stragglers),
-            "inactive_views": len(known.versions) - len(known.active),
+            "stragglers": len(
+                self.leases.revision_reports.rollout_status(revision).stragglers
+            ),
+            "inactive_views": len(known.newest_versions)
+            - len(known.active_services),
             "held_renewals": sum(map(len, held)),
         }
 
--- a/mangobay/dispatch.py
+++ b/mangobay/dispatch.py
@@ -53,7 +53,7 @@
 class Lease(typing.Protocol):
     """The part of `lease.Lease` that the dispatcher uses."""
 
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Returns whether the lease is valid."""
 
 
@@ -139,7 +139,7 @@
             return calls.not_run_reply(Reason.KEY_REQUIRED)
         if self.in_flight.given_up:
             return calls.not_run_reply(Reason.LEAVING)
-        if not operation.idempotent and not self.dependencies.lease.holds():
+        if not operation.idempotent and not self.dependencies.lease.is_valid():
             return calls.not_run_reply(Reason.NO_LEASE)
         self.dependencies.retry_budget.record_request(
             operation.service, request.repeat
--- a/mangobay/flapping.py
+++ b/mangobay/flapping.py
@@ -5,38 +5,40 @@
 
 from mangobay import ids
 
-FREE_JOINS = 8
+UNDAMPED_JOINS = 8
 """Joins in a row that cost nothing: a planned restart needs one or two, and
 one that fails is tried again a few times."""
-FIRST_HOLD = 2.0
+INITIAL_HOLD_TIME = 2.0
 """Seconds without a join after the first one too many; doubled each time."""
-LONGEST_HOLD = 60.0
-CALM_SECONDS = 120.0
+MAX_HOLD_TIME = 60.0
+RESET_SECONDS = 120.0
 """Without a join for so long, former ones are forgotten."""
-MOST_DOUBLINGS = 10
+MAX_DOUBLINGS = 10
 
 
 @dataclasses.dataclass(slots=True)
-class Record:
+class JoinRecord:
     """The joins of one host.
 
     Attributes:
-      joins: in a row, none of them CALM_SECONDS after the one before.
-      last: loop time of the newest.
+      consecutive_joins: in a row, none of them CALM_SECONDS after the one before.
+      last_join_at: loop time of the newest.
     """
 
-    joins: int = 0
-    last: float = 0.0
+    consecutive_joins: int = 0
+    last_join_at: float = 0.0
 
-    def hold(self) -> float:
+    def hold_time(self) -> float:
         """Returns the seconds until the host may join again."""
-        above = self.joins - FREE_JOINS
+        above = self.consecutive_joins - UNDAMPED_JOINS
         if above < 0:
             return 0.0
-        return min(FIRST_HOLD * 2 ** min(above, MOST_DOUBLINGS), LONGEST_HOLD)
+        return min(
+            INITIAL_HOLD_TIME * 2 ** min(above, MAX_DOUBLINGS), MAX_HOLD_TIME
+        )
 
 
-class Flapping:
+class FlapDamper:
     """Which hosts may join a service now.
 
     A backend server that announces itself and vanishes, again and again,
@@ -46,32 +48,35 @@
     out gets no calls and is asked for no keys; one that leaves is out at once.
 
     Attributes:
-      records: of hosts that joined, the one that joined last at the end.
+      records_by_host: of hosts that joined, the one that joined last at the end.
     """
 
     def __init__(self):
-        self.records: collections.OrderedDict[ids.HostId, Record] = (
-            collections.OrderedDict()
-        )
+        self.records_by_host: collections.OrderedDict[
+            ids.HostId, JoinRecord
+        ] = collections.OrderedDict()
 
-    def joined(self, host: ids.HostId, now: float) -> None:
+    def record_join(self, host: ids.HostId, now: float) -> None:
         """Notes that a host joined some service; now is loop time."""
-        self.forget_calm(now)
-        record = self.records.setdefault(host, Record())
-        record.joins += 1
-        record.last = now
-        self.records.move_to_end(host)
+        self.remove_stable_hosts(now)
+        record = self.records_by_host.setdefault(host, JoinRecord())
+        record.consecutive_joins += 1
+        record.last_join_at = now
+        self.records_by_host.move_to_end(host)
 
-    def is_held(self, host: ids.HostId, now: float) -> bool:
+    def is_join_held(self, host: ids.HostId, now: float) -> bool:
         """Returns whether a host must not join yet."""
-        self.forget_calm(now)
-        record = self.records.get(host)
-        return record is not None and now < record.last + record.hold()
+        self.remove_stable_hosts(now)
+        record = self.records_by_host.get(host)
+        return (
+            record is not None
+            and now < record.last_join_at + record.hold_time()
+        )
 
-    def forget_calm(self, now: float) -> None:
+    def remove_stable_hosts(self, now: float) -> None:
         """Forgets hosts that have not joined for long."""
-        while self.records:
-            host, record = next(iter(self.records.items()))
-            if now < record.last + CALM_SECONDS:
+        while self.records_by_host:
+            host, record = next(iter(self.records_by_host.items()))
+            if now < record.last_join_at + RESET_SECONDS:
                 return
-            del self.records[host]
+            del self.records_by_host[host]
--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -168,7 +168,7 @@
         self.metrics = call_metrics
         self.log = log
         self.shutdown = schedule
-        self.table: routes.Table | None = None
+        self.table: routes.RouteTable | None = None
 
     async def handle(
         self, request: leanhttp.Request, connection: leanserver.Connection
@@ -275,7 +275,7 @@
             caller=self.caller,
             client=ids.ClientId(connection.remote),
             importance=operation.importance,
-            depth=int(destination.has_spent_time(caller_timeout)),
+            depth=int(destination.has_waited_before(caller_timeout)),
             deadline=asyncio.get_running_loop().time() + timeout,
             allowance=retryallowance.RetryAllowance(operation.tries),
             key=ids.IdempotencyKey(""),
--- a/mangobay/inforce.py
+++ b/mangobay/inforce.py
@@ -3,47 +3,51 @@
 import asyncio
 import dataclasses
 
-from mangobay import clock, ids, machine
+from mangobay import clock, ids, statemachine
 
-POLL = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 """Seconds between two looks whether a revision is in force everywhere."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
+class RolloutStatus:
     """How far a revision has come.
 
     Attributes:
-      hosts: number of hosts that are not gone.
+      host_count: number of hosts that are not gone.
       stragglers: those of them that have not reported it.
     """
 
-    hosts: int
+    host_count: int
     stragglers: list[ids.HostId]
 
 
-class Reports:
+class RevisionReports:
     """The revision that each host reported in this term."""
 
-    def __init__(self, config: machine.ConfigMachine):
+    def __init__(self, config: statemachine.ConfigStateMachine):
         self.machine = config
-        self.revisions: dict[ids.HostId, ids.Revision] = {}
+        self.revisions_by_host: dict[ids.HostId, ids.Revision] = {}
 
-    def of(self, host: ids.HostId) -> ids.Revision:
+    def revision_of(self, host: ids.HostId) -> ids.Revision:
         """Returns the revision that a host reported, 0 if none yet."""
-        return self.revisions.get(host, machine.NO_REVISION)
+        return self.revisions_by_host.get(host, statemachine.NO_REVISION)
 
-    def reached(self, revision: ids.Revision) -> InForce:
+    def rollout_status(self, revision: ids.Revision) -> RolloutStatus:
         """Returns how far a revision has come."""
         hosts = sorted(self.machine.members)
-        stragglers = [host for host in hosts if self.of(host) < revision]
-        return InForce(len(hosts), stragglers)
-
-    async def wait(self, revision: ids.Revision, seconds: float) -> InForce:
+        stragglers = [
+            host for host in hosts if self.revision_of(host) < revision
+        ]
+        return RolloutStatus(len(hosts), stragglers)
+
+    async def wait_until_in_force(
+        self, revision: ids.Revision, timeout: float
+    ) -> RolloutStatus:
         """Returns once a revision is in force everywhere or time is up."""
-        until = clock.now() + seconds
+        until = clock.now() + timeout
         while True:
-            result = self.reached(revision)
+            result = self.rollout_status(revision)
             if not result.stragglers or clock.now() >= until:
                 return result
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
--- a/mangobay/interests.py
+++ b/mangobay/interests.py
@@ -5,10 +5,10 @@
 
 from mangobay import clock, ids
 
-MOST_NEW = 64
+MAX_NEW_INTERESTS = 64
 """New interests asked for in one renewal; the others wait for the next."""
 
-MOST_UNKNOWN = 1024
+MAX_UNKNOWN_SERVICES = 1024
 """Services remembered as unknown to control; names come from outsiders."""
 
 IDLE_SECONDS = 900.0
@@ -25,23 +25,23 @@
     Attributes:
       wanted: services that the node follows or wants to.
       known: those of them that control told of.
-      unknown: loop time until which a service is taken for unknown.
+      unknown_until: loop time until which a service is taken for unknown.
       served: services that this host serves or served; always followed.
-      used: services asked for since the last look for idle ones.
-      looked_at: loop time of that look.
+      recently_used: services asked for since the last look for idle ones.
+      idle_checked_at: loop time of that look.
     """
 
     def __init__(self):
         self.wanted: set[ids.ServiceName] = set()
         self.known: set[ids.ServiceName] = set()
-        self.unknown: collections.OrderedDict[ids.ServiceName, float] = (
+        self.unknown_until: collections.OrderedDict[ids.ServiceName, float] = (
             collections.OrderedDict()
         )
         self.served: set[ids.ServiceName] = set()
-        self.used: set[ids.ServiceName] = set()
-        self.looked_at = float("-inf")
+        self.recently_used: set[ids.ServiceName] = set()
+        self.idle_checked_at = float("-inf")
 
-    def serve(
+    def add_served(
         self, services: collections.abc.Iterable[ids.ServiceName]
     ) -> None:
         """Follows services for good: their keys are this host's concern."""
@@ -54,40 +54,40 @@
         A service is dropped after one to two times IDLE_SECONDS; noting each
         use in a set costs a call less than noting its time.
         """
-        if clock.now() < self.looked_at + IDLE_SECONDS:
+        if clock.now() < self.idle_checked_at + IDLE_SECONDS:
             return set()
-        idle = self.known - self.used - self.served
+        idle = self.known - self.recently_used - self.served
         self.known -= idle
         self.wanted -= idle
-        self.used.clear()
-        self.looked_at = clock.now()
+        self.recently_used.clear()
+        self.idle_checked_at = clock.now()
         return idle
 
-    def new(self) -> list[ids.ServiceName]:
+    def new_interests(self) -> list[ids.ServiceName]:
         """Returns the services to ask for next."""
-        return sorted(self.wanted - self.known)[:MOST_NEW]
+        return sorted(self.wanted - self.known)[:MAX_NEW_INTERESTS]
 
-    def is_settled(self, service: ids.ServiceName) -> bool:
+    def is_resolved(self, service: ids.ServiceName) -> bool:
         """Returns whether control lately told what it knows of a service.
 
         Whoever asks is about to use it.
         """
         if service in self.known:
-            self.used.add(service)
+            self.recently_used.add(service)
             return True
-        until = self.unknown.get(service)
+        until = self.unknown_until.get(service)
         if until is None:
             return False
         if until > clock.now():
             return True
-        del self.unknown[service]
+        del self.unknown_until[service]
         return False
 
-    def settle(
+    def resolve(
         self,
-        asked: collections.abc.Iterable[ids.ServiceName],
-        told: collections.abc.Container[ids.ServiceName],
-        seconds: float,
+        requested: collections.abc.Iterable[ids.ServiceName],
+        known_services: collections.abc.Container[ids.ServiceName],
+        unknown_seconds: float,
     ) -> None:
         """Takes in an answer.
 
@@ -95,18 +95,18 @@
         dropped and remembered only for a while.
 
         Args:
-          asked: the services that were asked for.
-          told: those that control knows.
-          seconds: how long the others are taken for unknown.
+          requested: the services that were asked for.
+          known_services: those that control knows.
+          unknown_seconds: how long the others are taken for unknown.
         """
-        until = clock.now() + seconds
-        for service in asked:
-            if service in told:
+        until = clock.now() + unknown_seconds
+        for service in requested:
+            if service in known_services:
                 self.known.add(service)
-                self.used.add(service)
+                self.recently_used.add(service)
                 continue
             self.wanted.discard(service)
-            self.unknown[service] = until
-            self.unknown.move_to_end(service)
-            if len(self.unknown) > MOST_UNKNOWN:
-                self.unknown.popitem(last=False)
+            self.unknown_until[service] = until
+            self.unknown_until.move_to_end(service)
+            if len(self.unknown_until) > MAX_UNKNOWN_SERVICES:
+                self.unknown_until.popitem(last=False)
--- a/mangobay/lease.py
+++ b/mangobay/lease.py
@@ -5,10 +5,10 @@
 from mangobay import clock
 
 
-class Unneeded:
+class UnlimitedLease:
     """Stands for a lease where calls are served without one."""
 
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Returns that nothing is to be refused."""
         return True
 
@@ -17,11 +17,11 @@
     """Says whether this node may still act by its last grant.
 
     Attributes:
-      until: loop time at which the lease ends.
+      expires_at: loop time at which the lease ends.
     """
 
     def __init__(self):
-        self.until = -math.inf
+        self.expires_at = -math.inf
 
     def extend(self, asked_at: float, ttl: float) -> None:
         """Takes in a grant.
@@ -34,8 +34,8 @@
           asked_at: loop time just before the renewal was sent.
           ttl: seconds.
         """
-        self.until = max(self.until, asked_at + ttl)
+        self.expires_at = max(self.expires_at, asked_at + ttl)
 
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Returns whether the lease has not ended."""
-        return clock.now() < self.until
+        return clock.now() < self.expires_at
--- a/mangobay/leases.py
+++ b/mangobay/leases.py
@@ -5,31 +5,31 @@
 import typing
 
 from mangobay import (
-    activity,
     clock,
+    coalescing,
     errors,
     flapping,
-    gathering,
     ids,
     inforce,
+    leaseexpiry,
     logs,
-    machine,
-    news,
+    notifier,
     renewals,
-    silence,
+    statemachine,
+    viewactivity,
     views,
 )
 from mangobay.generated import messages
 
-HOLD_SHARE = 4
+HOLD_DIVISOR = 4
 """An answer is kept back for at most this part of ttl: the node counts ttl
 from when it asked, and most of it must be left when the answer arrives."""
 
-TICKS_A_MARGIN = 4
-LONGEST_TICK = 0.25
+CHECKS_PER_MARGIN = 4
+MAX_CHECK_INTERVAL = 0.25
 """Seconds between two looks for hosts that are gone."""
 
-MOST_REPLACED = 4096
+MAX_REPLACED_PROCESSES = 4096
 """Replaced processes that are remembered."""
 
 
@@ -69,16 +69,16 @@
       group: agrees on changes of it.
       ttl: seconds a lease lasts from when the node asked.
       term: the term that what is kept here belongs to.
-      silence: when each process was last granted a lease.
-      activity: which views are active.
-      reports: the revision each host reported in this term.
-      flapping: which hosts come and go too often.
-      replaced: processes whose host has started another one since.
+      lease_expiry: when each process was last granted a lease.
+      view_activity: which views are active.
+      revision_reports: the revision each host reported in this term.
+      flap_damper: which hosts come and go too often.
+      replaced_processes: processes whose host has started another one since.
     """
 
     def __init__(
         self,
-        config: machine.ConfigMachine,
+        config: statemachine.ConfigStateMachine,
         group: Group,
         ttl: float,
         margin: float,
@@ -86,158 +86,172 @@
         self.machine = config
         self.group = group
         self.ttl = ttl
-        self.tick = min(margin / TICKS_A_MARGIN, LONGEST_TICK)
+        self.check_interval = min(
+            margin / CHECKS_PER_MARGIN, MAX_CHECK_INTERVAL
+        )
         self.margin = margin
         self.term: ids.Term | None = None
-        self.silence = silence.Silence(ttl + margin)
-        self.activity = activity.ViewActivity()
-        self.reports = inforce.Reports(config)
-        self.replaced: collections.OrderedDict[activity.Owner, None] = (
-            collections.OrderedDict()
-        )
-        self.news = news.News()
-        self.flapping = flapping.Flapping()
-        config.watchers.append(self.follow)
+        self.lease_expiry = leaseexpiry.LeaseExpiry(ttl + margin)
+        self.view_activity = viewactivity.ViewActivity()
+        self.revision_reports = inforce.RevisionReports(config)
+        self.replaced_processes: collections.OrderedDict[
+            viewactivity.ProcessId, None
+        ] = collections.OrderedDict()
+        self.notifier = notifier.ChangeNotifier()
+        self.flap_damper = flapping.FlapDamper()
+        config.change_listeners.append(self.on_state_change)
 
     async def renew(self, renewal: messages.LeaseRenew) -> messages.LeaseGrant:
         """Answers a renewal, when there is something new or its time is up."""
-        if not self.take_office():
-            return self.refusal()
-        if activity.owner_of(renewal) in self.replaced:
-            return self.refusal()
+        if not self.check_leadership():
+            return self.make_refusal()
+        if viewactivity.process_id_of(renewal) in self.replaced_processes:
+            return self.make_refusal()
         term = self.term
         try:
-            await self.admit(renewal)
-            await self.hold(renewal)
+            await self.record_renewal(renewal)
+            await self.wait_for_update(renewal)
             # A leader behind a silent cut still believes that it leads. Its
             # grants would let a node act beside the owner that the other
             # side appoints; a quorum that answers after the renewal arrived
             # rules that other side out.
             await self.group.confirm_leadership()
         except (errors.NotLeaderError, errors.UncertainError):
-            return self.refusal()
+            return self.make_refusal()
         record = self.machine.members.get(renewal.host)
         if (
             self.group.term != term
             or record is None
-            or not machine.same_process(record, renewal)
+            or not statemachine.is_same_process(record, renewal)
         ):
-            return self.refusal()
-        self.silence.note(activity.owner_of(renewal), clock.now())
-        return self.grant(renewal)
+            return self.make_refusal()
+        self.lease_expiry.record_grant(
+            viewactivity.process_id_of(renewal), clock.now()
+        )
+        return self.make_grant(renewal)
 
-    def take_office(self) -> bool:
+    def check_leadership(self) -> bool:
         """Starts over in a new term; returns whether this host leads."""
         if not self.group.leading.is_set():
             self.term = None
             return False
         if self.term != self.group.term:
             self.term = self.group.term
-            self.start_over()
+            self.reset()
         return True
 
-    def start_over(self) -> None:
+    def reset(self) -> None:
         """Forgets what was seen of the nodes.
 
         The former leader may have granted leases until this term began, so
         nobody is gone before ttl and margin have passed from now.
         """
         newest = self.machine.views.values()
-        owners = {activity.UNSEEN}
+        owners = {viewactivity.UNKNOWN_PROCESS}
         for record in self.machine.members.values():
-            owners.add(activity.owner_of(record.member))
+            owners.add(viewactivity.process_id_of(record.member))
         for view in newest:
             owners.update(
-                activity.owner_of(m) for m in views.former_members(view)
+                viewactivity.process_id_of(m)
+                for m in views.former_members(view)
             )
-        self.silence.restart(sorted(owners), clock.now())
-        self.reports.revisions.clear()
-        self.activity = activity.ViewActivity()
+        self.lease_expiry.reset(sorted(owners), clock.now())
+        self.revision_reports.revisions_by_host.clear()
+        self.view_activity = viewactivity.ViewActivity()
         for view in newest:
-            self.follow_view(view)
+            self.track_view(view)
 
-    def follow_view(self, view: messages.ServiceView) -> None:
+    def track_view(self, view: messages.ServiceView) -> None:
         """Takes a view into the activity of this term."""
-        if view.service not in self.activity.versions and view.formers:
+        if (
+            view.service not in self.view_activity.newest_versions
+            and view.formers
+        ):
             # The first view of a service in this term may follow on others
             # that never became active, of which the snapshot tells nothing.
-            self.activity.wait_for(view.service, activity.UNSEEN, view.version)
-        self.activity.follow(view, self.silence)
+            self.view_activity.require_ack(
+                view.service, viewactivity.UNKNOWN_PROCESS, view.version
+            )
+        self.view_activity.track_view(view, self.lease_expiry)
 
-    def follow(self, changed: machine.Changed) -> None:
+    def on_state_change(self, change: statemachine.StateChange) -> None:
         """Watches the machine: wakes those whom a change concerns."""
         if self.term is None:
             return
-        if changed.everything:
-            self.start_over()
-        for service in changed.services:
+        if change.restored:
+            self.reset()
+        for service in change.services:
             if service in self.machine.views:
-                self.follow_view(self.machine.views[service])
-        self.news.publish(changed)
+                self.track_view(self.machine.views[service])
+        self.notifier.notify(change)
 
-    def publish_active(self, services: set[ids.ServiceName]) -> None:
+    def notify_active(self, services: set[ids.ServiceName]) -> None:
         """Wakes those who wait for a view to become active."""
-        self.news.publish(machine.Changed(services=frozenset(services)))
+        self.notifier.notify(
+            statemachine.StateChange(services=frozenset(services))
+        )
 
-    async def admit(self, renewal: messages.LeaseRenew) -> None:
+    async def record_renewal(self, renewal: messages.LeaseRenew) -> None:
         """Notes what the node reports; agrees on it where it is new.
 
         Raises:
           errors.NotLeaderError: this host does not lead any more.
           errors.UncertainError: it lost the lead over the agreement.
         """
-        owner = activity.owner_of(renewal)
-        self.reports.revisions[renewal.host] = renewal.revision
+        owner = viewactivity.process_id_of(renewal)
+        self.revision_reports.revisions_by_host[renewal.host] = renewal.revision
         active = {
             ack.service
             for ack in renewal.views
-            if self.activity.acknowledge(owner, ack)
+            if self.view_activity.record_ack(owner, ack)
         }
-        self.publish_active(active)
-        change = renewals.change_of(renewal)
+        self.notify_active(active)
+        change = renewals.make_member_change(renewal)
         record = self.machine.members.get(renewal.host)
-        joins = renewals.joins(record, change)
-        if joins and self.flapping.is_held(renewal.host, clock.now()):
-            change = renewals.without(change, joins)
+        joins = renewals.newly_served(record, change)
+        if joins and self.flap_damper.is_join_held(renewal.host, clock.now()):
+            change = renewals.without_services(change, joins)
             joins = set()
-        if record is not None and machine.matches(record, change):
+        if record is not None and statemachine.is_unchanged(record, change):
             return
         # A process that announces itself and then dies before its first
         # grant would stay a member for ever if its silence were not counted.
-        self.silence.note(owner, clock.now())
-        if record is not None and not machine.same_process(record, renewal):
-            self.replace(activity.owner_of(record.member))
+        self.lease_expiry.record_grant(owner, clock.now())
+        if record is not None and not statemachine.is_same_process(
+            record, renewal
+        ):
+            self.mark_replaced(viewactivity.process_id_of(record.member))
         await self.group.propose(change)
         if joins:
-            self.flapping.joined(renewal.host, clock.now())
+            self.flap_damper.record_join(renewal.host, clock.now())
 
-    def replace(self, owner: activity.Owner) -> None:
+    def mark_replaced(self, process: viewactivity.ProcessId) -> None:
         """Refuses a process from here on: its host has started another.
 
         Two processes under one host name, or a renewal of the dead one that
         arrives late, would otherwise take the place of each other for ever,
         each time with new views and a log entry.
         """
-        logs.say(logs.Part.CONTROL, "host has restarted", host=owner.host)
-        self.replaced[owner] = None
-        if len(self.replaced) > MOST_REPLACED:
-            self.replaced.popitem(last=False)
+        logs.say(logs.Part.CONTROL, "host has restarted", host=process.host)
+        self.replaced_processes[process] = None
+        if len(self.replaced_processes) > MAX_REPLACED_PROCESSES:
+            self.replaced_processes.popitem(last=False)
 
-    async def hold(self, renewal: messages.LeaseRenew) -> None:
+    async def wait_for_update(self, renewal: messages.LeaseRenew) -> None:
         """Waits until there is something new for the node or time is up."""
-        seconds = min(renewal.hold_ms / 1000, self.ttl / HOLD_SHARE)
+        seconds = min(renewal.hold_ms / 1000, self.ttl / HOLD_DIVISOR)
         if seconds <= 0 or renewal.revision < self.machine.revision:
             return
-        services = renewals.services_of(self.machine, renewal)
+        services = renewals.relevant_services(self.machine, renewal)
         until = clock.now() + seconds
-        with self.news.subscription(renewal.host, services) as event:
+        with self.notifier.subscribe(renewal.host, services) as event:
             while clock.now() < until:
-                if renewals.has_news(
-                    self.machine, self.activity.active, renewal
+                if renewals.has_update(
+                    self.machine, self.view_activity.active_services, renewal
                 ):
                     # By an older view, a keyed call goes to a former owner.
                     if renewal.keyless:
-                        await self.gather(until)
+                        await self.coalesce_changes(until)
                     return
                 event.clear()
                 try:
@@ -246,33 +260,35 @@
                 except TimeoutError:
                     return
 
-    async def gather(self, until: float) -> None:
+    async def coalesce_changes(self, until: float) -> None:
         """Waits for further news, so that nodes are told together.
 
         Args:
           until: loop time at which the answer is due in any case.
         """
         now = clock.now()
-        pause = gathering.seconds(len(self.news.hosts))
+        pause = coalescing.delay_seconds(len(self.notifier.events_by_host))
         await asyncio.sleep(max(min(pause, until - now), 0))
 
-    def grant(self, renewal: messages.LeaseRenew) -> messages.LeaseGrant:
+    def make_grant(self, renewal: messages.LeaseRenew) -> messages.LeaseGrant:
         """Returns a lease with what the node lacks."""
-        told = renewals.view_news(self.machine, self.activity.active, renewal)
+        told = renewals.make_view_update(
+            self.machine, self.view_activity.active_services, renewal
+        )
         return messages.LeaseGrant(
             granted=True,
             ttl_ms=int(self.ttl * 1000),
             leader=self.group.leader,
             leader_address=self.group.leader_address,
-            table=renewals.table_update(self.machine, renewal),
-            views=told.whole,
+            table=renewals.make_table_update(self.machine, renewal),
+            views=told.full_views,
             view_steps=told.steps,
-            drain=renewals.is_drained(self.machine, renewal),
+            drain=renewals.is_drain_requested(self.machine, renewal),
             routes=renewals.newer_routes(self.machine, renewal),
             control_addresses=self.group.voter_addresses(),
         )
 
-    def refusal(self) -> messages.LeaseGrant:
+    def make_refusal(self) -> messages.LeaseGrant:
         """Returns no lease, and whom to ask instead."""
         return messages.LeaseGrant(
             leader=self.group.leader, leader_address=self.group.leader_address
@@ -282,25 +298,25 @@
         """Looks for hosts that are gone until cancelled."""
         while True:
             last = clock.now()
-            await asyncio.sleep(self.tick)
-            await self.look(last)
+            await asyncio.sleep(self.check_interval)
+            await self.check_expiry(last)
 
-    async def look(self, last: float) -> None:
+    async def check_expiry(self, last_check_at: float) -> None:
         """Looks once for hosts that are gone; `last` is when it last did."""
-        if not self.take_office():
+        if not self.check_leadership():
             return
         # This process itself stood still: renewals may lie unread in its
         # sockets, and every host would look gone at once.
-        if clock.now() - last > self.margin:
-            self.start_over()
-        await self.end_silent()
+        if clock.now() - last_check_at > self.margin:
+            self.reset()
+        await self.remove_expired()
 
-    async def end_silent(self) -> None:
+    async def remove_expired(self) -> None:
         """Declares those gone whose lease has ended."""
-        ended = self.silence.ended(clock.now())
+        ended = self.lease_expiry.pop_expired(clock.now())
         changes = []
         for owner in ended:
-            self.publish_active(self.activity.end(owner))
+            self.notify_active(self.view_activity.record_lease_end(owner))
             record = self.machine.members.get(owner.host)
             if record and record.member.incarnation == owner.incarnation:
                 changes.append(
@@ -316,15 +332,17 @@
         )
         for change, result in zip(changes, results, strict=True):
             if not isinstance(result, BaseException):
-                self.reports.revisions.pop(change.member.host, None)
+                self.revision_reports.revisions_by_host.pop(
+                    change.member.host, None
+                )
                 logs.say(
                     logs.Part.CONTROL, "host is gone", host=change.member.host
                 )
                 continue
             # Not agreed on: tried again after another ttl and margin.
-            owner = activity.owner_of(change.member)
-            if owner not in self.silence:
-                self.silence.note(owner, clock.now())
+            owner = viewactivity.process_id_of(change.member)
+            if owner not in self.lease_expiry:
+                self.lease_expiry.record_grant(owner, clock.now())
             logs.say(
                 logs.Part.CONTROL,
                 "could not agree that a host is gone",
@@ -332,7 +350,7 @@
                 error=str(result),
             )
 
-    def holds(self, owner: activity.Owner) -> bool:
+    def holds_lease(self, process: viewactivity.ProcessId) -> bool:
         """Returns whether the process may still act by a grant."""
-        granted = self.silence.granted.get(owner)
+        granted = self.lease_expiry.granted_at.get(process)
         return granted is not None and clock.now() < granted + self.ttl
--- a/mangobay/node.py
+++ b/mangobay/node.py
@@ -65,7 +65,7 @@
     def readiness(self) -> localapi.Readiness:
         """Returns whether callers should be sent here."""
         missing = []
-        if not self.control.lease.holds():
+        if not self.control.lease.is_valid():
             missing.append("lease")
         if self.executor.leaving:
             missing.append("the node is leaving")
@@ -133,7 +133,7 @@
                 if handing.done():
                     handing.result()
                     return True
-                if not self.control.lease.holds():
+                if not self.control.lease.is_valid():
                     return False
         finally:
             handing.cancel()
--- a/mangobay/nodegauges.py
+++ b/mangobay/nodegauges.py
@@ -15,7 +15,7 @@
         metrics.Gauge(
             name="lease",
             help="1 while this node holds a lease.",
-            read=lambda: float(node.control.lease.holds()),
+            read=lambda: float(node.control.lease.is_valid()),
         ),
         metrics.Gauge(
             name="revision",
--- a/mangobay/news.py
+++ b/mangobay/notifier.py
@@ -5,10 +5,10 @@
 import contextlib
 import typing
 
-from mangobay import ids, machine
+from mangobay import ids, statemachine
 
 
-class News:
+class ChangeNotifier:
     """Waiting renewals by what they wait for.
 
     A change wakes only those whom it concerns: woken for every change, all
@@ -16,46 +16,46 @@
     """
 
     def __init__(self):
-        self.services: dict[ids.ServiceName, set[asyncio.Event]] = {}
-        self.hosts: dict[ids.HostId, set[asyncio.Event]] = {}
+        self.events_by_service: dict[ids.ServiceName, set[asyncio.Event]] = {}
+        self.events_by_host: dict[ids.HostId, set[asyncio.Event]] = {}
 
     @contextlib.contextmanager
-    def subscription(
+    def subscribe(
         self,
         host: ids.HostId,
         services: collections.abc.Collection[ids.ServiceName],
     ) -> typing.Iterator[asyncio.Event]:
         """Gives an event that is set by news of the host or the services."""
         event = asyncio.Event()
-        self.hosts.setdefault(host, set()).add(event)
+        self.events_by_host.setdefault(host, set()).add(event)
         for service in services:
-            self.services.setdefault(service, set()).add(event)
+            self.events_by_service.setdefault(service, set()).add(event)
         try:
             yield event
         finally:
-            discard(self.hosts, host, event)
+            remove_event(self.events_by_host, host, event)
             for service in services:
-                discard(self.services, service, event)
+                remove_event(self.events_by_service, service, event)
 
-    def publish(self, changed: machine.Changed) -> None:
+    def notify(self, changed: statemachine.StateChange) -> None:
         """Wakes those whom the change concerns."""
-        if changed.everything or changed.routes:
-            for events in self.hosts.values():
-                wake(events)
+        if changed.restored or changed.routes:
+            for events in self.events_by_host.values():
+                wake_all(events)
             return
         for service in changed.services:
-            wake(self.services.get(service, ()))
+            wake_all(self.events_by_service.get(service, ()))
         for host in changed.hosts:
-            wake(self.hosts.get(host, ()))
+            wake_all(self.events_by_host.get(host, ()))
 
 
-def wake(events: collections.abc.Iterable[asyncio.Event]) -> None:
+def wake_all(events: collections.abc.Iterable[asyncio.Event]) -> None:
     """Sets every event."""
     for event in events:
         event.set()
 
 
-def discard(
+def remove_event(
     waiting: dict[typing.Any, set[asyncio.Event]],
     name: str,
     event: asyncio.Event,
--- a/mangobay/once.py
+++ b/mangobay/once.py
@@ -207,7 +207,7 @@
             asyncio.get_running_loop().time() + self.options.copy_timeout,
         )
         while True:
-            if not self.lease.holds():
+            if not self.lease.is_valid():
                 return calls.not_run_reply(messages.Reason.NO_LEASE)
             if not ownership.owns(slot):
                 return calls.not_run_reply(messages.Reason.NOT_OWNER)
--- a/mangobay/operatorapi.py
+++ b/mangobay/operatorapi.py
@@ -9,8 +9,6 @@
 from aiohttp import web
 
 from mangobay import (
-    acceptance,
-    activity,
     clock,
     controlmetrics,
     doorkeeper,
@@ -21,10 +19,12 @@
     leases,
     listening,
     logs,
-    machine,
     operatorproblems,
     options,
     sheet,
+    sheetacceptance,
+    statemachine,
+    viewactivity,
 )
 from mangobay.generated import messages
 
@@ -77,7 +77,7 @@
         self,
         address: options.Address,
         group: Group,
-        config: machine.ConfigMachine,
+        config: statemachine.ConfigStateMachine,
         lease_table: leases.LeaseTable,
         sheet_bytes: int,
         bounds: doorkeeper.Bounds = USUAL_BOUNDS,
@@ -86,7 +86,7 @@
         self.group = group
         self.machine = config
         self.leases = lease_table
-        self.acceptance = acceptance.Acceptance(config, group)
+        self.acceptance = sheetacceptance.SheetAcceptor(config, group)
         self.registry = prometheus_client.CollectorRegistry()
         self.registry.register(
             controlmetrics.Collector(group, config, lease_table)
@@ -181,7 +181,9 @@
                 "commit": self.group.commit_index,
                 "revision": revision,
                 "hosts": self.hosts(),
-                "in_force": in_force(self.leases.reports.reached(revision)),
+                "in_force": in_force(
+                    self.leases.revision_reports.rollout_status(revision)
+                ),
             }
         )
 
@@ -200,7 +202,9 @@
             }
             for item in self.machine.history
         ]
-        return web.json_response({"items": items, "cut": self.machine.cut})
+        return web.json_response(
+            {"items": items, "cut": self.machine.dropped_history_items}
+        )
 
     async def get_hosts(self, request: web.Request) -> web.Response:
         """Tells every host that is not gone."""
@@ -228,7 +232,7 @@
         await self.confirm()
         if revision > self.machine.revision:
             raise errors.NoSuchError(f"no revision {revision} was accepted")
-        reached = await self.leases.reports.wait(
+        reached = await self.leases.revision_reports.wait_until_in_force(
             ids.Revision(revision), min(max(wait, 0), LONGEST_WAIT)
         )
         # What hosts reported to a leader deposed meanwhile may be old.
@@ -260,7 +264,7 @@
           errors.NotLeaderError: another host must be asked.
         """
         await self.group.confirm_leadership()
-        self.leases.take_office()
+        self.leases.check_leadership()
 
     def hosts(self) -> list[dict]:
         """Returns every host as the API tells it."""
@@ -277,19 +281,21 @@
             "incarnation": member.incarnation,
             "data_centre": member.data_centre,
             "peer_address": member.peer_address,
-            "revision": self.leases.reports.of(member.host),
-            "lease": self.leases.holds(activity.owner_of(member)),
+            "revision": self.leases.revision_reports.revision_of(member.host),
+            "lease": self.leases.holds_lease(
+                viewactivity.process_id_of(member)
+            ),
             "leaving": member.leaving,
             "draining": member.host in self.machine.draining,
             "serves": [served.name for served in record.serves],
         }
 
 
-def in_force(reached: inforce.InForce) -> dict:
+def in_force(reached: inforce.RolloutStatus) -> dict:
     """Returns how far a revision has come as the API tells it."""
     return {
-        "count": reached.hosts - len(reached.stragglers),
-        "of": reached.hosts,
+        "count": reached.host_count - len(reached.stragglers),
+        "of": reached.host_count,
         "stragglers": reached.stragglers,
     }
 
--- a/mangobay/progress.py
+++ b/mangobay/progress.py
@@ -9,7 +9,7 @@
 from mangobay.generated import messages
 
 if typing.TYPE_CHECKING:
-    from mangobay import transfer
+    from mangobay import snapshottransfer
 
 NEVER = float("-inf")
 
@@ -46,7 +46,7 @@
     last_contact_at: float = NEVER
     confirmed_round: int = 0
     wake: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
-    outgoing_snapshot: "transfer.Sending | None" = None
+    outgoing_snapshot: "snapshottransfer.OutgoingSnapshot | None" = None
 
     def reset(self, next_index: int) -> None:
         """Forgets what an earlier term or another disk had confirmed."""
--- a/mangobay/renewals.py
+++ b/mangobay/renewals.py
@@ -3,11 +3,11 @@
 import dataclasses
 import typing
 
-from mangobay import clock, ids, machine, views
+from mangobay import clock, ids, statemachine, views
 from mangobay.generated import messages
 
 
-def change_of(renewal: messages.LeaseRenew) -> messages.MemberChange:
+def make_member_change(renewal: messages.LeaseRenew) -> messages.MemberChange:
     """Returns the entry that says the same as the renewal."""
     member = messages.Member(
         host=renewal.host,
@@ -23,17 +23,19 @@
     )
 
 
-def joins(
+def newly_served(
     record: messages.MemberRecord | None, change: messages.MemberChange
 ) -> set[ids.ServiceName]:
     """Returns the services that a process has not served so far."""
     served = {item.name for item in change.serves}
-    if record is not None and machine.same_process(record, change.member):
+    if record is not None and statemachine.is_same_process(
+        record, change.member
+    ):
         served -= {item.name for item in record.serves}
     return served
 
 
-def without(
+def without_services(
     change: messages.MemberChange, services: set[ids.ServiceName]
 ) -> messages.MemberChange:
     """Returns the change of a process that does not serve some services."""
@@ -41,8 +43,8 @@
     return dataclasses.replace(change, serves=kept)
 
 
-def services_of(
-    config: machine.ConfigMachine, renewal: messages.LeaseRenew
+def relevant_services(
+    config: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> set[ids.ServiceName]:
     """Returns the services whose views concern the node.
 
@@ -57,8 +59,8 @@
     return services
 
 
-def table_update(
-    config: machine.ConfigMachine, renewal: messages.LeaseRenew
+def make_table_update(
+    config: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> messages.TableUpdate:
     """Returns the rows that the node lacks."""
     return config.update_since(
@@ -67,23 +69,25 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ViewNews:
+class ViewUpdate:
     """What a node is told of views.
 
     Attributes:
-      whole: views in place of those that it acts by.
+      full_views: views in place of those that it acts by.
       steps: the way to others from those that it acts by.
     """
 
-    whole: list[messages.ServiceView] = dataclasses.field(default_factory=list)
+    full_views: list[messages.ServiceView] = dataclasses.field(
+        default_factory=list
+    )
     steps: list[messages.ViewSteps] = dataclasses.field(default_factory=list)
 
 
-def view_news(
-    config: machine.ConfigMachine,
+def make_view_update(
+    config: statemachine.ConfigStateMachine,
     active: set[ids.ServiceName],
     renewal: messages.LeaseRenew,
-) -> ViewNews:
+) -> ViewUpdate:
     """Returns what has changed in the views that a node acts by.
 
     Only its members are told that a view has become active, for they alone
@@ -94,12 +98,12 @@
       active: services whose newest view is active.
       renewal: of the node.
     """
-    news = ViewNews()
-    for view, ack in views_behind(config, active, renewal):
+    news = ViewUpdate()
+    for view, ack in outdated_views(config, active, renewal):
         is_active = view.service in active
-        steps = steps_to(config, renewal, view, ack)
+        steps = find_steps(config, renewal, view, ack)
         if steps is None:
-            news.whole.append(told_to(renewal, view, is_active))
+            news.full_views.append(view_for_node(renewal, view, is_active))
         else:
             news.steps.append(
                 messages.ViewSteps(
@@ -112,26 +116,26 @@
     return news
 
 
-def views_behind(
-    config: machine.ConfigMachine,
+def outdated_views(
+    config: statemachine.ConfigStateMachine,
     active: set[ids.ServiceName],
     renewal: messages.LeaseRenew,
 ) -> typing.Iterator[tuple[messages.ServiceView, messages.ViewAck | None]]:
     """Yields the views that a node has to be told of, and what it acts by."""
     acks = {ack.service: ack for ack in renewal.views}
-    for service in sorted(services_of(config, renewal)):
+    for service in sorted(relevant_services(config, renewal)):
         view = config.views.get(service)
         if view is None:
             continue
         ack = acks.get(service)
         is_old = ack is None or ack.version < view.version
         became_active = not is_old and service in active and not ack.active
-        if is_old or (became_active and owns_by(renewal, view)):
+        if is_old or (became_active and may_own_slots(renewal, view)):
             yield view, ack
 
 
-def steps_to(
-    config: machine.ConfigMachine,
+def find_steps(
+    config: statemachine.ConfigStateMachine,
     renewal: messages.LeaseRenew,
     view: messages.ServiceView,
     ack: messages.ViewAck | None,
@@ -144,24 +148,26 @@
     """
     if ack is None or ack.version == view.version:
         return None
-    if owns_by(renewal, view) and not ack.member:
+    if may_own_slots(renewal, view) and not ack.member:
         return None
-    steps = config.steps.since(view.service, ack.version)
+    steps = config.view_steps.since(view.service, ack.version)
     if steps is None:
         return None
     if renewal.keyless:
-        steps = views.newest_by_host(steps)
+        steps = views.latest_step_per_host(steps)
     return steps if len(steps) <= len(view.members) else None
 
 
-def owns_by(renewal: messages.LeaseRenew, view: messages.ServiceView) -> bool:
+def may_own_slots(
+    renewal: messages.LeaseRenew, view: messages.ServiceView
+) -> bool:
     """Returns whether the node may own keys by a view."""
     if renewal.keyless:
         return False
     return any(member.host == renewal.host for member in view.members)
 
 
-def told_to(
+def view_for_node(
     renewal: messages.LeaseRenew, view: messages.ServiceView, active: bool
 ) -> messages.ServiceView:
     """Returns a view as the node needs it.
@@ -169,13 +175,13 @@
     Only members take slots over and ask who was a member before. To the many
     who call the service the former views would be most of every push.
     """
-    if not owns_by(renewal, view):
-        view = views.without_formers(view)
+    if not may_own_slots(renewal, view):
+        view = views.without_former_views(view)
     return dataclasses.replace(view, active=active)
 
 
 def newer_routes(
-    config: machine.ConfigMachine, renewal: messages.LeaseRenew
+    config: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> messages.RoutesChange:
     """Returns the routes document where the node has an older one."""
     if renewal.routes >= config.routes.version:
@@ -183,26 +189,26 @@
     return config.routes
 
 
-def is_drained(
-    config: machine.ConfigMachine, renewal: messages.LeaseRenew
+def is_drain_requested(
+    config: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> bool:
     """Returns whether an operator asked the node to leave."""
     return renewal.host in config.draining
 
 
-def has_news(
-    config: machine.ConfigMachine,
+def has_update(
+    config: statemachine.ConfigStateMachine,
     active: set[ids.ServiceName],
     renewal: messages.LeaseRenew,
 ) -> bool:
     """Returns whether an answer would tell the node anything new."""
     if renewal.new_interests:
         return True
-    if is_drained(config, renewal) and not renewal.leaving:
+    if is_drain_requested(config, renewal) and not renewal.leaving:
         return True
     if newer_routes(config, renewal).version:
         return True
-    if any(views_behind(config, active, renewal)):
+    if any(outdated_views(config, active, renewal)):
         return True
-    update = table_update(config, renewal)
+    update = make_table_update(config, renewal)
     return bool(update.changed or update.removed)
--- a/mangobay/replication.py
+++ b/mangobay/replication.py
@@ -3,7 +3,14 @@
 import asyncio
 import typing
 
-from mangobay import election, ids, invariants, membership, progress, transfer
+from mangobay import (
+    election,
+    ids,
+    invariants,
+    membership,
+    progress,
+    snapshottransfer,
+)
 from mangobay.generated import messages
 
 if typing.TYPE_CHECKING:
@@ -32,7 +39,7 @@
 ) -> bool:
     """Returns whether the follower can take more at once."""
     if follower.outgoing_snapshot is not None:
-        return not follower.outgoing_snapshot.is_sent
+        return not follower.outgoing_snapshot.is_fully_sent
     return follower.next_index <= group.log.last_index
 
 
@@ -64,7 +71,9 @@
         follower.outgoing_snapshot
         or group.log.term_at(follower.next_index - 1) is None
     ):
-        body: messages.EnvelopeBody = transfer.next_part(group, follower)
+        body: messages.EnvelopeBody = snapshottransfer.make_snapshot_put(
+            group, follower
+        )
     else:
         body = make_append_request(group, follower)
     reply = await group.send_request(follower.address, body, patience)
@@ -106,7 +115,7 @@
             follower.match_index = max(follower.match_index, reply.last_index)
             follower.next_index = follower.match_index + 1
         case messages.SnapshotReply():
-            transfer.take_reply(follower, reply)
+            snapshottransfer.process_reply(follower, reply)
 
 
 def make_append_request(
--- a/mangobay/requestlog.py
+++ b/mangobay/requestlog.py
@@ -65,7 +65,7 @@
         self,
         attempt: ids.AttemptId,
         error: calls.RequestError,
-        table: routes.Table | None,
+        table: routes.RouteTable | None,
     ) -> None:
         """Logs a request that was refused before it became a call."""
         if not self.take_token():
--- a/mangobay/routedcontrol.py
+++ b/mangobay/routedcontrol.py
@@ -12,11 +12,11 @@
     leanhttp,
     leanserver,
     metricspage,
-    publishing,
+    routespublisher,
 )
 from mangobay.generated import messages, settings
 
-MakeApi = typing.Callable[[publishing.Publisher], leanserver.Handler]
+MakeApi = typing.Callable[[routespublisher.RoutesPublisher], leanserver.Handler]
 
 ANSWER_SECONDS = 0.3
 """For the last answers to be taken by their callers."""
--- a/mangobay/routednode.py
+++ b/mangobay/routednode.py
@@ -15,10 +15,10 @@
     logs,
     metricspage,
     options,
-    publishing,
     refusals,
     requestlog,
     routes,
+    routespublisher,
 )
 from mangobay.generated import messages, settings
 
@@ -166,12 +166,14 @@
         """Puts a routes document in force."""
         if not change.version:
             return
-        document = self.adapter.decode(publishing.document_of(change))
-        self.gateway.table = routes.Table(document)
+        document = self.adapter.decode(
+            routespublisher.decompress_document(change)
+        )
+        self.gateway.table = routes.RouteTable(document)
         self.outside_listener.too_large_response = leanserver.TOO_LARGE_RESPONSE
         limits = self.outside_listener.limits
-        limits.max_line_bytes = document.limits.header_bytes
-        limits.max_body_bytes = document.limits.body_bytes
+        limits.max_line_bytes = document.limits.max_header_bytes
+        limits.max_body_bytes = document.limits.max_body_bytes
         limits.idle_timeout = document.limits.idle_timeout
         limits.read_timeout = document.limits.header_timeout
         logs.say(
--- a/mangobay/routes.py
+++ b/mangobay/routes.py
@@ -14,11 +14,11 @@
 from mangobay import findings, ids
 from mangobay.generated import messages
 
-LONGEST_TIMEOUT = 600.0
+MAX_TIMEOUT_SECONDS = 600.0
 """Seconds; a request held longer than ten minutes is forgotten by its caller."""
 
 
-class Kind(enum.Enum):
+class RetrySafety(enum.Enum):
     """What may be repeated."""
 
     SAFE = "safe"
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Part:
+class WeightedService:
     """One service of a route.
 
     Attributes:
@@ -45,23 +45,23 @@
       name: unique in the document.
       hostname: of the requests, in lower case.
       prefix: the beginning of their paths; ends with a slash.
-      kind: what may be repeated.
+      retry_safety: what may be repeated.
       timeout: longest time a request is kept waiting, seconds.
       target_latency: an answer within it has its full worth, seconds.
       priority: 0 is the most important.
-      parts: where they go; one, or several by weight.
-      most_attempts: backend servers that one request may be sent to.
+      weighted_services: where they go; one, or several by weight.
+      max_attempts: backend servers that one request may be sent to.
     """
 
     name: str
     hostname: str
     prefix: str
-    kind: Kind
+    retry_safety: RetrySafety
     timeout: float
     target_latency: float
     priority: int
-    parts: tuple[Part, ...]
-    most_attempts: int
+    weighted_services: tuple[WeightedService, ...]
+    max_attempts: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -70,12 +70,12 @@
 
     Attributes:
       health_path: path of its health check.
-      connections: most that one of its backend servers takes.
+      max_connections: most that one of its backend servers takes.
     """
 
     name: ids.ServiceName
     health_path: str
-    connections: int
+    max_connections: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -83,14 +83,14 @@
     """Bounds on what callers may send.
 
     Attributes:
-      header_bytes: of a request's head.
-      body_bytes: of its body.
+      max_header_bytes: of a request's head.
+      max_body_bytes: of its body.
       header_timeout: seconds for the head to come.
       idle_timeout: seconds that a connection may stand idle.
     """
 
-    header_bytes: int
-    body_bytes: int
+    max_header_bytes: int
+    max_body_bytes: int
     header_timeout: float
     idle_timeout: float
 
@@ -105,38 +105,38 @@
     limits: Limits
 
 
-def check(document: Document) -> list[findings.Finding]:
+def validate(document: Document) -> list[findings.Finding]:
     """Returns what forbids to put the document in force, in its order."""
     known = {service.name for service in document.services}
     found = []
     for route in document.routes:
         place = f"route {route.name}"
         found += [
-            findings.Finding(place, text) for text in faults_of(route, known)
+            findings.Finding(place, text) for text in route_errors(route, known)
         ]
     return found
 
 
-def faults_of(
+def route_errors(
     route: Route, known: typing.AbstractSet[ids.ServiceName]
 ) -> collections.abc.Iterator[str]:
     """Yields what is wrong with a route."""
-    if not route.parts:
+    if not route.weighted_services:
         yield "names no service"
-    for part in route.parts:
+    for part in route.weighted_services:
         if part.service not in known:
             yield f"names the unknown service {part.service}"
         if part.weight < 0:
             yield f"the weight of {part.service} is below 0"
-    if not 0 < route.timeout <= LONGEST_TIMEOUT:
-        yield f"the timeout must be above 0 and at most {LONGEST_TIMEOUT:g} s"
-    if route.most_attempts < 1:
+    if not 0 < route.timeout <= MAX_TIMEOUT_SECONDS:
+        yield f"the timeout must be above 0 and at most {MAX_TIMEOUT_SECONDS:g} s"
+    if route.max_attempts < 1:
         yield "must allow at least one attempt"
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         yield "the prefix must begin and end with a slash"
 
 
-IMPORTANCES = (
+IMPORTANCE_BY_PRIORITY = (
     messages.Importance.CRITICAL,
     messages.Importance.HIGH,
     messages.Importance.NORMAL,
@@ -145,13 +145,13 @@
 """By priority; what ranks lower than the last is as important as that."""
 
 
-FULL_TIME = 0.97
+FULL_TIME_SHARE = 0.97
 """Share of a route's longest time below which some of it was spent."""
-MOST_OPERATIONS = 64
+MAX_OPERATIONS = 64
 """Operations kept for one route."""
 
 
-class Destination:
+class RouteState:
     """A route as requests are judged by it.
 
     Attributes:
@@ -159,16 +159,22 @@
       operations: by part and method, as the rest of the system knows them.
     """
 
-    __slots__ = ("credits", "longest", "operations", "route", "total")
+    __slots__ = (
+        "current_weights",
+        "max_time_left",
+        "operations",
+        "route",
+        "total_weight",
+    )
 
     def __init__(self, route: Route):
         self.route = route
         self.operations: dict[tuple[int, str], messages.Operation] = {}
-        self.credits = [0.0] * len(route.parts)
-        self.longest = 0.0
-        self.total = sum(part.weight for part in route.parts)
+        self.current_weights = [0.0] * len(route.weighted_services)
+        self.max_time_left = 0.0
+        self.total_weight = sum(part.weight for part in route.weighted_services)
 
-    def has_spent_time(self, left: float) -> bool:
+    def has_waited_before(self, time_left: float) -> bool:
         """Returns whether a caller has waited for this before.
 
         Callers give a route's requests the same time at first; one that comes
@@ -176,12 +182,12 @@
         less left.  What was spent on it is lost if it is refused now.
 
         Args:
-          left: seconds that the caller still waits.
+          time_left: seconds that the caller still waits.
         """
-        if left == math.inf:
+        if time_left == math.inf:
             return False
-        self.longest = max(self.longest, left)
-        return left < FULL_TIME * self.longest
+        self.max_time_left = max(self.max_time_left, time_left)
+        return time_left < FULL_TIME_SHARE * self.max_time_left
 
     def next_operation(self, method: str) -> messages.Operation | None:
         """Returns where the next request goes, None where no part has weight.
@@ -190,45 +196,54 @@
         most one request off its share.  Drawn by lot, a part of one in ten
         would be a third off over a hundred requests of one node.
         """
-        if len(self.route.parts) == 1:
-            return self.operation(0, method)
-        if self.total <= 0:
+        if len(self.route.weighted_services) == 1:
+            return self.get_operation(0, method)
+        if self.total_weight <= 0:
             return None
-        for place, part in enumerate(self.route.parts):
-            self.credits[place] += part.weight
-        best = max(range(len(self.credits)), key=self.credits.__getitem__)
-        self.credits[best] -= self.total
-        return self.operation(best, method)
-
-    def operation(self, place: int, method: str) -> messages.Operation:
+        for place, part in enumerate(self.route.weighted_services):
+            self.current_weights[place] += part.weight
+        best = max(
+            range(len(self.current_weights)),
+            key=self.current_weights.__getitem__,
+        )
+        self.current_weights[best] -= self.total_weight
+        return self.get_operation(best, method)
+
+    def get_operation(self, index: int, method: str) -> messages.Operation:
         """Returns what the rest of the system knows of a part's requests."""
-        key = (place, method)
+        key = (index, method)
         found = self.operations.get(key)
         if found is None:
-            found = operation_of(self.route, self.route.parts[place], method)
+            found = make_operation(
+                self.route, self.route.weighted_services[index], method
+            )
             # Callers choose the method: a hundred made-up ones must not stay.
-            if len(self.operations) < MOST_OPERATIONS:
+            if len(self.operations) < MAX_OPERATIONS:
                 self.operations[key] = found
         return found
 
 
-def operation_of(route: Route, part: Part, method: str) -> messages.Operation:
+def make_operation(
+    route: Route, part: WeightedService, method: str
+) -> messages.Operation:
     """Returns what the product knows of the requests of a route's part."""
-    importance = IMPORTANCES[min(max(route.priority, 0), len(IMPORTANCES) - 1)]
+    importance = IMPORTANCE_BY_PRIORITY[
+        min(max(route.priority, 0), len(IMPORTANCE_BY_PRIORITY) - 1)
+    ]
     return messages.Operation(
         service=part.service,
         name=ids.OperationName(route.name),
         method=method,
         importance=importance,
-        idempotent=route.kind is Kind.SAFE,
+        idempotent=route.retry_safety is RetrySafety.SAFE,
         outside=True,
         deadline_ms=int(route.timeout * 1000),
-        tries=route.most_attempts - 1,
+        tries=route.max_attempts - 1,
         target_ms=int(route.target_latency * 1000),
     )
 
 
-class Table:
+class RouteTable:
     """The routes of one document by host name and prefix.
 
     Attributes:
@@ -237,14 +252,14 @@
 
     def __init__(self, document: Document):
         self.document = document
-        self.hosts: dict[str, dict[str, Destination]] = {}
+        self.routes_by_hostname: dict[str, dict[str, RouteState]] = {}
         for route in document.routes:
-            by_prefix = self.hosts.setdefault(route.hostname, {})
-            by_prefix[route.prefix] = Destination(route)
+            by_prefix = self.routes_by_hostname.setdefault(route.hostname, {})
+            by_prefix[route.prefix] = RouteState(route)
 
-    def find(self, hostname: str, path: str) -> Destination | None:
+    def find(self, hostname: str, path: str) -> RouteState | None:
         """Returns the route with the longest prefix of the path, or None."""
-        by_prefix = self.hosts.get(host_of(hostname))
+        by_prefix = self.routes_by_hostname.get(parse_hostname(hostname))
         if by_prefix is None:
             return None
         end = path.rfind("/")
@@ -260,11 +275,11 @@
         return {
             part.service
             for route in self.document.routes
-            for part in route.parts
+            for part in route.weighted_services
         }
 
 
-def host_of(field: str) -> str:
+def parse_hostname(field: str) -> str:
     """Returns the host name in a Host field, without a port."""
     name, colon, port = field.rpartition(":")
     if colon and port.isdecimal():
--- a/mangobay/publishing.py
+++ b/mangobay/routespublisher.py
@@ -5,7 +5,7 @@
 import typing
 import zlib
 
-from mangobay import clock, errors, ids, leases, machine, options
+from mangobay import clock, errors, ids, leases, options, statemachine
 from mangobay.generated import messages
 
 if typing.TYPE_CHECKING:
@@ -13,7 +13,7 @@
 
 Outcome = messages.RoutesOutcome
 
-FORWARD_SECONDS = 0.8
+FORWARD_TIMEOUT_SECONDS = 0.8
 """Wait for the leader's answer; operators go on to another host after 1 s."""
 DIGEST_BYTES = 16
 
@@ -22,7 +22,7 @@
     """What is needed of `consensus.Group`, besides what leases need."""
 
 
-def change_of(
+def make_routes_change(
     version: ids.RoutesVersion, base: ids.RoutesVersion, document: bytes
 ) -> messages.RoutesChange:
     """Returns the log entry that puts a document in force.
@@ -44,12 +44,12 @@
     )
 
 
-def document_of(change: messages.RoutesChange) -> bytes:
+def decompress_document(change: messages.RoutesChange) -> bytes:
     """Returns the document as the operator sent it."""
     return zlib.decompress(change.document)
 
 
-class Publisher:
+class RoutesPublisher:
     """Puts routes documents in force, and tells the newest.
 
     A control host that does not lead asks the leader: a redirect would need
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        config: machine.ConfigMachine,
+        config: statemachine.ConfigStateMachine,
         group: Group,
         transport: "peers.Transport",
     ):
@@ -72,7 +72,7 @@
         reply = await self.ask_leader(messages.RoutesPut(change=change))
         return reply.outcome
 
-    async def newest(self) -> messages.RoutesChange | None:
+    async def fetch_newest(self) -> messages.RoutesChange | None:
         """Returns the document in force, None where that is not certain."""
         reply = await self.ask_leader(messages.RoutesFetch())
         return reply.current if reply.outcome is Outcome.ACCEPTED else None
@@ -82,20 +82,22 @@
     ) -> messages.RoutesReply:
         """Returns the leader's answer, this host's own where it leads."""
         if self.group.leading.is_set():
-            return await self.answer(body)
+            return await self.handle_request(body)
         uncertain = messages.RoutesReply(outcome=Outcome.UNCERTAIN)
         if not self.group.leader_address:
             return uncertain
         address = options.parse_address(self.group.leader_address)
         try:
-            reply = await self.transport.ask(address, body, FORWARD_SECONDS)
+            reply = await self.transport.ask(
+                address, body, FORWARD_TIMEOUT_SECONDS
+            )
         except (errors.PeerError, TimeoutError):
             return uncertain
         if not isinstance(reply, messages.RoutesReply):
             raise errors.PeerProtocolError("no answer about routes")
         return reply
 
-    async def answer(
+    async def handle_request(
         self, body: messages.RoutesPut | messages.RoutesFetch
     ) -> messages.RoutesReply:
         """Answers as the leader, also another control host."""
--- a/mangobay/acceptance.py
+++ b/mangobay/sheetacceptance.py
@@ -3,16 +3,24 @@
 import asyncio
 import dataclasses
 
-from mangobay import clock, errors, ids, leases, machine, operationtable, sheet
+from mangobay import (
+    clock,
+    errors,
+    ids,
+    leases,
+    operationtable,
+    sheet,
+    statemachine,
+)
 from mangobay.generated import messages
 
-MOST_COMPARISONS = 3
+MAX_COMPARISONS = 3
 """Under one leader the table moves only here, under the lock; entries of a
 former leader can move it a few times at most."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Accepted:
+class SheetResult:
     """The answer to a sheet.
 
     Attributes:
@@ -28,10 +36,12 @@
     repeated: bool
 
 
-class Acceptance:
+class SheetAcceptor:
     """Takes sheets in at the leader, one after the other."""
 
-    def __init__(self, config: machine.ConfigMachine, group: leases.Group):
+    def __init__(
+        self, config: statemachine.ConfigStateMachine, group: leases.Group
+    ):
         self.machine = config
         self.group = group
         self.lock = asyncio.Lock()
@@ -41,7 +51,7 @@
         checked: sheet.Sheet,
         version: ids.SheetVersion,
         operator: str,
-    ) -> Accepted:
+    ) -> SheetResult:
         """Returns once the sheet is committed.
 
         Raises:
@@ -52,21 +62,21 @@
             gets its true answer.
         """
         async with self.lock:
-            for _ in range(MOST_COMPARISONS):
+            for _ in range(MAX_COMPARISONS):
                 # Compared with a table that a newer leader has changed, the
                 # entry would only be refused when it is applied.
                 await self.group.confirm_leadership()
-                if version in self.machine.versions:
-                    return self.answer(checked, version)
-                if self.machine.spent.holds(version):
+                if version in self.machine.history_by_version:
+                    return self.make_result(checked, version)
+                if self.machine.used_versions.contains(version):
                     raise errors.VersionSpentError(version)
-                change = await self.compare(checked, version, operator)
+                change = await self.make_change(checked, version, operator)
                 entry = await self.group.propose(change)
-                if version in self.machine.versions:
-                    return self.answer(checked, version, entry.index)
+                if version in self.machine.history_by_version:
+                    return self.make_result(checked, version, entry.index)
         raise errors.NotLeaderError(self.group.leader)
 
-    async def compare(
+    async def make_change(
         self,
         checked: sheet.Sheet,
         version: ids.SheetVersion,
@@ -89,23 +99,23 @@
             removed=difference.removed,
         )
 
-    def answer(
+    def make_result(
         self,
         checked: sheet.Sheet,
         version: ids.SheetVersion,
-        index: ids.LogIndex | None = None,
-    ) -> Accepted:
+        proposed_index: ids.LogIndex | None = None,
+    ) -> SheetResult:
         """Returns what became of the sheet; `index` is of the own entry.
 
         Raises:
           errors.ConflictError: the version is taken by another content.
         """
-        item = self.machine.versions[version]
+        item = self.machine.history_by_version[version]
         if item.digest != checked.digest:
             raise errors.ConflictError(version, item.revision)
-        return Accepted(
+        return SheetResult(
             revision=item.revision,
             changed=item.changed_rows,
             removed=item.removed_rows,
-            repeated=item.revision != index,
+            repeated=item.revision != proposed_index,
         )
--- a/mangobay/transfer.py
+++ b/mangobay/snapshottransfer.py
@@ -18,11 +18,11 @@
 if typing.TYPE_CHECKING:
     from mangobay import consensus, progress
 
-PART_BYTES = 256 * 1024
+MAX_PART_BYTES = 256 * 1024
 
 
 @dataclasses.dataclass(slots=True)
-class Sending:
+class OutgoingSnapshot:
     """A snapshot on its way to one follower.
 
     Attributes:
@@ -38,13 +38,13 @@
     offset: int = 0
 
     @property
-    def is_sent(self) -> bool:
+    def is_fully_sent(self) -> bool:
         """Whether only the news that it is installed is awaited."""
         return self.offset >= len(self.data)
 
 
 @dataclasses.dataclass(slots=True)
-class Receiving:
+class IncomingSnapshot:
     """A snapshot on its way to this host.
 
     Attributes:
@@ -52,16 +52,16 @@
       size: of the whole of it, bytes.
       checksum: of the whole of it.
       data: what has come.
-      installing: runs once everything has come.
+      install_task: runs once everything has come.
     """
 
     last_index: ids.LogIndex
     size: int
     checksum: int
     data: bytearray = dataclasses.field(default_factory=bytearray)
-    installing: asyncio.Task | None = None
+    install_task: asyncio.Task | None = None
 
-    def continues(self, body: messages.SnapshotPut) -> bool:
+    def is_same_snapshot(self, body: messages.SnapshotPut) -> bool:
         """Returns whether a part is of this snapshot, to the byte."""
         return (
             self.last_index == body.last_index
@@ -70,13 +70,13 @@
         )
 
 
-def next_part(
+def make_snapshot_put(
     group: "consensus.Group", follower: "progress.Follower"
 ) -> messages.SnapshotPut:
     """Returns the next part for a host behind the log's start."""
     if follower.outgoing_snapshot is None:
         data = group.log.snapshot_data
-        follower.outgoing_snapshot = Sending(
+        follower.outgoing_snapshot = OutgoingSnapshot(
             last_index=group.log.snapshot.last_index,
             data=data,
             checksum=xxhash.xxh3_64_intdigest(data),
@@ -85,7 +85,7 @@
     return messages.SnapshotPut(
         term=ids.Term(group.term),
         leader=group.host,
-        part=sending.data[sending.offset : sending.offset + PART_BYTES],
+        part=sending.data[sending.offset : sending.offset + MAX_PART_BYTES],
         identity=group.identity,
         address=str(group.address),
         last_index=sending.last_index,
@@ -95,7 +95,7 @@
     )
 
 
-def take_reply(
+def process_reply(
     follower: "progress.Follower", reply: messages.SnapshotReply
 ) -> None:
     """Takes in how much a follower holds, or that it has installed it."""
@@ -110,30 +110,30 @@
     follower.next_index = follower.match_index + 1
 
 
-async def take_part(
+async def handle_snapshot_put(
     group: "consensus.Group", body: messages.SnapshotPut
 ) -> messages.SnapshotReply:
     """Keeps a part of a leader's snapshot; the group's lock is held."""
     if not await election.accept_leader(group, body):
-        return reply_of(group, 0, 0)
+        return make_snapshot_reply(group, 0, 0)
     if body.last_index <= group.commit_index:
         group.incoming_snapshot = None
-        return reply_of(group, body.last_index, body.size)
+        return make_snapshot_reply(group, body.last_index, body.size)
     receiving = group.incoming_snapshot
-    if receiving is None or not receiving.continues(body):
-        receiving = Receiving(body.last_index, body.size, body.checksum)
+    if receiving is None or not receiving.is_same_snapshot(body):
+        receiving = IncomingSnapshot(body.last_index, body.size, body.checksum)
         group.incoming_snapshot = receiving
     if body.offset == len(receiving.data):
         receiving.data += body.part
     received = len(receiving.data)
-    if received >= receiving.size and receiving.installing is None:
-        receiving.installing = group.start_background_task(
+    if received >= receiving.size and receiving.install_task is None:
+        receiving.install_task = group.start_background_task(
             install(group, receiving)
         )
-    return reply_of(group, 0, received)
+    return make_snapshot_reply(group, 0, received)
 
 
-def reply_of(
+def make_snapshot_reply(
     group: "consensus.Group", last_index: int, received: int
 ) -> messages.SnapshotReply:
     """Returns this host's answer to a part."""
@@ -146,7 +146,9 @@
     )
 
 
-async def install(group: "consensus.Group", receiving: Receiving) -> None:
+async def install(
+    group: "consensus.Group", receiving: IncomingSnapshot
+) -> None:
     """Replaces log and machine by a snapshot that has come whole."""
     try:
         data = bytes(receiving.data)
@@ -157,7 +159,7 @@
         snapshot = await group.log.stage_received(data)
         async with group.lock:
             if snapshot.last_index > group.commit_index:
-                await adopt(group, snapshot, data)
+                await replace_state(group, snapshot, data)
     except errors.StorageError:
         group.abort_run()
     except (errors.PeerProtocolError, capnp.KjException) as error:
@@ -168,7 +170,7 @@
             group.incoming_snapshot = None
 
 
-async def adopt(
+async def replace_state(
     group: "consensus.Group", snapshot: messages.Snapshot, data: bytes
 ) -> None:
     """Takes in a staged snapshot; the lock is held.
--- a/mangobay/startcheck.py
+++ b/mangobay/startcheck.py
@@ -91,7 +91,7 @@
         Raises:
           StartRefusedError: one of them forbids the start.
         """
-        if not self.lease.holds():
+        if not self.lease.is_valid():
             raise StartRefusedError(messages.Reason.NO_LEASE)
         if not self.ownership.ready(self.record.slot):
             raise StartRefusedError(messages.Reason.OWNER_CHANGED)
--- a/mangobay/spent.py
+++ b/mangobay/usedversions.py
@@ -6,11 +6,11 @@
 
 from mangobay import ids
 
-MOST = 1_000_000
+MAX_VERSIONS = 1_000_000
 """Versions remembered; 17 days at 59,000 changes a day, in 8 MB."""
-SPARE = 10_000
+TRIM_BATCH_SIZE = 10_000
 """Forgotten together, so that forgetting moves the memory seldom."""
-WIDTH = 8
+FINGERPRINT_BYTES = 8
 """Bytes of a fingerprint."""
 
 
@@ -19,7 +19,7 @@
     return xxhash.xxh3_64_digest(version.encode())
 
 
-class SpentVersions:
+class UsedVersions:
     """Fingerprints of versions, oldest first.
 
     An operator may send a sheet again long after its answer was lost. Taken
@@ -29,25 +29,27 @@
     which its operator mends with another name.
 
     Attributes:
-      data: the fingerprints.
+      fingerprints: the fingerprints.
     """
 
     def __init__(self, data: bytes = b""):
-        self.data = bytearray(data)
+        self.fingerprints = bytearray(data)
 
     def __len__(self) -> int:
-        return len(self.data) // WIDTH
+        return len(self.fingerprints) // FINGERPRINT_BYTES
 
     def add(self, versions: collections.abc.Iterable[ids.SheetVersion]) -> None:
         """Remembers versions; beyond MOST the oldest are forgotten."""
-        self.data += b"".join(map(fingerprint, versions))
-        if len(self) > MOST + SPARE:
-            del self.data[: (len(self) - MOST) * WIDTH]
+        self.fingerprints += b"".join(map(fingerprint, versions))
+        if len(self) > MAX_VERSIONS + TRIM_BATCH_SIZE:
+            del self.fingerprints[
+                : (len(self) - MAX_VERSIONS) * FINGERPRINT_BYTES
+            ]
 
-    def holds(self, version: ids.SheetVersion) -> bool:
+    def contains(self, version: ids.SheetVersion) -> bool:
         """Returns whether the version was used."""
         sought = fingerprint(version)
-        at = self.data.find(sought)
-        while at >= 0 and at % WIDTH:
-            at = self.data.find(sought, at + 1)
+        at = self.fingerprints.find(sought)
+        while at >= 0 and at % FINGERPRINT_BYTES:
+            at = self.fingerprints.find(sought, at + 1)
         return at >= 0
--- a/tests/once_fakes.py
+++ b/tests/once_fakes.py
@@ -36,7 +36,7 @@
 
     held: bool = True
 
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         return self.held
 
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -5,7 +5,7 @@
 import groupfakes
 import pytest
 
-from mangobay import errors, stepdown, storage, transfer
+from mangobay import errors, snapshottransfer, stepdown, storage
 from mangobay.generated import messages
 
 pytestmark = pytest.mark.looptime
@@ -311,7 +311,7 @@
         heartbeat, and so is the leader while the follower syncs: the quorum
         is never lost, and a change made meanwhile is committed.
         """
-        monkeypatch.setattr(transfer, "PART_BYTES", 16)
+        monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 16)
         slow_down(monkeypatch, "stage_received")
         async with groupfakes.Cluster() as cluster:
             late = await leave_behind(cluster)
@@ -324,7 +324,7 @@
             )
             term = leader.group.term
             await cluster.wait_until(
-                lambda: late.group.incoming_snapshot.installing
+                lambda: late.group.incoming_snapshot.install_task
             )
             await leader.group.propose(messages.SheetChange(version="last"))
             assert leader.group.term == term
@@ -365,8 +365,8 @@
         The host finds a wrong checksum when it has every part, installs
         nothing and asks for the first part again.
         """
-        monkeypatch.setattr(transfer, "PART_BYTES", 64)
-        sent = transfer.next_part
+        monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 64)
+        sent = snapshottransfer.make_snapshot_put
         damaged = []
 
         def next_part(group, follower):
@@ -376,7 +376,7 @@
                 body.part = bytes(len(body.part))
             return body
 
-        monkeypatch.setattr(transfer, "next_part", next_part)
+        monkeypatch.setattr(snapshottransfer, "make_snapshot_put", next_part)
         async with groupfakes.Cluster() as cluster:
             late = await leave_behind(cluster)
             late.start()
--- a/tests/test_consensus_random.py
+++ b/tests/test_consensus_random.py
@@ -9,7 +9,7 @@
 import groupfakes
 import pytest
 
-from mangobay import errors, invariants, transfer
+from mangobay import errors, invariants, snapshottransfer
 from mangobay.generated import messages
 
 BOOTSTRAP_STEPS = 10
@@ -22,7 +22,7 @@
 @pytest.fixture(autouse=True)
 def small_parts(monkeypatch):
     """Makes every snapshot arrive in several parts."""
-    monkeypatch.setattr(transfer, "PART_BYTES", 64)
+    monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 64)
 
 
 class RandomFaultRun:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -154,7 +154,7 @@
         client.serves = [messages.ServedService(name="quotes", slots=4)]
         renewing = asyncio.create_task(client.run())
         async with aiohttp.ClientSession() as session:
-            await until(lambda: leader_of(hosts) and client.lease.holds())
+            await until(lambda: leader_of(hosts) and client.lease.is_valid())
             first = leader_of(hosts)
             status, accepted = await apply(session, first, "1")
             assert status == 200
@@ -169,8 +169,8 @@
             await first.stop()
             rest = [one for one in hosts if one is not first]
             await until(lambda: leader_of(rest))
-            old_end = client.lease.until
-            await until(lambda: client.lease.until > old_end + 0.5)
+            old_end = client.lease.expires_at
+            await until(lambda: client.lease.expires_at > old_end + 0.5)
             assert client.tables.value.revision == revision
 
             for one in rest:
--- a/tests/test_controlclient.py
+++ b/tests/test_controlclient.py
@@ -14,8 +14,8 @@
     interests,
     invariants,
     leases,
-    machine,
     options,
+    statemachine,
 )
 from mangobay.generated import messages
 
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def group():
-    return controlfakes.FakeGroup(machine.ConfigMachine())
+    return controlfakes.FakeGroup(statemachine.ConfigStateMachine())
 
 
 @pytest.fixture
@@ -69,7 +69,7 @@
         async with controlfakes.running(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(1.5)
-            assert client.lease.holds()
+            assert client.lease.is_valid()
             entry = group.append(
                 controlfakes.sheet("1", controlfakes.operation("sign"))
             )
@@ -100,12 +100,12 @@
             tables = dict(transport.tables)
             transport.tables.clear()
             await asyncio.sleep(10)
-            assert not client.lease.holds()
+            assert not client.lease.is_valid()
             assert client.tables.value.revision == entry.index
             assert "quotes" in client.views.value
             transport.tables.update(tables)
             await asyncio.sleep(3)
-            assert client.lease.holds()
+            assert client.lease.is_valid()
 
     async def test_a_lost_answer_is_asked_for_again(
         self, client, group, transport
@@ -122,7 +122,7 @@
                 controlfakes.sheet("1", controlfakes.operation("sign"))
             )
             await asyncio.sleep(2)
-            assert not client.lease.holds()
+            assert not client.lease.is_valid()
             transport.lost = False
             await asyncio.sleep(2)
             assert client.tables.value.revision == entry.index
@@ -188,12 +188,12 @@
             held = 0
             for _ in range(100):
                 await asyncio.sleep(0.2)
-                held += client.lease.holds()
+                held += client.lease.is_valid()
             assert client.tables.value.revision == entry.index
             assert held > 50
 
     async def test_a_follower_names_the_leader(self, group, transport):
-        follower = controlfakes.FakeGroup(machine.ConfigMachine())
+        follower = controlfakes.FakeGroup(statemachine.ConfigStateMachine())
         follower.leading.clear()
         follower.leader_address = str(FIRST)
         transport.tables[SECOND] = leases.LeaseTable(
@@ -219,14 +219,14 @@
                 controlfakes.sheet("1", controlfakes.operation("sign"))
             )
             await asyncio.sleep(1)
-            lagging = controlfakes.FakeGroup(machine.ConfigMachine())
+            lagging = controlfakes.FakeGroup(statemachine.ConfigStateMachine())
             lagging.index = 50
             transport.tables = {
                 SECOND: leases.LeaseTable(lagging.machine, lagging, 4.0, 1.0)
             }
             broken = invariants.broken.total()
             await asyncio.sleep(10)
-            assert not client.lease.holds()
+            assert not client.lease.is_valid()
             assert client.tables.value.revision == entry.index
             assert client.views.value["quotes"].version < 50
             assert invariants.broken.total() == broken
@@ -262,7 +262,10 @@
             for number in range(1100):
                 await client.interest(f"none-{number}")
             assert not client.interests.wanted
-            assert len(client.interests.unknown) <= interests.MOST_UNKNOWN
+            assert (
+                len(client.interests.unknown_until)
+                <= interests.MAX_UNKNOWN_SERVICES
+            )
             asked = len(transport.asked)
             await client.interest("none-1099")
             assert len(transport.asked) == asked
@@ -314,7 +317,7 @@
                     asyncio.create_task(client.interest(f"none-{number}"))
                 )
                 await asyncio.sleep(0.001)
-            assert client.lease.holds()
+            assert client.lease.is_valid()
             await asyncio.gather(*asking, return_exceptions=True)
 
     async def test_without_control_nothing_is_said_of_a_service(
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -68,7 +68,7 @@
 
     held = True
 
-    def holds(self):
+    def is_valid(self):
         return self.held
 
 
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -284,7 +284,7 @@
 
     async def test_without_a_lease_only_idempotent_calls_run(self, cluster):
         one = await cluster.start("one", echo)
-        one.control.lease.until = 0
+        one.control.lease.expires_at = 0
         status, _, _ = await cluster.send_outside(one, "GET", "/stock/price")
         assert status == 200
         status, headers, body = await cluster.send_outside(
@@ -432,7 +432,7 @@
         text = body.decode()
         assert 'outcome="answered"' in text
         assert 'promise="not_run_is_true"' in text
-        one.control.lease.until = 0
+        one.control.lease.expires_at = 0
         assert (await cluster.send(local, "GET", "/mangobay/ready"))[0] == 503
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -84,17 +84,21 @@
             name="inner",
             hostname="below.example",
             prefix="/",
-            kind=routes.Kind.SAFE,
+            retry_safety=routes.RetrySafety.SAFE,
             timeout=0.7,
             target_latency=0.3,
             priority=1,
-            parts=(routes.Part(service=ids.ServiceName("below"), weight=1.0),),
-            most_attempts=1,
+            weighted_services=(
+                routes.WeightedService(
+                    service=ids.ServiceName("below"), weight=1.0
+                ),
+            ),
+            max_attempts=1,
         )
         document = routes.Document(
             version=1, routes=(route,), services=(), limits=None
         )
-        self.gateway.table = routes.Table(document)
+        self.gateway.table = routes.RouteTable(document)
 
     async def call(self, attempt_id):
         """Returns the status of a call made by the backend server."""
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -21,13 +21,13 @@
         asked_at = clock.now()
         await asyncio.sleep(3)
         held.extend(asked_at, 4)
-        assert held.holds()
+        assert held.is_valid()
         await asyncio.sleep(1)
-        assert not held.holds()
+        assert not held.is_valid()
 
     async def test_an_older_grant_does_not_shorten_it(self):
         held = lease.Lease()
         held.extend(clock.now(), 4)
         held.extend(clock.now() - 2, 4)
         await asyncio.sleep(3)
-        assert held.holds()
+        assert held.is_valid()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -8,11 +8,11 @@
 
 from mangobay import (
     clock,
+    coalescing,
     flapping,
-    gathering,
     ids,
     leases,
-    machine,
+    statemachine,
     views,
 )
 from mangobay.generated import messages
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def state():
-    return machine.ConfigMachine()
+    return statemachine.ConfigStateMachine()
 
 
 @pytest.fixture
@@ -38,7 +38,7 @@
     return leases.LeaseTable(state, group, TTL, MARGIN)
 
 
-async def keep(table, until, *renewals):
+async def renew_until(table, until, *renewals):
     """Renews for the hosts once a second until the loop time."""
     while clock.now() < until:
         for renewal in renewals:
@@ -65,7 +65,7 @@
                 ).granted
                 await asyncio.sleep(0.5)
         assert group.index < 60
-        await keep(table, 800, controlfakes.renewal("a", "quotes"))
+        await renew_until(table, 800, controlfakes.renewal("a", "quotes"))
         assert [m.host for m in state.views["quotes"].members] == ["a"]
 
     async def test_a_host_that_restarts_now_and_then_is_not_kept_out(
@@ -75,7 +75,7 @@
             await table.renew(controlfakes.renewal("a", "quotes", run=str(run)))
             (member,) = state.views["quotes"].members
             assert member.incarnation == str(run)
-            await asyncio.sleep(flapping.CALM_SECONDS + 1)
+            await asyncio.sleep(flapping.RESET_SECONDS + 1)
 
     async def test_one_that_leaves_is_out_at_once(self, table, state):
         """A host that may not join again yet is told to take no more work.
@@ -83,7 +83,7 @@
         Only its joins are held back: it is out of the view with the first
         renewal that says so, whatever came before.
         """
-        for _ in range(flapping.FREE_JOINS):
+        for _ in range(flapping.UNDAMPED_JOINS):
             await table.renew(controlfakes.renewal("a", "quotes"))
             await table.renew(controlfakes.renewal("a"))
             assert not state.views["quotes"].members
@@ -187,7 +187,10 @@
         grant = await held
         assert clock.now() < 0.4
         assert [row.name for row in grant.table.changed] == ["sign"]
-        assert not table.news.services and not table.news.hosts
+        assert (
+            not table.notifier.events_by_service
+            and not table.notifier.events_by_host
+        )
 
     async def test_a_replaced_run_of_a_host_gets_nothing(self, table, state):
         """A host restarts; a renewal of its dead run arrives late.
@@ -210,7 +213,7 @@
         assert (await table.renew(ask)).drain
 
 
-class TestGone:
+class TestExpiry:
     """When a silent host is declared gone."""
 
     async def test_a_silent_host_is_gone_after_ttl_and_margin(
@@ -262,15 +265,15 @@
             assert versions == sorted(set(versions))
             view = state.views["quotes"]
             assert views.former_members(view)[0].incarnation == "7"
-            assert "quotes" not in table.activity.active
-            await keep(
+            assert "quotes" not in table.view_activity.active_services
+            await renew_until(
                 table,
                 clock.now() + TTL + MARGIN + 1,
                 controlfakes.renewal(
                     "a", "quotes", run="8", acks=[("quotes", view.version)]
                 ),
             )
-            assert "quotes" in table.activity.active
+            assert "quotes" in table.view_activity.active_services
             assert "a" in state.members
 
     async def test_a_leader_that_stood_still_judges_nobody(self, table, state):
@@ -282,10 +285,10 @@
         await table.renew(controlfakes.renewal("a", "quotes"))
         stopped = clock.now()
         await asyncio.sleep(10)
-        await table.look(stopped)
+        await table.check_expiry(stopped)
         assert "a" in state.members
         await asyncio.sleep(TTL + MARGIN)
-        await table.look(clock.now())
+        await table.check_expiry(clock.now())
         assert "a" not in state.members
 
 
@@ -298,11 +301,11 @@
         await table.renew(controlfakes.renewal("a", "quotes"))
         await table.renew(controlfakes.renewal("b", "quotes"))
         version = state.views["quotes"].version
-        assert "quotes" not in table.activity.active
+        assert "quotes" not in table.view_activity.active_services
         await table.renew(
             controlfakes.renewal("a", "quotes", acks=[("quotes", version - 1)])
         )
-        assert "quotes" not in table.activity.active
+        assert "quotes" not in table.view_activity.active_services
         grant = await table.renew(
             controlfakes.renewal("a", "quotes", acks=[("quotes", version)])
         )
@@ -354,13 +357,13 @@
             await table.renew(
                 controlfakes.renewal(host, "quotes", acks=[("quotes", version)])
             )
-        assert "quotes" not in table.activity.active
+        assert "quotes" not in table.view_activity.active_services
         await table.renew(
             controlfakes.renewal(
                 "a", interests=["quotes"], acks=[("quotes", version)]
             )
         )
-        assert "quotes" in table.activity.active
+        assert "quotes" in table.view_activity.active_services
 
     async def test_a_new_leader_calls_no_view_active_from_memory(
         self, table, state, group
@@ -380,10 +383,10 @@
                 for host in ("a", "b")
             ]
             start = clock.now()
-            await keep(table, start + TTL + MARGIN - 1, *renewals)
-            assert "quotes" not in table.activity.active
-            await keep(table, start + TTL + MARGIN + 1, *renewals)
-            assert "quotes" in table.activity.active
+            await renew_until(table, start + TTL + MARGIN - 1, *renewals)
+            assert "quotes" not in table.view_activity.active_services
+            await renew_until(table, start + TTL + MARGIN + 1, *renewals)
+            assert "quotes" in table.view_activity.active_services
 
 
 class TestInForce:
@@ -398,29 +401,31 @@
         await table.renew(
             controlfakes.renewal("a", "quotes", revision=entry.index)
         )
-        result = await table.reports.wait(entry.index, 0.5)
-        assert (result.hosts, result.stragglers) == (2, ["b"])
+        result = await table.revision_reports.wait_until_in_force(
+            entry.index, 0.5
+        )
+        assert (result.host_count, result.stragglers) == (2, ["b"])
         await table.renew(
             controlfakes.renewal("b", "quotes", revision=entry.index)
         )
-        assert not table.reports.reached(entry.index).stragglers
+        assert not table.revision_reports.rollout_status(entry.index).stragglers
 
 
-class Fleet:
+class FakeNodes:
     """Nodes that keep a renewal at the leader and take what they are told.
 
     Attributes:
-      bytes_told: of all grants that told of views.
-      answers: grants that told of views.
+      update_bytes: of all grants that told of views.
+      update_count: grants that told of views.
     """
 
-    def __init__(self, table, nodes):
+    def __init__(self, table, node_count):
         self.table = table
-        self.nodes = nodes
-        self.bytes_told = 0
-        self.answers = 0
+        self.node_count = node_count
+        self.update_bytes = 0
+        self.update_count = 0
 
-    async def follow(self, host):
+    async def renew_forever(self, host):
         """Renews for one node for ever."""
         held = {}
         while True:
@@ -437,19 +442,19 @@
             for told in grant.view_steps:
                 held[told.service] = told.steps[-1].version
             if grant.views or grant.view_steps:
-                self.answers += 1
+                self.update_count += 1
                 envelope = messages.Envelope(body=grant)
-                self.bytes_told += len(messages.encode_envelope(envelope))
+                self.update_bytes += len(messages.encode_envelope(envelope))
 
     @contextlib.asynccontextmanager
     async def running(self):
         """Runs every node; all of them hold the newest view on entry."""
         following = [
-            asyncio.create_task(self.follow(f"h{number:04}"))
-            for number in range(self.nodes)
+            asyncio.create_task(self.renew_forever(f"h{number:04}"))
+            for number in range(self.node_count)
         ]
         await asyncio.sleep(3)
-        self.bytes_told = self.answers = 0
+        self.update_bytes = self.update_count = 0
         try:
             yield
         finally:
@@ -465,18 +470,18 @@
         self, table, group, nodes
     ):
         """Guards against bytes that grow with nodes times members."""
-        fleet = Fleet(table, nodes)
+        fleet = FakeNodes(table, nodes)
         async with fleet.running():
             group.append(controlfakes.joins("h0001", "quotes", slots=71))
             await asyncio.sleep(0.8)
-            assert fleet.answers >= nodes - 1
-            assert fleet.bytes_told / fleet.answers < 600
+            assert fleet.update_count >= nodes - 1
+            assert fleet.update_bytes / fleet.update_count < 600
 
     async def test_changes_of_a_short_time_are_told_together(
         self, table, group
     ):
         """Guards against an answer to every node for each of many changes."""
-        fleet = Fleet(table, 200)
+        fleet = FakeNodes(table, 200)
         async with fleet.running():
             for number in range(100):
                 group.append(
@@ -484,15 +489,15 @@
                 )
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.8)
-            assert fleet.answers <= gathering.MOST_ANSWERS * 2.8
-            assert fleet.answers <= 200 * 12
+            assert fleet.update_count <= coalescing.MAX_GRANTS_PER_SECOND * 2.8
+            assert fleet.update_count <= 200 * 12
 
     async def test_a_node_that_owns_keys_is_told_at_once(self, table, group):
         """Guards against keyed calls to an owner that is known to be gone."""
         await table.renew(controlfakes.renewal("a", "quotes"))
         await table.renew(controlfakes.renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
-        async with Fleet(table, 200).running():
+        async with FakeNodes(table, 200).running():
             ask = controlfakes.renewal(
                 "b",
                 "quotes",
@@ -526,7 +531,7 @@
         await table.renew(
             controlfakes.renewal("a", "quotes", acks=[("quotes", version)])
         )
-        assert "quotes" in table.activity.active
+        assert "quotes" in table.view_activity.active_services
         await asyncio.sleep(0.1)
         assert not held.done()
         grant = await held
--- a/tests/test_leases_random.py
+++ b/tests/test_leases_random.py
@@ -7,81 +7,89 @@
 import pytest
 import routingfakes
 
-from mangobay import clock, controlclient, errors, ids, leases, machine, options
+from mangobay import (
+    clock,
+    controlclient,
+    errors,
+    ids,
+    leases,
+    options,
+    statemachine,
+)
 from mangobay.generated import messages
 
 pytestmark = pytest.mark.looptime
 
-ENOUGH = 500
+MIN_CHECKS = 500
 """Checks of a run; one that made no more has shown little."""
-SECONDS = 45
-LONGEST = 4 * SECONDS
+RUN_SECONDS = 45
+MAX_RUN_SECONDS = 4 * RUN_SECONDS
 CI_SEEDS = (*range(6), 240)
 """Seed 240 made 482 checks in the first 45 seconds."""
 SOAK_SEEDS = range(6, 300)
 HOSTS = ("a", "b", "c", "d")
 SERVICES = ("quotes", "prices")
-CONTROL = tuple(options.Address("127.0.0.1", port) for port in (1, 2))
+CONTROL_ADDRESSES = tuple(options.Address("127.0.0.1", port) for port in (1, 2))
 
 
 class Node:
     """A run of a node's client behind a network that can be cut."""
 
-    def __init__(self, host, run, world):
-        self.world = world
+    def __init__(self, host, incarnation, simulation):
+        self.simulation = simulation
         self.cut = False
         self.client = controlclient.ControlClient(
             routingfakes.section(
                 "control",
-                hosts=CONTROL,
+                hosts=CONTROL_ADDRESSES,
                 renew_interval=0.5,
                 patience=0.3,
             ),
             controlclient.NodeIdentity(
                 host=ids.HostId(host),
-                incarnation=ids.Incarnation(run),
+                incarnation=ids.Incarnation(incarnation),
                 data_centre=ids.DataCentre("lima"),
                 peer_address=options.Address("127.0.0.1", 7),
             ),
             self,
-            world.random,
+            simulation.rng,
         )
         self.task = asyncio.create_task(self.client.run())
 
     async def ask(self, address, body, timeout):
         """Carries a renewal: late, or not at all."""
         async with asyncio.timeout(timeout):
-            await self.travel()
-            answer = await self.world.tables[address].renew(body)
-            await self.travel()
+            await self.simulate_network()
+            answer = await self.simulation.tables[address].renew(body)
+            await self.simulate_network()
             return answer
 
-    async def travel(self):
+    async def simulate_network(self):
         if self.cut:
             await asyncio.Event().wait()
-        await asyncio.sleep(self.world.random.uniform(0.001, 0.1))
-        if self.world.random.random() < 0.05:
+        await asyncio.sleep(self.simulation.rng.uniform(0.001, 0.1))
+        if self.simulation.rng.random() < 0.05:
             raise errors.PeerBrokenError("lost")
 
 
-class World:
+class LeaseSimulation:
     """Two control hosts over one state, one of them leading, and nodes."""
 
     def __init__(self, seed):
-        self.random = random.Random(seed)
-        self.machine = machine.ConfigMachine()
+        self.rng = random.Random(seed)
+        self.machine = statemachine.ConfigStateMachine()
         self.groups, self.tables, self.nodes = {}, {}, []
-        self.faults = self.checks = 0
-        for address in CONTROL:
+        self.fault_count = self.check_count = 0
+        for address in CONTROL_ADDRESSES:
             group = controlfakes.FakeGroup(self.machine, address=str(address))
             group.leading.clear()
             self.groups[address] = group
             self.tables[address] = leases.LeaseTable(
                 self.machine, group, 2.0, 0.5
             )
-        self.lead(CONTROL[0], 1)
+        self.elect(CONTROL_ADDRESSES[0], 1)
 
-    def lead(self, address, term):
+    def elect(self, address, term):
         """Cuts the former leader off, which is not told, and elects one."""
         for group in self.groups.values():
             group.cut()
@@ -91,36 +99,36 @@
         group.leading.set()
         group.whole.set()
 
-    def start(self, host):
+    def start_node(self, host):
         """Starts the next run of a host; a former one may be living still."""
         node = Node(host, f"{len(self.nodes)}", self)
         self.nodes.append(node)
-        self.serve(node)
+        self.serve_random_services(node)
 
-    def serve(self, node):
+    def serve_random_services(self, node):
         """Has a node serve some of the services."""
-        names = self.random.sample(SERVICES, self.random.randint(0, 2))
+        names = self.rng.sample(SERVICES, self.rng.randint(0, 2))
         node.client.serves = [
             messages.ServedService(name=name, slots=4) for name in sorted(names)
         ]
 
-    def fault(self, term):
+    def inject_fault(self, term):
         """Does one random thing."""
-        self.faults += 1
-        node = self.random.choice(self.nodes)
-        match self.random.randrange(6):
+        self.fault_count += 1
+        node = self.rng.choice(self.nodes)
+        match self.rng.randrange(6):
             case 0:
-                self.lead(CONTROL[term % 2], term)
+                self.elect(CONTROL_ADDRESSES[term % 2], term)
             case 1:
-                self.start(self.random.choice(HOSTS))
+                self.start_node(self.rng.choice(HOSTS))
             case 2:
                 node.task.cancel()
             case 3 | 4:
                 node.cut = not node.cut
             case 5:
-                self.serve(node)
+                self.serve_random_services(node)
 
-    def check(self):
+    def check_active_views(self):
         """No process that may act stands behind a view called active."""
         for service in SERVICES:
             views = [
@@ -130,14 +138,16 @@
             if not active:
                 continue
             for node, view in zip(self.nodes, views, strict=True):
-                if view and node.client.lease.holds():
-                    self.checks += 1
+                if view and node.client.lease.is_valid():
+                    self.check_count += 1
                     ack = node.client.ack(view)
                     assert not ack.member or view.version >= max(active)
 
-    def goes_on(self, now):
+    def should_continue(self, now):
         """Whether the run is too short, or has not checked enough yet."""
-        return now < SECONDS or (self.checks <= ENOUGH and now < LONGEST)
+        return now < RUN_SECONDS or (
+            self.check_count <= MIN_CHECKS and now < MAX_RUN_SECONDS
+        )
 
     async def run(self):
         """Runs the control hosts, the nodes and the faults."""
@@ -145,16 +155,16 @@
             asyncio.create_task(table.run()) for table in self.tables.values()
         ]
         for host in HOSTS:
-            self.start(host)
+            self.start_node(host)
         next_fault, term = 5.0, 1
         try:
-            while self.goes_on(clock.now()):
+            while self.should_continue(clock.now()):
                 await asyncio.sleep(0.04)
-                self.check()
+                self.check_active_views()
                 if clock.now() > next_fault:
                     term += 1
-                    self.fault(term)
-                    next_fault += self.random.expovariate(1.0)
+                    self.inject_fault(term)
+                    next_fault += self.rng.expovariate(1.0)
         finally:
             for task in (*running, *(node.task for node in self.nodes)):
                 task.cancel()
@@ -179,8 +189,10 @@
         await self.run(seed)
 
     async def run(self, seed) -> None:
-        world = World(seed)
+        world = LeaseSimulation(seed)
         await world.run()
-        print(f"seed {seed}: {world.faults} faults, {world.checks} checks")
-        assert world.faults > 20
-        assert world.checks > ENOUGH
+        print(
+            f"seed {seed}: {world.fault_count} faults, {world.check_count} checks"
+        )
+        assert world.fault_count > 20
+        assert world.check_count > MIN_CHECKS
--- a/tests/test_once_random.py
+++ b/tests/test_once_random.py
@@ -31,7 +31,7 @@
     def __init__(self):
         self.until = 0.0
 
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         return asyncio.get_running_loop().time() < self.until
 
 
--- a/tests/test_operatorapi.py
+++ b/tests/test_operatorapi.py
@@ -8,7 +8,14 @@
 import controlfakes
 import pytest
 
-from mangobay import errors, findings, leases, machine, operatorapi, options
+from mangobay import (
+    errors,
+    findings,
+    leases,
+    operatorapi,
+    options,
+    statemachine,
+)
 
 LOOPBACK = options.Address("127.0.0.1", 0)
 
@@ -45,7 +52,7 @@
 
 @pytest.fixture
 def group():
-    return controlfakes.FakeGroup(machine.ConfigMachine())
+    return controlfakes.FakeGroup(statemachine.ConfigStateMachine())
 
 
 @contextlib.asynccontextmanager
@@ -105,7 +112,7 @@
         409 without a winner, nothing is in force that was not, and the
         history says how many sheets it does not name.
         """
-        monkeypatch.setattr(machine, "MOST_HISTORY", 1)
+        monkeypatch.setattr(statemachine, "MAX_HISTORY_ITEMS", 1)
         async with serving(group) as operator:
             await operator.apply("1", "sign")
             await operator.apply("2", "sign", "price")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -71,20 +71,22 @@
         first, second = document.routes
         assert document.version == 7
         assert first.hostname == "h.example"
-        assert first.kind is routes.Kind.SAFE
+        assert first.retry_safety is routes.RetrySafety.SAFE
         assert (first.timeout, first.target_latency) == (1.0, 1.5)
-        assert [(part.service, part.weight) for part in first.parts] == [
+        assert [
+            (part.service, part.weight) for part in first.weighted_services
+        ] == [
             ("a", 90),
             ("b", 10),
         ]
-        assert [part.service for part in second.parts] == ["b"]
-        assert routes.check(document) == []
+        assert [part.service for part in second.weighted_services] == ["b"]
+        assert routes.validate(document) == []
 
     def test_upload_routes_are_unsafe(self):
         document = documents.document_of(
             configuration_with_cell("route_type", "upload")
         )
-        assert document.routes[0].kind is routes.Kind.UNSAFE
+        assert document.routes[0].retry_safety is routes.RetrySafety.UNSAFE
 
     @pytest.mark.parametrize(
         ("broken", "where"),
@@ -132,7 +134,7 @@
     )
     def test_value_out_of_range_is_a_finding(self, column, value):
         document = documents.document_of(configuration_with_cell(column, value))
-        assert len(routes.check(document)) == 1
+        assert len(routes.validate(document)) == 1
 
     def test_member_order_does_not_change_the_canonical_form(self):
         reordered = dict(reversed(configuration().items()))
@@ -183,7 +185,7 @@
     """Matching of requests with routes."""
 
     def setup_method(self):
-        self.table = routes.Table(documents.document_of(configuration()))
+        self.table = routes.RouteTable(documents.document_of(configuration()))
 
     def test_longest_prefix_wins(self):
         assert self.table.find("h.example", "/x/z").route.name == "r1"
@@ -201,9 +203,9 @@
 
     def test_repeated_request_has_spent_time(self):
         destination = self.table.find("h.example", "/x/")
-        assert not destination.has_spent_time(6.0)
-        assert destination.has_spent_time(5.2)
-        assert not destination.has_spent_time(5.99)
+        assert not destination.has_waited_before(6.0)
+        assert destination.has_waited_before(5.2)
+        assert not destination.has_waited_before(5.99)
 
 
 class TestHeartbeats:
--- a/tests/test_machine.py
+++ b/tests/test_statemachine.py
@@ -2,7 +2,7 @@
 
 import controlfakes
 
-from mangobay import machine, views
+from mangobay import statemachine, views
 from mangobay.generated import messages
 
 
@@ -18,7 +18,7 @@
     return indices
 
 
-def named(members):
+def member_ids(members):
     return [(member.host, member.incarnation) for member in members]
 
 
@@ -32,15 +32,15 @@
         of the first. The first is in force; the second changes nothing on
         any host, and `versions` names the winner, revision 1.
         """
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         first = controlfakes.sheet("7", controlfakes.operation("sign"))
         second = controlfakes.sheet(
             "7", controlfakes.operation("price"), digest=b"other", base=1
         )
         apply(state, first, second)
         assert [row.name for row in state.operations()] == ["sign"]
-        assert state.versions["7"].revision == 1
-        assert state.versions["7"].digest == first.digest
+        assert state.history_by_version["7"].revision == 1
+        assert state.history_by_version["7"].digest == first.digest
         assert len(state.history) == 1
 
     def test_a_sheet_resent_after_later_ones_never_reverts_them(self):
@@ -49,7 +49,7 @@
         The operator sends version 1 again. It keeps its first revision, and
         version 2 stays in force.
         """
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         old = controlfakes.sheet("1", controlfakes.operation("sign", tries=1))
         new = controlfakes.sheet(
             "2", controlfakes.operation("sign", tries=2), base=1
@@ -58,7 +58,7 @@
         apply(state, old, new, again)
         assert state.revision == 2
         assert next(state.operations()).tries == 2
-        assert state.versions["1"].revision == 1
+        assert state.history_by_version["1"].revision == 1
 
     def test_rows_compared_with_an_older_table_are_refused(self):
         """Two sheets of different versions are compared with one table.
@@ -66,17 +66,17 @@
         The second entry holds only what differs from a table that is no
         longer in force: applied, it would mix both sheets. Nothing of it is.
         """
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         apply(
             state,
             controlfakes.sheet("1", controlfakes.operation("sign")),
             controlfakes.sheet("2", controlfakes.operation("price")),
         )
         assert state.revision == 1
-        assert "2" not in state.versions
+        assert "2" not in state.history_by_version
 
     def test_a_node_gets_only_what_it_lacks_of_its_services(self):
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         apply(
             state,
             controlfakes.sheet(
@@ -105,7 +105,7 @@
     """The views that membership makes."""
 
     def test_each_change_makes_a_view_that_follows_on_the_former(self):
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         first, second, _ = apply(
             state,
             controlfakes.joins("a", "quotes"),
@@ -114,8 +114,8 @@
         )
         view = state.views["quotes"]
         assert (view.version, view.formers[0].version) == (second, first)
-        assert named(view.members) == [("a", "1"), ("b", "1")]
-        assert named(views.former_members(view)) == [("a", "1")]
+        assert member_ids(view.members) == [("a", "1"), ("b", "1")]
+        assert member_ids(views.former_members(view)) == [("a", "1")]
 
     def test_a_service_whose_members_all_died_still_has_a_former_view(self):
         """Both nodes of a service die; later they come back.
@@ -124,7 +124,7 @@
         keys may have run under the last living view, or a repeated booking
         would run again; so that view stays the former one.
         """
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         indices = apply(
             state,
             controlfakes.joins("a", "quotes"),
@@ -134,10 +134,10 @@
             controlfakes.joins("a", "quotes", run="2"),
         )
         view = state.views["quotes"]
-        assert named(view.members) == [("a", "2")]
+        assert member_ids(view.members) == [("a", "2")]
         assert view.formers[0].version == indices[2]
         assert view.lineage_whole
-        assert named(views.former_members(view)) == [("b", "1")]
+        assert member_ids(views.former_members(view)) == [("b", "1")]
 
     def test_the_end_of_an_old_run_leaves_the_new_one_in(self):
         """A host restarts just before the leader declares its old run gone.
@@ -145,7 +145,7 @@
         The new run is committed first. The late entry names the old
         incarnation and must not take the new one out of the view.
         """
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         apply(
             state,
             controlfakes.joins("a", "quotes"),
@@ -153,8 +153,8 @@
             controlfakes.goes("a", run="1"),
         )
         view = state.views["quotes"]
-        assert named(view.members) == [("a", "2")]
-        assert named(views.former_members(view)) == [("a", "1")]
+        assert member_ids(view.members) == [("a", "2")]
+        assert member_ids(views.former_members(view)) == [("a", "1")]
 
     def test_a_host_returns_under_its_address_with_another_service(self):
         """A host is given another backend server and comes back.
@@ -162,7 +162,7 @@
         Callers of its former service must not reach it under the old
         address: it leaves that view and joins the other in one entry.
         """
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         _, index = apply(
             state,
             controlfakes.joins("a", "quotes"),
@@ -170,10 +170,10 @@
         )
         assert state.views["quotes"].members == []
         assert state.views["quotes"].version == index
-        assert named(state.views["prices"].members) == [("a", "2")]
+        assert member_ids(state.views["prices"].members) == [("a", "2")]
 
     def test_a_leaving_host_stays_a_member_until_it_is_gone(self):
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         apply(
             state,
             controlfakes.joins("a", "quotes"),
@@ -183,7 +183,7 @@
         assert not views.former_members(state.views["quotes"])[0].leaving
 
     def test_a_drain_ends_with_the_run_that_it_asked_to_leave(self):
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         apply(state, controlfakes.joins("a", "quotes"))
         apply(state, messages.DrainChange(host="a"))
         assert state.draining == {"a"}
@@ -194,7 +194,7 @@
 class TestBounds:
     """What would grow with every sheet for ever."""
 
-    def accept(self, state, count, removing=False):
+    def accept_sheets(self, state, count, removing=False):
         """Accepts sheets, each with a row of its own."""
         for number in range(1, count + 1):
             last = controlfakes.operation(f"row{number - 1}")
@@ -215,15 +215,15 @@
         replace those of every sheet since. It changes nothing, also on a
         control host that started from a snapshot.
         """
-        monkeypatch.setattr(machine, "MOST_HISTORY", 3)
-        state = machine.ConfigMachine()
-        self.accept(state, 5)
-        other = machine.ConfigMachine()
+        monkeypatch.setattr(statemachine, "MAX_HISTORY_ITEMS", 3)
+        state = statemachine.ConfigStateMachine()
+        self.accept_sheets(state, 5)
+        other = statemachine.ConfigStateMachine()
         other.restore(state.snapshot())
         for each in (state, other):
             assert [item.version for item in each.history] == ["v3", "v4", "v5"]
-            assert list(each.versions) == ["v3", "v4", "v5"]
-            assert each.cut == 2
+            assert list(each.history_by_version) == ["v3", "v4", "v5"]
+            assert each.dropped_history_items == 2
             old = controlfakes.sheet(
                 "v1", controlfakes.operation("row1", tries=9), base=5
             )
@@ -240,10 +240,10 @@
         ago, and calls would go on to them. It gets all rows; a node that is
         not so far behind still gets the difference.
         """
-        monkeypatch.setattr(machine, "MOST_REMOVED", 4)
-        state = machine.ConfigMachine()
-        self.accept(state, 9, removing=True)
-        assert len(state.removed["quotes"]) <= 4
+        monkeypatch.setattr(statemachine, "MAX_REMOVED_OPERATIONS", 4)
+        state = statemachine.ConfigStateMachine()
+        self.accept_sheets(state, 9, removing=True)
+        assert len(state.removed_at_revision["quotes"]) <= 4
         assert state.update_since(2, ["quotes"], []).base == 0
         update = state.update_since(8, ["quotes"], [])
         assert update.base == 8
@@ -254,7 +254,7 @@
     """The whole state in one message."""
 
     def test_everything_comes_back(self):
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         apply(
             state,
             controlfakes.joins("a", "quotes"),
@@ -263,10 +263,10 @@
             controlfakes.sheet("1", controlfakes.operation("sign")),
         )
         data = messages.encode_snapshot(state.snapshot())
-        other = machine.ConfigMachine()
+        other = statemachine.ConfigStateMachine()
         other.restore(messages.decode_snapshot(data))
         assert other.snapshot() == state.snapshot()
-        assert other.versions == state.versions
+        assert other.history_by_version == state.history_by_version
         assert other.revision == state.revision
 
     def test_a_node_behind_the_snapshot_gets_its_rows_whole(self):
@@ -276,7 +276,7 @@
         since is no longer known, so it gets all of them, removed ones left
         out.
         """
-        state = machine.ConfigMachine()
+        state = statemachine.ConfigStateMachine()
         apply(
             state,
             controlfakes.sheet("1", controlfakes.operation("old")),
@@ -287,7 +287,7 @@
                 removed=[("quotes", "old")],
             ),
         )
-        other = machine.ConfigMachine()
+        other = statemachine.ConfigStateMachine()
         other.restore(state.snapshot())
         update = other.update_since(1, ["quotes"], [])
         assert update.base == 0
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -266,7 +266,7 @@
             return host.operators.address
 
         async with running(host, address) as stopping:
-            monkeypatch.setattr(host.publisher, "answer", answer)
+            monkeypatch.setattr(host.publisher, "handle_request", answer)
             peer = options.Address(*host.listener.address)
             asking = asyncio.create_task(
                 transport.ask(peer, messages.RoutesFetch(), GRACE)
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -3,7 +3,7 @@
 import controlfakes
 import pytest
 
-from mangobay import machine, views
+from mangobay import statemachine, views
 from mangobay.generated import messages
 
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def state():
-    state = machine.ConfigMachine()
+    state = statemachine.ConfigStateMachine()
     apply(state, *(controlfakes.joins(host, "quotes") for host in "abc"))
     return state
 
@@ -36,34 +36,34 @@
             view = messages.ServiceView(
                 service="quotes", version=base.version, members=base.members
             )
-            for step in state.steps.since("quotes", base.version):
-                view = views.after(view, step)
+            for step in state.view_steps.since("quotes", base.version):
+                view = views.apply_step(view, step)
             assert view.version == newest.version
             assert view.members == newest.members
 
     def test_no_way_leads_from_a_version_that_is_not_kept(self, state):
-        for turn in range(views.FEWEST_STEPS * 2):
+        for turn in range(views.MIN_RETAINED_STEPS * 2):
             apply(state, controlfakes.joins("a", "quotes", run=f"{turn + 2}"))
-        assert state.steps.since("quotes", 1) is None
-        assert state.steps.since("quotes", 10_000) is None
-        assert state.steps.since("prices", 1) is None
+        assert state.view_steps.since("quotes", 1) is None
+        assert state.view_steps.since("quotes", 10_000) is None
+        assert state.view_steps.since("prices", 1) is None
 
     def test_after_a_snapshot_the_way_starts_anew(self, state):
-        restored = machine.ConfigMachine()
+        restored = statemachine.ConfigStateMachine()
         restored.restore(state.snapshot())
         version = state.views["quotes"].version
-        assert restored.steps.since("quotes", version) == []
-        assert restored.steps.since("quotes", version - 1) is None
+        assert restored.view_steps.since("quotes", version) == []
+        assert restored.view_steps.since("quotes", version - 1) is None
         apply(restored, controlfakes.joins("d", "quotes"))
-        (step,) = restored.steps.since("quotes", version)
+        (step,) = restored.view_steps.since("quotes", version)
         assert step.member.host == "d"
 
     def test_kept_steps_are_bounded_by_the_members(self, state):
         """Guards against memory that grows with the age of a service."""
         for turn in range(1000):
             apply(state, controlfakes.joins("a", "quotes", run=f"{turn + 2}"))
-        most = views.FEWEST_STEPS + views.STEPS_A_MEMBER * 3
-        assert len(state.steps.kept["quotes"]) == most
+        most = views.MIN_RETAINED_STEPS + views.RETAINED_STEPS_PER_MEMBER * 3
+        assert len(state.view_steps.by_service["quotes"]) == most
 
     def test_several_steps_of_a_host_are_told_as_its_last(self, state):
         apply(
@@ -71,7 +71,9 @@
             controlfakes.goes("b"),
             controlfakes.joins("b", "quotes", run="2"),
         )
-        (step,) = views.newest_by_host(state.steps.since("quotes", 3))
+        (step,) = views.latest_step_per_host(
+            state.view_steps.since("quotes", 3)
+        )
         assert step.member.incarnation == "2"
 
     def test_steps_by_host_end_with_the_newest_version(self, state):
@@ -82,5 +84,5 @@
             controlfakes.joins("b", "quotes", run="2"),
             controlfakes.joins("a", "quotes", run="3"),
         )
-        steps = views.newest_by_host(state.steps.since("quotes", 3))
+        steps = views.latest_step_per_host(state.view_steps.since("quotes", 3))
         assert [step.version for step in steps] == [5, 6]
