--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -126,7 +126,7 @@
             data, ids.SheetVersion(version), "demo"
         )
         state = await self.client.in_force(accepted.revision, wait)
-        if not state.everywhere:
+        if not state.is_complete:
             lagging = ", ".join(state.stragglers)
             raise errors.MangobayError(
                 f"revision {accepted.revision} is in force on {state.count} of"
--- a/bench/operatorslopes.py
+++ b/bench/operatorslopes.py
@@ -57,7 +57,7 @@
         leases.LeaseTable(state, group, 4, 1),
         1 << 20,
     )
-    return json.dumps({"hosts": told.hosts()}).encode()
+    return json.dumps({"hosts": told.encode_hosts()}).encode()
 
 
 async def hosts_bytes(hosts: int) -> float:
--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -18,12 +18,12 @@
     ids,
     joining,
     lease,
-    ledger,
     localservices,
     logs,
     metrics,
     nodegauges,
     once,
+    outcomelog,
     peers,
     retrybudget,
     routing,
@@ -76,7 +76,7 @@
         )
         self.rng = random.Random()
         self.metrics = metrics.Metrics()
-        self.ledger = ledger.Ledger(self.process.host)
+        self.outcome_log = outcomelog.OutcomeLog(self.process.host)
         self.tasks: list[asyncio.Task] = []
         self.leaving: asyncio.Task | None = None
         self.told_at = math.inf
@@ -86,7 +86,7 @@
         self.make_serving()
         self.make_entry()
         self.make_edges()
-        self.metrics.gauges += nodegauges.gauges_of(self)
+        self.metrics.gauges += nodegauges.make_gauges(self)
 
     def make_peers(self) -> None:
         """Makes what speaks to other processes."""
@@ -192,7 +192,9 @@
         self.tracer = traces.Tracer()
         if config.trace.file:
             try:
-                self.tracer = traces.to_file(config.trace.file, self.process)
+                self.tracer = traces.make_file_tracer(
+                    config.trace.file, self.process
+                )
             except OSError as error:
                 raise errors.StartError(f"trace file: {error}") from None
         self.dispatcher = dispatch.Dispatcher(
--- a/mangobay/cmdline.py
+++ b/mangobay/cmdline.py
@@ -21,10 +21,10 @@
 
 
 EXIT_OF_ERROR = {
-    errors.FindingsError: commands.Exit.BAD_INPUT,
-    errors.ConflictError: commands.Exit.CONFLICT,
-    errors.ControlUnreachableError: commands.Exit.UNREACHABLE,
-    errors.MangobayError: commands.Exit.FAILED,
+    errors.FindingsError: commands.ExitCode.BAD_INPUT,
+    errors.ConflictError: commands.ExitCode.CONFLICT,
+    errors.ControlUnreachableError: commands.ExitCode.UNREACHABLE,
+    errors.MangobayError: commands.ExitCode.FAILED,
 }
 """The first class that fits counts."""
 
@@ -59,7 +59,7 @@
     shtab.add_argument_to(parser, ["--print-completion"])
     parsers = parser.add_subparsers(required=True, metavar="COMMAND")
     for command in (*commands.COMMANDS, *filecommands.COMMANDS):
-        command().add(parsers)
+        command().add_parser(parsers)
     return parser
 
 
@@ -72,7 +72,9 @@
         return await command.run(arguments, client)
 
 
-def report_error(error: errors.MangobayError, as_json: bool) -> commands.Exit:
+def report_error(
+    error: errors.MangobayError, as_json: bool
+) -> commands.ExitCode:
     """Prints an error and returns its exit code."""
     if as_json and isinstance(error, errors.FindingsError):
         found = [dataclasses.asdict(finding) for finding in error.findings]
@@ -98,7 +100,7 @@
         print(json.dumps(result.data, indent=2))
     else:
         print("\n".join(result.lines))
-    return result.code
+    return result.exit_code
 
 
 if __name__ == "__main__":
--- a/mangobay/commands.py
+++ b/mangobay/commands.py
@@ -19,7 +19,7 @@
 from mangobay.generated import settings as generated
 
 
-class Exit(enum.IntEnum):
+class ExitCode(enum.IntEnum):
     """What the exit codes mean."""
 
     OK = 0
@@ -44,15 +44,15 @@
     Attributes:
       data: for scripts, by --json; plain values or data classes.
       lines: for people.
-      code: the exit code.
+      exit_code: the exit code.
     """
 
     data: typing.Any
     lines: list[str]
-    code: Exit = Exit.OK
+    exit_code: ExitCode = ExitCode.OK
 
 
-def unix_ms(text: str) -> int:
+def parse_unix_ms(text: str) -> int:
     """Returns the Unix time, milliseconds, of an ISO 8601 text.
 
     Raises:
@@ -91,7 +91,7 @@
     arguments: dict[str, dict] = {}
     asks_control = True
 
-    def add(self, parsers) -> None:
+    def add_parser(self, parsers) -> None:
         """Adds the parser of this command."""
         parser = parsers.add_parser(
             self.name, help=self.help, description=self.help, epilog=EXIT_HELP
@@ -113,26 +113,26 @@
         raise NotImplementedError
 
 
-END_OF_TIME_MS = 2**63
+MAX_UNIX_MS = 2**63
 SHEET_ARGUMENT = {"metavar": "SHEET", "help": "CSV file"}
-PERIOD = {
+PERIOD_ARGUMENTS = {
     "--since": {
-        "type": unix_ms,
+        "type": parse_unix_ms,
         "default": 0,
         "metavar": "TIME",
         "help": "only what is at or after it, as in"
         " 2026-03-31T07:00:00Z; without a zone it is UTC",
     },
     "--until": {
-        "type": unix_ms,
-        "default": END_OF_TIME_MS,
+        "type": parse_unix_ms,
+        "default": MAX_UNIX_MS,
         "metavar": "TIME",
         "help": "only what is before it",
     },
 }
 
 
-class Check(Command):
+class CheckSheet(Command):
     """Checks a sheet without sending it."""
 
     name = "check"
@@ -156,7 +156,7 @@
         return Result(data, [line])
 
 
-class Apply(Command):
+class ApplySheet(Command):
     """Sends a sheet."""
 
     name = "apply"
@@ -192,15 +192,19 @@
         )
         if arguments.wait is None:
             return Result(dataclasses.asdict(accepted), [line])
-        return await self.wait(arguments.wait, accepted, line, client)
+        return await self.wait_until_in_force(
+            arguments.wait, accepted, line, client
+        )
 
-    async def wait(self, seconds, accepted, line, client) -> Result:
+    async def wait_until_in_force(
+        self, seconds, accepted, line, client
+    ) -> Result:
         """Waits until the revision is in force everywhere."""
         state = await client.in_force(accepted.revision, seconds)
         facts = dataclasses.asdict(accepted)
         facts["in_force"] = dataclasses.asdict(state)
-        code = Exit.OK if state.everywhere else Exit.NOT_IN_FORCE
-        return Result(facts, [line, *display.in_force_lines(state)], code)
+        code = ExitCode.OK if state.is_complete else ExitCode.NOT_IN_FORCE
+        return Result(facts, [line, *display.format_in_force(state)], code)
 
 
 class ShowStatus(Command):
@@ -216,8 +220,8 @@
             f"leader {status.leader}, term {status.term},"
             f" log committed to {status.commit}",
             f"revision {status.revision}",
-            *display.in_force_lines(status.in_force),
-            *display.host_lines(status.hosts),
+            *display.format_in_force(status.in_force),
+            *display.format_hosts(status.hosts),
         ]
         return Result(dataclasses.asdict(status), lines)
 
@@ -227,22 +231,22 @@
 
     name = "history"
     help = "show the newest accepted sheets, oldest first"
-    arguments = PERIOD
+    arguments = PERIOD_ARGUMENTS
 
     async def run(self, arguments, client):
         """Asks for the history."""
         history = await client.history()
         changes = [
             change
-            for change in history.changes
+            for change in history.sheets
             if arguments.since <= change.accepted_ms < arguments.until
         ]
-        lines = display.columns(
+        lines = display.format_table(
             ("revision", "accepted", "version", "operator", "rows"),
             [
                 (
                     change.revision,
-                    display.moment(change.accepted_ms),
+                    display.format_time(change.accepted_ms),
                     change.version,
                     change.operator,
                     f"{change.changed_rows} changed,"
@@ -251,9 +255,10 @@
                 for change in changes
             ],
         )
-        if history.cut:
+        if history.omitted_count:
             lines.insert(
-                0, f"{history.cut} older sheets are not named any more"
+                0,
+                f"{history.omitted_count} older sheets are not named any more",
             )
         return Result([dataclasses.asdict(item) for item in changes], lines)
 
@@ -268,10 +273,10 @@
         """Asks for the hosts."""
         hosts = await client.hosts()
         data = [dataclasses.asdict(host) for host in hosts]
-        return Result(data, display.host_lines(hosts))
+        return Result(data, display.format_hosts(hosts))
 
 
-class Drain(Command):
+class DrainHost(Command):
     """Asks a host to leave."""
 
     name = "drain"
@@ -288,18 +293,18 @@
 class ShowSettings(Command):
     """Prints every setting of a program."""
 
-    programs = {
+    sections_by_program = {
         "node": generated.NODE_SECTIONS,
         "control": generated.CONTROL_SECTIONS,
     }
     name = "settings"
     help = "print every setting of a program with default, unit and meaning"
-    arguments = {"program": {"choices": tuple(programs)}}
+    arguments = {"program": {"choices": tuple(sections_by_program)}}
     asks_control = False
 
     async def run(self, arguments, client):
         """Describes the settings."""
-        sections = self.programs[arguments.program]
+        sections = self.sections_by_program[arguments.program]
         data = {
             name: [
                 {**dataclasses.asdict(option), "kind": option.kind.value}
@@ -311,11 +316,11 @@
 
 
 COMMANDS: tuple[type[Command], ...] = (
-    Check,
-    Apply,
+    CheckSheet,
+    ApplySheet,
     ShowStatus,
     ShowHistory,
     ShowHosts,
-    Drain,
+    DrainHost,
     ShowSettings,
 )
--- a/mangobay/doorkeeper.py
+++ b/mangobay/connectionlimits.py
@@ -7,20 +7,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Bounds:
+class Limits:
     """What a listener takes.
 
     Attributes:
-      connections: most that stand at once.
-      request_seconds: from the connection to the end of the first request's
+      max_connections: most that stand at once.
+      request_timeout: from the connection to the end of the first request's
         head, and again for a body.
     """
 
-    connections: int = 256
-    request_seconds: float = 10.0
+    max_connections: int = 256
+    request_timeout: float = 10.0
 
 
-class Refused(asyncio.Protocol):
+class RefusedConnection(asyncio.Protocol):
     """A connection above the bound, ended at once."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -28,7 +28,7 @@
         transport.abort()
 
 
-class Doorkeeper:
+class ConnectionLimiter:
     """Takes connections for a server, within bounds.
 
     aiohttp bounds the wait only after a first request.  Whoever connects and
@@ -36,12 +36,12 @@
     until no file descriptor is left for operators and control hosts.
 
     Attributes:
-      awaited: connections whose first request head has not come.
+      awaiting_request: connections whose first request head has not come.
     """
 
-    def __init__(self, bounds: Bounds):
-        self.bounds = bounds
-        self.awaited: set[web.RequestHandler] = set()
+    def __init__(self, limits: Limits):
+        self.limits = limits
+        self.awaiting_request: set[web.RequestHandler] = set()
 
     async def open(
         self, server: web.Server, ip: str, port: int
@@ -53,29 +53,33 @@
         """
 
         def connection() -> asyncio.BaseProtocol:
-            return self.take(server)
+            return self.accept(server)
 
         loop = asyncio.get_running_loop()
         return await loop.create_server(connection, ip, port)
 
-    def take(self, server: web.Server) -> asyncio.BaseProtocol:
+    def accept(self, server: web.Server) -> asyncio.BaseProtocol:
         """Returns the protocol of a new connection."""
-        if len(server.connections) >= self.bounds.connections:
-            return Refused()
+        if len(server.connections) >= self.limits.max_connections:
+            return RefusedConnection()
         connection = server()
-        self.awaited.add(connection)
+        self.awaiting_request.add(connection)
         loop = asyncio.get_running_loop()
-        loop.call_later(self.bounds.request_seconds, self.look, connection)
+        loop.call_later(
+            self.limits.request_timeout, self.close_if_no_request, connection
+        )
         return connection
 
-    def look(self, connection: web.RequestHandler) -> None:
+    def close_if_no_request(self, connection: web.RequestHandler) -> None:
         """Ends the connection if no request head has come."""
-        if connection in self.awaited:
-            self.awaited.discard(connection)
+        if connection in self.awaiting_request:
+            self.awaiting_request.discard(connection)
             connection.force_close()
 
     @web.middleware
-    async def note(self, request: web.Request, handler) -> web.StreamResponse:
+    async def record_request(
+        self, request: web.Request, handler
+    ) -> web.StreamResponse:
         """Notes that a request head has come."""
-        self.awaited.discard(request.protocol)
+        self.awaiting_request.discard(request.protocol)
         return await handler(request)
--- a/mangobay/control.py
+++ b/mangobay/control.py
@@ -7,10 +7,10 @@
 import uuid
 
 from mangobay import (
+    connectionlimits,
     connections,
     consensus,
     disk,
-    doorkeeper,
     errors,
     ids,
     intake,
@@ -130,7 +130,7 @@
             self.machine,
             self.leases,
             config.limits.sheet_bytes,
-            doorkeeper.Bounds(
+            connectionlimits.Limits(
                 config.limits.operator_connections,
                 config.limits.header_timeout,
             ),
--- a/mangobay/controlmetrics.py
+++ b/mangobay/controlmetrics.py
@@ -9,10 +9,10 @@
 if typing.TYPE_CHECKING:
     from mangobay import operatorapi
 
-PREFIX = "mangobay_control_"
+METRIC_PREFIX = "mangobay_control_"
 
 
-class Collector(registry.Collector):
+class ControlCollector(registry.Collector):
     """Reads the state of the group, the machine and the leases."""
 
     gauges = (
@@ -40,10 +40,10 @@
 
     def collect(self) -> typing.Iterator[metrics_core.Metric]:
         """Yields every metric."""
-        values = self.values()
+        values = self.gauge_values()
         for name, text in self.gauges:
             yield metrics_core.GaugeMetricFamily(
-                PREFIX + name, text, value=values[name]
+                METRIC_PREFIX + name, text, value=values[name]
             )
         yield self.invariant_counter(
             "invariant_checks", "Promises checked.", invariants.check_counts
@@ -54,7 +54,7 @@
             invariants.violation_counts,
         )
 
-    def values(self) -> dict[str, float]:
+    def gauge_values(self) -> dict[str, float]:
         """Returns the value of each gauge by name."""
         revision = self.machine.revision
         held = self.leases.notifier.events_by_host.values()
@@ -80,7 +80,7 @@
     ) -> metrics_core.Metric:
         """Returns a counter with one sample for each promise."""
         metric = metrics_core.CounterMetricFamily(
-            PREFIX + name, text, labels=["promise"]
+            METRIC_PREFIX + name, text, labels=["promise"]
         )
         for promise in invariants.Invariant:
             metric.add_metric([promise.value], counts[promise])
--- a/mangobay/dispatch.py
+++ b/mangobay/dispatch.py
@@ -337,9 +337,9 @@
                     call=call,
                     member=member,
                     reply=reply,
-                    began=started_at,
+                    started_at=started_at,
                 )
-                self.dependencies.tracer.record(attempt)
+                self.dependencies.tracer.record_attempt(attempt)
         request.allowance.reclaim(min(reply.tries_left, lent))
         return reply
 
--- a/mangobay/display.py
+++ b/mangobay/display.py
@@ -5,7 +5,7 @@
 from mangobay import operatorclient
 
 
-def columns(titles: tuple[str, ...], rows: list[tuple]) -> list[str]:
+def format_table(titles: tuple[str, ...], rows: list[tuple]) -> list[str]:
     """Returns a table as lines with columns of equal width."""
     cells = [titles, *([str(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*cells)]
@@ -17,14 +17,14 @@
     ]
 
 
-def moment(milliseconds: int) -> str:
+def format_time(milliseconds: int) -> str:
     """Returns a Unix time as UTC text."""
     return datetime.datetime.fromtimestamp(
         milliseconds / 1000, datetime.UTC
     ).isoformat(timespec="milliseconds")
 
 
-def in_force_lines(state: operatorclient.InForce) -> list[str]:
+def format_in_force(state: operatorclient.InForce) -> list[str]:
     """Returns how far a revision has come, and who lags."""
     lines = [f"in force on {state.count} of {state.of} hosts"]
     if state.stragglers:
@@ -32,9 +32,9 @@
     return lines
 
 
-def host_lines(hosts: list[operatorclient.Host]) -> list[str]:
+def format_hosts(hosts: list[operatorclient.Host]) -> list[str]:
     """Returns the hosts as a table."""
-    return columns(
+    return format_table(
         ("host", "data centre", "revision", "lease", "leaving", "serves"),
         [
             (
--- a/mangobay/edges.py
+++ b/mangobay/edges.py
@@ -17,10 +17,10 @@
     httpserver,
     ids,
     inbound,
-    ledger,
     logs,
     metrics,
     operationtable,
+    outcomelog,
     retryallowance,
 )
 from mangobay.generated import messages, settings
@@ -56,7 +56,7 @@
         dispatcher: dispatch.Dispatcher,
         executor: execution.CallExecutor,
         call_metrics: metrics.Metrics,
-        call_ledger: ledger.Ledger,
+        outcome_log: outcomelog.OutcomeLog,
         sample_rate: float,
     ):
         self.limits = limits
@@ -64,7 +64,7 @@
         self.dispatcher = dispatcher
         self.executor = executor
         self.metrics = call_metrics
-        self.ledger = call_ledger
+        self.outcome_log = outcome_log
         self.sample_rate = sample_rate
         self.rng = random.Random()
 
@@ -110,10 +110,10 @@
         try:
             reply = await self.dispatcher.handle(request)
         finally:
-            self.metrics.ended(
+            self.metrics.record_call(
                 request.operation, reply, loop.time() - started_at
             )
-            self.ledger.count(
+            self.outcome_log.record_call(
                 request.operation,
                 request.importance,
                 request.caller == ids.OUTSIDE,
--- a/mangobay/filecommands.py
+++ b/mangobay/filecommands.py
@@ -4,7 +4,7 @@
 
 from mangobay import commands, display, report, spantree
 
-FILES = {"metavar": "FILE", "nargs": "+"}
+FILES_ARGUMENT = {"metavar": "FILE", "nargs": "+"}
 
 
 class ShowReport(commands.Command):
@@ -13,16 +13,19 @@
     name = "report"
     help = "sum up nodes' logs: what ran, what did not, what is unknown"
     arguments = {
-        "files": {**FILES, "help": "log file of a node; give every node's"},
-        **commands.PERIOD,
+        "files": {
+            **FILES_ARGUMENT,
+            "help": "log file of a node; give every node's",
+        },
+        **commands.PERIOD_ARGUMENTS,
     }
     asks_control = False
 
     async def run(self, arguments, client):
         """Reads the logs and sums them up."""
-        reading = report.read(arguments.files)
-        told = report.summed(reading, arguments.since, arguments.until)
-        return commands.Result(report_data(told), report_lines(told))
+        reading = report.read_logs(arguments.files)
+        told = report.summarize(reading, arguments.since, arguments.until)
+        return commands.Result(encode_report(told), format_report(told))
 
 
 class ShowTrace(commands.Command):
@@ -31,7 +34,10 @@
     name = "trace"
     help = "print span files as trees, one for each call tree"
     arguments = {
-        "files": {**FILES, "help": "span file of a node; give every node's"},
+        "files": {
+            **FILES_ARGUMENT,
+            "help": "span file of a node; give every node's",
+        },
         "--trace": {
             "default": "",
             "metavar": "ID",
@@ -44,19 +50,19 @@
         """Reads the files and prints the trees."""
         spans = [
             span
-            for span in spantree.read(arguments.files)
+            for span in spantree.read_spans(arguments.files)
             if span.trace.startswith(arguments.trace)
         ]
         data = [
             {**dataclasses.asdict(span), "start": span.start.isoformat()}
             for span in spans
         ]
-        lines = spantree.tree_lines(spans) or ["no such span"]
-        code = commands.Exit.OK if spans else commands.Exit.FAILED
+        lines = spantree.format_trees(spans) or ["no such span"]
+        code = commands.ExitCode.OK if spans else commands.ExitCode.FAILED
         return commands.Result(data, lines, code)
 
 
-def report_data(told: report.Report) -> dict:
+def encode_report(told: report.Report) -> dict:
     """Returns the report as plain values."""
     return {
         "since_ms": told.since_ms,
@@ -73,15 +79,15 @@
             for group, total in sorted(told.totals.items())
         ],
         "gaps": [dataclasses.asdict(gap) for gap in told.gaps],
-        "unreadable": told.unreadable,
+        "unreadable": told.unreadable_lines,
     }
 
 
-def report_lines(told: report.Report) -> list[str]:
+def format_report(told: report.Report) -> list[str]:
     """Returns the report for people."""
     lines = [
-        f"recorded from {display.moment(told.since_ms)}"
-        f" to {display.moment(told.until_ms)}"
+        f"recorded from {display.format_time(told.since_ms)}"
+        f" to {display.format_time(told.until_ms)}"
         f" by {len(told.hosts)} hosts: {', '.join(told.hosts)}",
     ]
     for outside, title in (
@@ -94,11 +100,13 @@
             if group.outside is outside
         }
         if totals:
-            lines += ["", title, *total_lines(totals)]
-    return [*lines, "", *gap_lines(told)]
+            lines += ["", title, *format_totals(totals)]
+    return [*lines, "", *format_gaps(told)]
 
 
-def total_lines(totals: dict[report.Group, report.Total]) -> list[str]:
+def format_totals(
+    totals: dict[report.CallGroup, report.GroupTotal],
+) -> list[str]:
     """Returns how calls ended, and why those that were not answered."""
     titles = (
         "service",
@@ -118,12 +126,12 @@
             total.outcomes[report.ANSWERED],
             total.outcomes[report.NOT_RUN],
             total.outcomes[report.UNKNOWN],
-            period_end(total.first_ms),
-            period_end(total.last_ms),
+            format_optional_time(total.first_ms),
+            format_optional_time(total.last_ms),
         )
         for group, total in totals.items()
     ]
-    lines = display.columns(titles, rows)
+    lines = display.format_table(titles, rows)
     for group, total in totals.items():
         for reason, count in sorted(total.reasons.items()):
             name = f"{group.service}.{group.operation}"
@@ -131,25 +139,25 @@
     return lines
 
 
-def period_end(milliseconds: int | None) -> str:
+def format_optional_time(milliseconds: int | None) -> str:
     """Returns where a period begins or ends; a dash without one."""
-    return "-" if milliseconds is None else display.moment(milliseconds)
+    return "-" if milliseconds is None else display.format_time(milliseconds)
 
 
-def gap_lines(told: report.Report) -> list[str]:
+def format_gaps(told: report.Report) -> list[str]:
     """Returns what nobody recorded."""
     lines = []
     if told.gaps:
         lines.append("not recorded, so nothing is known of calls that entered")
         rows = [
-            (gap.host, *map(display.moment, (gap.since_ms, gap.until_ms)))
+            (gap.host, *map(display.format_time, (gap.since_ms, gap.until_ms)))
             for gap in told.gaps
         ]
-        lines += display.columns(("host", "from", "to"), rows)
+        lines += display.format_table(("host", "from", "to"), rows)
     else:
         lines.append("no gap in the record of these hosts")
-    if told.unreadable:
-        lines.append(f"{told.unreadable} lines could not be read")
+    if told.unreadable_lines:
+        lines.append(f"{told.unreadable_lines} lines could not be read")
     return lines
 
 
--- a/mangobay/filetracer.py
+++ b/mangobay/filetracer.py
@@ -11,24 +11,24 @@
 
 from mangobay import calls, traces
 
-NANOSECONDS = 1_000_000_000
+NANOSECONDS_PER_SECOND = 1_000_000_000
 
 
-class CallIds(id_generator.RandomIdGenerator):
+class CallIdGenerator(id_generator.RandomIdGenerator):
     """Gives a span the id of its call, so that no second id travels.
 
     Attributes:
-      next_span: of the span that is made next.
+      next_span_id: of the span that is made next.
     """
 
-    next_span = 0
+    next_span_id = 0
 
     def generate_span_id(self) -> int:
         """Returns the id of the call whose span is being made."""
-        return self.next_span
+        return self.next_span_id
 
 
-class LineExporter(export.SpanExporter):
+class JsonLinesExporter(export.SpanExporter):
     """Writes spans to a file, one JSON object a line."""
 
     def __init__(self, path: str):
@@ -54,7 +54,7 @@
 
     def __init__(self, path: str, process: calls.Process):
         self.process = process
-        self.ids = CallIds()
+        self.id_generator = CallIdGenerator()
         resource = resources.Resource(
             {
                 "service.name": "mangobay-node",
@@ -63,18 +63,20 @@
             }
         )
         self.provider = sdk.TracerProvider(
-            id_generator=self.ids, resource=resource, shutdown_on_exit=False
+            id_generator=self.id_generator,
+            resource=resource,
+            shutdown_on_exit=False,
         )
-        exporter = LineExporter(path)
+        exporter = JsonLinesExporter(path)
         self.provider.add_span_processor(export.BatchSpanProcessor(exporter))
         self.tracer = self.provider.get_tracer("mangobay")
 
-    def record(self, attempt: traces.Attempt) -> None:
+    def record_attempt(self, attempt: traces.Attempt) -> None:
         """Records one attempt that has ended."""
         call, reply = attempt.call, attempt.reply
         end = time.time_ns()
-        seconds = asyncio.get_running_loop().time() - attempt.began
-        self.ids.next_span = int(call.call_id, 16)
+        seconds = asyncio.get_running_loop().time() - attempt.started_at
+        self.id_generator.next_span_id = int(call.call_id, 16)
         span = self.tracer.start_span(
             f"{call.service} {call.operation}",
             context=parent_context(attempt.request),
@@ -93,7 +95,7 @@
                 "mangobay.depth": call.depth,
                 "mangobay.status": reply.status,
             },
-            start_time=end - int(seconds * NANOSECONDS),
+            start_time=end - int(seconds * NANOSECONDS_PER_SECOND),
         )
         span.end(end)
 
--- a/mangobay/gateway.py
+++ b/mangobay/gateway.py
@@ -199,7 +199,7 @@
             if parent is not None:
                 parent.running_call.child_ended(now)
             seconds = now - started_at
-            self.metrics.ended(call.operation, reply, seconds)
+            self.metrics.record_call(call.operation, reply, seconds)
             if not execution.is_success(reply):
                 self.log.log_unanswered(attempt_id, call, reply, seconds)
         if reply.outcome is Outcome.ANSWERED:
--- a/mangobay/metrics.py
+++ b/mangobay/metrics.py
@@ -11,10 +11,10 @@
 from mangobay import ids
 from mangobay.generated import messages
 
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
-DIGITS = 2
-KEPT_BITS = 8
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 2
+SIGNIFICANT_BITS = 8
 """Leading bits of a time that two digits need."""
 
 
@@ -25,38 +25,40 @@
     operation: ids.OperationName
 
 
-class Ends:
+class OperationMetrics:
     """How the calls of one operation ended.
 
     Attributes:
-      counts: by reason and outcome, flat: hashing costs more than the rest.
-      recorded: microseconds of answered calls, up to the last look.
-      pending: those since, rounded to what the histogram tells apart; a
+      outcome_counts: by reason and outcome, flat: hashing costs more than the rest.
+      recorded_latencies: microseconds of answered calls, up to the last look.
+      pending_latencies: those since, rounded to what the histogram tells apart; a
         record there costs ten times as much as counting here.
     """
 
     def __init__(self):
-        self.counts = [0] * len(messages.Reason) * len(messages.Outcome)
-        self.recorded = histogram.HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-        self.pending: collections.Counter[int] = collections.Counter()
+        self.outcome_counts = [0] * len(messages.Reason) * len(messages.Outcome)
+        self.recorded_latencies = histogram.HdrHistogram(
+            MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+        )
+        self.pending_latencies: collections.Counter[int] = collections.Counter()
 
-    def count(self, reply: messages.Reply, seconds: float) -> None:
+    def record_call(self, reply: messages.Reply, seconds: float) -> None:
         """Counts one call."""
         place = reply.reason * len(messages.Outcome) + reply.outcome
-        self.counts[place] += 1
+        self.outcome_counts[place] += 1
         if reply.outcome is messages.Outcome.ANSWERED:
             microseconds = int(seconds * 1e6)
-            shift = max(microseconds.bit_length() - KEPT_BITS, 0)
-            self.pending[microseconds >> shift << shift] += 1
+            shift = max(microseconds.bit_length() - SIGNIFICANT_BITS, 0)
+            self.pending_latencies[microseconds >> shift << shift] += 1
 
     @property
-    def latency(self) -> histogram.HdrHistogram:
+    def latency_histogram(self) -> histogram.HdrHistogram:
         """The histogram of everything so far."""
-        for microseconds, count in self.pending.items():
-            value = min(max(microseconds, LOWEST_US), HIGHEST_US)
-            self.recorded.record_value(value, count)
-        self.pending.clear()
-        return self.recorded
+        for microseconds, count in self.pending_latencies.items():
+            value = min(max(microseconds, MIN_LATENCY_US), MAX_LATENCY_US)
+            self.recorded_latencies.record_value(value, count)
+        self.pending_latencies.clear()
+        return self.recorded_latencies
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -66,27 +68,27 @@
     Attributes:
       name: without the prefix.
       help: its meaning.
-      read: returns the number.
+      read_value: returns the number.
     """
 
     name: str
     help: str
-    read: collections.abc.Callable[[], float]
+    read_value: collections.abc.Callable[[], float]
 
 
 class Metrics:
     """Counts calls; reads all else only when it is asked.
 
     Attributes:
-      ends: how calls ended, by operation.
+      by_operation: how calls ended, by operation.
       gauges: numbers read when asked.
     """
 
     def __init__(self):
-        self.ends: dict[OperationKey, Ends] = {}
+        self.by_operation: dict[OperationKey, OperationMetrics] = {}
         self.gauges: list[Gauge] = []
 
-    def ended(
+    def record_call(
         self,
         operation: messages.Operation,
         reply: messages.Reply,
@@ -94,10 +96,10 @@
     ) -> None:
         """Counts one call that entered here."""
         key = OperationKey(operation.service, operation.name)
-        ends = self.ends.get(key)
+        ends = self.by_operation.get(key)
         if ends is None:
-            ends = self.ends[key] = Ends()
-        ends.count(reply, seconds)
+            ends = self.by_operation[key] = OperationMetrics()
+        ends.record_call(reply, seconds)
 
     def render(self) -> bytes:
         """Returns everything in the text format."""
--- a/mangobay/metricstext.py
+++ b/mangobay/metricstext.py
@@ -9,37 +9,37 @@
 
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_LATEST
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
-BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+BUCKET_BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 """Upper bounds in seconds: the usual ones of the text format, which other
 systems sum over hosts; quantiles cannot be summed."""
 
 
-def render(shown: metrics.Metrics) -> bytes:
+def render(node_metrics: metrics.Metrics) -> bytes:
     """Returns everything in the text format."""
     made = prometheus_client.CollectorRegistry(auto_describe=False)
-    made.register(Collector(shown))
+    made.register(NodeCollector(node_metrics))
     return prometheus_client.generate_latest(made)
 
 
-class Collector(registry.Collector):
+class NodeCollector(registry.Collector):
     """Turns counts into metric families.
 
     Attributes:
       metrics: what the node has counted.
     """
 
-    def __init__(self, shown: metrics.Metrics):
-        self.metrics = shown
+    def __init__(self, node_metrics: metrics.Metrics):
+        self.metrics = node_metrics
 
     def collect(self):
         """Yields every family; called by the registry."""
         yield self.calls_family()
-        yield self.latency_family()
+        yield self.quantile_family()
         yield self.histogram_family()
-        yield from self.promise_families()
+        yield from self.invariant_families()
         for gauge in self.metrics.gauges:
             name = f"mangobay_{gauge.name}"
-            yield core.GaugeMetricFamily(name, gauge.help, gauge.read())
+            yield core.GaugeMetricFamily(name, gauge.help, gauge.read_value())
 
     def calls_family(self) -> core.CounterMetricFamily:
         """Returns the calls by how they ended."""
@@ -49,8 +49,8 @@
             labels=("service", "operation", "outcome", "reason"),
         )
         outcomes = len(messages.Outcome)
-        for key, ends in self.metrics.ends.items():
-            for place, count in enumerate(ends.counts):
+        for key, ends in self.metrics.by_operation.items():
+            for place, count in enumerate(ends.outcome_counts):
                 if not count:
                     continue
                 outcome = messages.Outcome(place % outcomes).name.lower()
@@ -58,15 +58,15 @@
                 family.add_metric((*key, outcome, reason), count)
         return family
 
-    def latency_family(self) -> core.GaugeMetricFamily:
+    def quantile_family(self) -> core.GaugeMetricFamily:
         """Returns quantiles of the answered calls' time, by service."""
         family = core.GaugeMetricFamily(
             "mangobay_answer_seconds",
             "Time of answered calls since the start, by quantile.",
             labels=("service", "operation", "quantile"),
         )
-        for key, ends in self.metrics.ends.items():
-            latency = ends.latency
+        for key, ends in self.metrics.by_operation.items():
+            latency = ends.latency_histogram
             for quantile in QUANTILES:
                 value = latency.get_value_at_percentile(quantile * 100)
                 family.add_metric((*key, str(quantile)), value / 1e6)
@@ -79,12 +79,12 @@
             "Time of answered calls since the start.",
             labels=("service", "operation"),
         )
-        for key, ends in self.metrics.ends.items():
-            buckets, total = buckets_of(ends.latency)
+        for key, ends in self.metrics.by_operation.items():
+            buckets, total = cumulative_buckets(ends.latency_histogram)
             family.add_metric(key, buckets, total)
         return family
 
-    def promise_families(self):
+    def invariant_families(self):
         """Yields how often promises were checked, and found broken."""
         shown = (
             ("checks", "Checks of a promise.", invariants.check_counts),
@@ -104,20 +104,20 @@
             yield family
 
 
-def buckets_of(
+def cumulative_buckets(
     latency: histogram.HdrHistogram,
 ) -> tuple[list[tuple[str, int]], float]:
     """Returns the count at or below each bound, and the sum in seconds."""
-    counts = [0] * len(BUCKETS)
+    counts = [0] * len(BUCKET_BOUNDS)
     total = 0.0
     for item in latency.get_recorded_iterator():
         seconds = item.value_iterated_to / 1e6
         total += seconds * item.count_at_value_iterated_to
-        for place, bound in enumerate(BUCKETS):
+        for place, bound in enumerate(BUCKET_BOUNDS):
             if seconds <= bound:
                 counts[place] += item.count_at_value_iterated_to
     shown = [
         (str(bound), count)
-        for bound, count in zip(BUCKETS, counts, strict=True)
+        for bound, count in zip(BUCKET_BOUNDS, counts, strict=True)
     ]
     return [*shown, ("+Inf", latency.get_total_count())], total
--- a/mangobay/node.py
+++ b/mangobay/node.py
@@ -38,7 +38,7 @@
             self.dispatcher,
             self.executor,
             self.metrics,
-            self.ledger,
+            self.outcome_log,
             sample,
         )
         self.local_api = localapi.LocalApi(
@@ -87,7 +87,7 @@
             self.control.run(),
             self.local_services.run_expiry(),
             self.once.run_expiry(),
-            self.ledger.run(),
+            self.outcome_log.run(),
         ):
             self.tasks.append(asyncio.create_task(work))
         logs.log_event(logs.Component.NODE, "started", host=self.process.host)
@@ -162,6 +162,6 @@
         await self.close_listeners()
         await self.peer_listener.close(self.write_timeout())
         await self.end_tasks()
-        self.ledger.write(last=True)
+        self.outcome_log.log_interval(is_final=True)
         await self.close_connections()
         self.tracer.close()
--- a/mangobay/nodegauges.py
+++ b/mangobay/nodegauges.py
@@ -8,40 +8,40 @@
     from mangobay import basenode
 
 
-def gauges_of(node: "basenode.BaseNode") -> list[metrics.Gauge]:
+def make_gauges(node: "basenode.BaseNode") -> list[metrics.Gauge]:
     """Returns the numbers of a node that the metrics read when asked."""
     places = node.local_services.by_name
     return [
         metrics.Gauge(
             name="lease",
             help="1 while this node holds a lease.",
-            read=lambda: float(node.control.lease.is_valid()),
+            read_value=lambda: float(node.control.lease.is_valid()),
         ),
         metrics.Gauge(
             name="revision",
             help="Revision of the table in force here.",
-            read=lambda: node.control.tables.value.revision,
+            read_value=lambda: node.control.tables.value.revision,
         ),
         metrics.Gauge(
             name="running",
             help="Calls that run at the backend server here.",
-            read=lambda: len(node.executor.parents),
+            read_value=lambda: len(node.executor.parents),
         ),
         metrics.Gauge(
             name="limit",
             help="Calls that may run at the backend server here.",
-            read=lambda: sum(p.admission.limit for p in places.values()),
+            read_value=lambda: sum(p.admission.limit for p in places.values()),
         ),
         metrics.Gauge(
             name="threshold",
             help="Highest level below which calls are refused here.",
-            read=lambda: max(
+            read_value=lambda: max(
                 (p.admission.threshold for p in places.values()), default=0
             ),
         ),
         metrics.Gauge(
             name="leaving",
             help="1 while this node leaves.",
-            read=lambda: float(node.executor.leaving),
+            read_value=lambda: float(node.executor.leaving),
         ),
     ]
--- a/mangobay/operatorapi.py
+++ b/mangobay/operatorapi.py
@@ -10,8 +10,8 @@
 
 from mangobay import (
     clock,
+    connectionlimits,
     controlmetrics,
-    doorkeeper,
     errors,
     ids,
     inforce,
@@ -28,15 +28,15 @@
 )
 from mangobay.generated import messages
 
-LONGEST_WAIT = 60.0
+MAX_WAIT_SECONDS = 60.0
 """Seconds that an answer about a revision is kept back at most."""
 
-USUAL_BOUNDS = doorkeeper.Bounds()
+DEFAULT_LIMITS = connectionlimits.Limits()
 
-LONGEST_NAME = 200
+MAX_NAME_LENGTH = 200
 """Characters of a version or an operator's name."""
 
-SHUTDOWN_TIMEOUT = 2.0
+SHUTDOWN_TIMEOUT_SECONDS = 2.0
 """Seconds that answers under way have when this host stops."""
 
 
@@ -80,7 +80,7 @@
         config: statemachine.ConfigStateMachine,
         lease_table: leases.LeaseTable,
         sheet_bytes: int,
-        bounds: doorkeeper.Bounds = USUAL_BOUNDS,
+        limits: connectionlimits.Limits = DEFAULT_LIMITS,
     ):
         self.address = address
         self.group = group
@@ -89,25 +89,25 @@
         self.acceptance = sheetacceptance.SheetAcceptor(config, group)
         self.registry = prometheus_client.CollectorRegistry()
         self.registry.register(
-            controlmetrics.Collector(group, config, lease_table)
+            controlmetrics.ControlCollector(group, config, lease_table)
         )
-        self.bounds = bounds
-        self.door = doorkeeper.Doorkeeper(bounds)
+        self.limits = limits
+        self.connection_limiter = connectionlimits.ConnectionLimiter(limits)
         self.intake = intake.Intake()
-        self.listening: asyncio.Server | None = None
+        self.server: asyncio.Server | None = None
         app = web.Application(
             client_max_size=sheet_bytes,
             middlewares=[
-                self.door.note,
-                self.close_behind,
-                operatorproblems.tell_problems,
-                self.take,
+                self.connection_limiter.record_request,
+                self.close_when_draining,
+                operatorproblems.respond_with_problems,
+                self.track_request,
             ],
         )
         for method, path, name in self.routes:
             app.router.add_route(method, path, getattr(self, name))
         self.runner = web.AppRunner(
-            app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT
+            app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_SECONDS
         )
 
     async def start(self) -> None:
@@ -118,13 +118,14 @@
         """
         await self.runner.setup()
         try:
-            self.listening = await listening.open_server(
-                self.address, self.door.open(self.runner.server, *self.address)
+            self.server = await listening.open_server(
+                self.address,
+                self.connection_limiter.open(self.runner.server, *self.address),
             )
         except errors.StartError:
             await self.runner.cleanup()
             raise
-        self.address = listening.bound_address(self.address, self.listening)
+        self.address = listening.bound_address(self.address, self.server)
 
     async def drain(self, seconds: float) -> None:
         """Refuses new calls; gives up those that last longer than a time."""
@@ -133,12 +134,12 @@
     async def close(self) -> None:
         """Ends the answers under way and closes the socket."""
         await self.drain(0)
-        if self.listening is not None:
-            self.listening.close()
+        if self.server is not None:
+            self.server.close()
         await self.runner.cleanup()
 
     @web.middleware
-    async def close_behind(
+    async def close_when_draining(
         self, request: web.Request, handler
     ) -> web.StreamResponse:
         """Ends a connection behind its answer once the host stops."""
@@ -148,15 +149,17 @@
         return response
 
     @web.middleware
-    async def take(self, request: web.Request, handler) -> web.StreamResponse:
+    async def track_request(
+        self, request: web.Request, handler
+    ) -> web.StreamResponse:
         """Takes a call unless the host stops."""
         return await self.intake.carry(functools.partial(handler, request))
 
     async def post_sheet(self, request: web.Request) -> web.Response:
         """Takes in a sheet, whole or not at all."""
-        version = ids.SheetVersion(parameter(request, "version"))
-        operator = parameter(request, "operator")
-        async with asyncio.timeout(self.bounds.request_seconds):
+        version = ids.SheetVersion(required_parameter(request, "version"))
+        operator = required_parameter(request, "operator")
+        async with asyncio.timeout(self.limits.request_timeout):
             data = await request.read()
         checked = await asyncio.to_thread(sheet.parse, data, "sheet")
         accepted = await self.acceptance.accept(checked, version, operator)
@@ -172,7 +175,7 @@
 
     async def get_status(self, request: web.Request) -> web.Response:
         """Tells of the control group and of every host."""
-        await self.confirm()
+        await self.confirm_leadership()
         revision = self.machine.revision
         return web.json_response(
             {
@@ -180,8 +183,8 @@
                 "term": self.group.term,
                 "commit": self.group.commit_index,
                 "revision": revision,
-                "hosts": self.hosts(),
-                "in_force": in_force(
+                "hosts": self.encode_hosts(),
+                "in_force": encode_in_force(
                     self.leases.revision_reports.rollout_status(revision)
                 ),
             }
@@ -189,7 +192,7 @@
 
     async def get_history(self, request: web.Request) -> web.Response:
         """Tells the newest accepted sheets, oldest first."""
-        await self.confirm()
+        await self.confirm_leadership()
         items = [
             {
                 "revision": item.revision,
@@ -208,18 +211,18 @@
 
     async def get_hosts(self, request: web.Request) -> web.Response:
         """Tells every host that is not gone."""
-        await self.confirm()
-        return web.json_response({"hosts": self.hosts()})
+        await self.confirm_leadership()
+        return web.json_response({"hosts": self.encode_hosts()})
 
     async def post_drain(self, request: web.Request) -> web.Response:
         """Asks a host to leave; asked again, it answers the same."""
         host = ids.HostId(request.match_info["host"])
-        await self.confirm()
+        await self.confirm_leadership()
         if host not in self.machine.members:
             raise errors.NotFoundError(f"no host {host} is known")
         change = messages.DrainChange(
             host=host,
-            operator=request.query.get("operator", "")[:LONGEST_NAME],
+            operator=request.query.get("operator", "")[:MAX_NAME_LENGTH],
             accepted_ms=clock.unix_ms(),
         )
         await self.group.propose(change)
@@ -227,17 +230,17 @@
 
     async def get_in_force(self, request: web.Request) -> web.Response:
         """Tells how far a revision has come, after a wait."""
-        revision = number(request.match_info["revision"], int, "revision")
-        wait = number(request.query.get("wait", "0"), float, "wait")
-        await self.confirm()
+        revision = parse_number(request.match_info["revision"], int, "revision")
+        wait = parse_number(request.query.get("wait", "0"), float, "wait")
+        await self.confirm_leadership()
         if revision > self.machine.revision:
             raise errors.NotFoundError(f"no revision {revision} was accepted")
         reached = await self.leases.revision_reports.wait_until_in_force(
-            ids.Revision(revision), min(max(wait, 0), LONGEST_WAIT)
+            ids.Revision(revision), min(max(wait, 0), MAX_WAIT_SECONDS)
         )
         # What hosts reported to a leader deposed meanwhile may be old.
-        await self.confirm()
-        return web.json_response(in_force(reached))
+        await self.confirm_leadership()
+        return web.json_response(encode_in_force(reached))
 
     async def get_health(self, request: web.Request) -> web.Response:
         """Tells that this process answers, and what it takes itself for."""
@@ -257,7 +260,7 @@
         kind = prometheus_client.CONTENT_TYPE_LATEST
         return web.Response(body=text, headers={"Content-Type": kind})
 
-    async def confirm(self) -> None:
+    async def confirm_leadership(self) -> None:
         """Makes sure that this host leads and holds everything committed.
 
         Raises:
@@ -266,14 +269,14 @@
         await self.group.confirm_leadership()
         self.leases.check_leadership()
 
-    def hosts(self) -> list[dict]:
+    def encode_hosts(self) -> list[dict]:
         """Returns every host as the API tells it."""
         return [
-            self.host_item(self.machine.members[host])
+            self.encode_host(self.machine.members[host])
             for host in sorted(self.machine.members)
         ]
 
-    def host_item(self, record: messages.MemberRecord) -> dict:
+    def encode_host(self, record: messages.MemberRecord) -> dict:
         """Returns a host as the API tells it."""
         member = record.member
         return {
@@ -291,7 +294,7 @@
         }
 
 
-def in_force(reached: inforce.RolloutStatus) -> dict:
+def encode_in_force(reached: inforce.RolloutStatus) -> dict:
     """Returns how far a revision has come as the API tells it."""
     return {
         "count": reached.host_count - len(reached.stragglers),
@@ -300,21 +303,21 @@
     }
 
 
-def parameter(request: web.Request, name: str) -> str:
+def required_parameter(request: web.Request, name: str) -> str:
     """Returns a query parameter that must be there.
 
     Raises:
       errors.BadRequestError: it is missing or too long.
     """
     value = request.query.get(name, "").strip()
-    if not value or len(value) > LONGEST_NAME:
+    if not value or len(value) > MAX_NAME_LENGTH:
         raise errors.BadRequestError(
-            f"give {name}, 1 to {LONGEST_NAME} characters, in the query"
+            f"give {name}, 1 to {MAX_NAME_LENGTH} characters, in the query"
         )
     return value
 
 
-def number(text: str, make: type, name: str) -> typing.Any:
+def parse_number(text: str, make: type, name: str) -> typing.Any:
     """Returns the number that a parameter holds.
 
     Raises:
--- a/mangobay/operatorclient.py
+++ b/mangobay/operatorclient.py
@@ -9,15 +9,15 @@
 
 from mangobay import errors, findings, ids, options
 
-ATTEMPT_TIMEOUT = 3.0
+ATTEMPT_TIMEOUT_SECONDS = 3.0
 """Seconds to wait for one control host before the next one is asked."""
-ROUND_PAUSE = 0.2
+ROUND_DELAY_SECONDS = 0.2
 """Seconds between two rounds over all control hosts: an election's length."""
 Record = typing.TypeVar("Record")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Accepted:
+class ApplyResult:
     """The answer to a sheet.
 
     Attributes:
@@ -48,7 +48,7 @@
     stragglers: list[ids.HostId]
 
     @property
-    def everywhere(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every host acts by it."""
         return self.count == self.of and not self.stragglers
 
@@ -96,7 +96,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Change:
+class AcceptedSheet:
     """An accepted sheet in the history.
 
     Attributes:
@@ -121,15 +121,15 @@
     """The accepted sheets.
 
     Attributes:
-      changes: the newest ones, oldest first.
-      cut: how many older ones are not named any more.
+      sheets: the newest ones, oldest first.
+      omitted_count: how many older ones are not named any more.
     """
 
-    changes: list[Change]
-    cut: int
+    sheets: list[AcceptedSheet]
+    omitted_count: int
 
 
-def record(cls: type[Record], data: dict, **parts) -> Record:
+def decode_record(cls: type[Record], data: dict, **parts) -> Record:
     """Returns a record out of a JSON object; unknown members are ignored.
 
     Args:
@@ -163,17 +163,17 @@
       path: the path.
       query: the query parameters.
       body: the body.
-      wait: seconds the control host may hold the answer back.
+      wait_seconds: seconds the control host may hold the answer back.
     """
 
     method: str
     path: str
     query: dict[str, str]
     body: bytes
-    wait: float
+    wait_seconds: float
 
 
-class NoAnswerError(Exception):
+class NoResponseError(Exception):
     """A control host gave no answer; another one must be asked."""
 
 
@@ -185,16 +185,18 @@
 
     Attributes:
       addresses: operator addresses of the control hosts.
-      patience: seconds until a request is given up.
-      leader: address that answered last; asked first.
+      timeout_seconds: seconds until a request is given up.
+      preferred_address: address that answered last; asked first.
     """
 
     def __init__(
-        self, addresses: tuple[options.Address, ...], patience: float = 10.0
+        self,
+        addresses: tuple[options.Address, ...],
+        timeout_seconds: float = 10.0,
     ):
         self.addresses = addresses
-        self.patience = patience
-        self.leader = addresses[0]
+        self.timeout_seconds = timeout_seconds
+        self.preferred_address = addresses[0]
         self.session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> "OperatorClient":
@@ -208,7 +210,7 @@
 
     async def apply(
         self, data: bytes, version: ids.SheetVersion, operator: str
-    ) -> Accepted:
+    ) -> ApplyResult:
         """Sends a sheet; returns once it is committed.
 
         Raises:
@@ -218,28 +220,31 @@
           errors.ControlUnreachableError: no control host could answer.
         """
         query = {"version": version, "operator": operator}
-        answer = await self.ask("POST", "/v1/sheets", query, data)
-        return record(Accepted, answer)
+        answer = await self.send_request("POST", "/v1/sheets", query, data)
+        return decode_record(ApplyResult, answer)
 
     async def status(self) -> Status:
         """Returns the state of the control group and of every host."""
-        answer = await self.ask("GET", "/v1/status")
-        return record(
+        answer = await self.send_request("GET", "/v1/status")
+        return decode_record(
             Status,
             answer,
-            hosts=hosts_of(answer),
-            in_force=record(InForce, answer.get("in_force", {})),
+            hosts=decode_hosts(answer),
+            in_force=decode_record(InForce, answer.get("in_force", {})),
         )
 
     async def history(self) -> History:
         """Returns the newest accepted sheets."""
-        answer = await self.ask("GET", "/v1/history")
-        changes = [record(Change, item) for item in answer.get("items", [])]
+        answer = await self.send_request("GET", "/v1/history")
+        changes = [
+            decode_record(AcceptedSheet, item)
+            for item in answer.get("items", [])
+        ]
         return History(changes, answer.get("cut", 0))
 
     async def hosts(self) -> list[Host]:
         """Returns every known host."""
-        return hosts_of(await self.ask("GET", "/v1/hosts"))
+        return decode_hosts(await self.send_request("GET", "/v1/hosts"))
 
     async def drain(self, host: ids.HostId) -> None:
         """Asks a host to leave.
@@ -247,21 +252,28 @@
         Raises:
           errors.OperatorRefusedError: no such host.
         """
-        await self.ask("POST", f"/v1/hosts/{host}/drain")
+        await self.send_request("POST", f"/v1/hosts/{host}/drain")
 
-    async def in_force(self, revision: ids.Revision, wait: float) -> InForce:
+    async def in_force(
+        self, revision: ids.Revision, wait_seconds: float
+    ) -> InForce:
         """Returns how far a revision has come, after at most `wait` seconds."""
         path = f"/v1/revisions/{revision}/in-force"
-        answer = await self.ask("GET", path, {"wait": f"{wait:g}"}, wait=wait)
-        return record(InForce, answer)
+        answer = await self.send_request(
+            "GET",
+            path,
+            {"wait": f"{wait_seconds:g}"},
+            wait_seconds=wait_seconds,
+        )
+        return decode_record(InForce, answer)
 
-    async def ask(
+    async def send_request(
         self,
         method: str,
         path: str,
         query: dict[str, str] | None = None,
         body: bytes = b"",
-        wait: float = 0,
+        wait_seconds: float = 0,
     ) -> dict:
         """Returns the JSON answer of the first control host that has one.
 
@@ -269,20 +281,20 @@
           errors.MangobayError: what the answer says, or that none came.
         """
         loop = asyncio.get_running_loop()
-        give_up = loop.time() + self.patience + wait
-        request = Request(method, path, query or {}, body, wait)
+        give_up = loop.time() + self.timeout_seconds + wait_seconds
+        request = Request(method, path, query or {}, body, wait_seconds)
         while True:
             trouble: dict[options.Address, str] = {}
-            for address in self.in_order():
+            for address in self.ordered_addresses():
                 try:
-                    return await self.ask_one(address, request)
-                except NoAnswerError as error:
+                    return await self.send_to(address, request)
+                except NoResponseError as error:
                     trouble[address] = str(error)
             if loop.time() >= give_up:
                 raise errors.ControlUnreachableError(trouble)
-            await asyncio.sleep(ROUND_PAUSE)
+            await asyncio.sleep(ROUND_DELAY_SECONDS)
 
-    async def ask_one(self, address: options.Address, request: Request) -> dict:
+    async def send_to(self, address: options.Address, request: Request) -> dict:
         """Returns the JSON answer of one control host.
 
         Raises:
@@ -295,31 +307,35 @@
                 f"http://{address}{request.path}",
                 params=request.query,
                 data=request.body,
-                timeout=aiohttp.ClientTimeout(ATTEMPT_TIMEOUT + request.wait),
+                timeout=aiohttp.ClientTimeout(
+                    ATTEMPT_TIMEOUT_SECONDS + request.wait_seconds
+                ),
             ) as response:
                 if response.status == 503:
-                    raise NoAnswerError("does not lead")
-                self.leader = address
-                return await outcome_of(response, request.query)
+                    raise NoResponseError("does not lead")
+                self.preferred_address = address
+                return await decode_response(response, request.query)
         except TimeoutError:
-            raise NoAnswerError("did not answer in time") from None
+            raise NoResponseError("did not answer in time") from None
         except aiohttp.ClientConnectorError as error:
             why = os.strerror(error.errno) if error.errno else "cannot connect"
-            raise NoAnswerError(why) from None
+            raise NoResponseError(why) from None
         except aiohttp.ClientError as error:
-            raise NoAnswerError(str(error)) from None
+            raise NoResponseError(str(error)) from None
 
-    def in_order(self) -> list[options.Address]:
+    def ordered_addresses(self) -> list[options.Address]:
         """Returns the addresses, the one that answered last first."""
-        return sorted(self.addresses, key=lambda item: item != self.leader)
+        return sorted(
+            self.addresses, key=lambda item: item != self.preferred_address
+        )
 
 
-def hosts_of(answer: dict) -> list[Host]:
+def decode_hosts(answer: dict) -> list[Host]:
     """Returns the hosts in an answer."""
-    return [record(Host, item) for item in answer.get("hosts", [])]
+    return [decode_record(Host, item) for item in answer.get("hosts", [])]
 
 
-async def outcome_of(
+async def decode_response(
     response: aiohttp.ClientResponse, query: dict[str, str]
 ) -> dict:
     """Returns the JSON object of an answer.
@@ -344,7 +360,10 @@
             )
         case 422 if "findings" in answer:
             raise errors.SheetError(
-                [record(findings.Finding, item) for item in answer["findings"]]
+                [
+                    decode_record(findings.Finding, item)
+                    for item in answer["findings"]
+                ]
             )
     detail = answer.get("detail") or answer.get("title") or "no reason given"
     raise errors.OperatorRefusedError(response.status, detail)
--- a/mangobay/operatorproblems.py
+++ b/mangobay/operatorproblems.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Problem:
+class ProblemType:
     """The kind of an error.
 
     Attributes:
@@ -22,49 +22,57 @@
     title: str
 
 
-INTERNAL = Problem(500, "internal error")
+INTERNAL_ERROR = ProblemType(500, "internal error")
 
-PROBLEMS: dict[type[Exception], Problem] = {
-    errors.BadRequestError: Problem(400, "bad request"),
-    errors.NotFoundError: Problem(404, "not found"),
-    errors.ConflictError: Problem(409, "version taken by another sheet"),
-    errors.VersionUsedError: Problem(409, "version used long ago"),
-    errors.SheetError: Problem(422, "sheet refused"),
-    errors.NotLeaderError: Problem(503, "not the leader"),
-    errors.LeadershipLostError: Problem(503, "leadership lost, send it again"),
-    errors.ShuttingDownError: Problem(
+PROBLEM_TYPES: dict[type[Exception], ProblemType] = {
+    errors.BadRequestError: ProblemType(400, "bad request"),
+    errors.NotFoundError: ProblemType(404, "not found"),
+    errors.ConflictError: ProblemType(409, "version taken by another sheet"),
+    errors.VersionUsedError: ProblemType(409, "version used long ago"),
+    errors.SheetError: ProblemType(422, "sheet refused"),
+    errors.NotLeaderError: ProblemType(503, "not the leader"),
+    errors.LeadershipLostError: ProblemType(
+        503, "leadership lost, send it again"
+    ),
+    errors.ShuttingDownError: ProblemType(
         503, "the host stops, nothing was changed"
     ),
-    errors.AbortedByShutdownError: Problem(
+    errors.AbortedByShutdownError: ProblemType(
         503, "the host stops, send it again"
     ),
-    errors.StorageError: Problem(503, "the data folder failed"),
-    TimeoutError: Problem(408, "the body came too slowly"),
+    errors.StorageError: ProblemType(503, "the data folder failed"),
+    TimeoutError: ProblemType(408, "the body came too slowly"),
 }
 """The first class that fits counts."""
 
 
 @web.middleware
-async def tell_problems(request: web.Request, handler) -> web.StreamResponse:
+async def respond_with_problems(
+    request: web.Request, handler
+) -> web.StreamResponse:
     """Answers errors as problem details, never with a stack trace."""
     try:
         return await handler(request)
     except web.HTTPException as error:
-        return problem(Problem(error.status, error.reason), "")
+        return problem_response(ProblemType(error.status, error.reason), "")
     except (errors.MangobayError, TimeoutError) as error:
         kind = next(
-            (PROBLEMS[cls] for cls in PROBLEMS if isinstance(error, cls)),
-            INTERNAL,
+            (
+                PROBLEM_TYPES[cls]
+                for cls in PROBLEM_TYPES
+                if isinstance(error, cls)
+            ),
+            INTERNAL_ERROR,
         )
-        return problem(kind, str(error), **members_of(error))
+        return problem_response(kind, str(error), **extension_members(error))
     except Exception as error:  # noqa: BLE001
         logs.log_event(
             logs.Component.OPERATOR, "request failed", error=repr(error)
         )
-        return problem(INTERNAL, "")
+        return problem_response(INTERNAL_ERROR, "")
 
 
-def members_of(error: Exception) -> dict:
+def extension_members(error: Exception) -> dict:
     """Returns what a problem tells besides its text."""
     match error:
         case errors.ConflictError(winner=winner):
@@ -76,7 +84,7 @@
     return {}
 
 
-def problem(kind: Problem, detail: str, **members) -> web.Response:
+def problem_response(kind: ProblemType, detail: str, **members) -> web.Response:
     """Returns the answer that tells a problem."""
     body = {"status": kind.status, "title": kind.title}
     if detail:
--- a/mangobay/ledger.py
+++ b/mangobay/outcomelog.py
@@ -13,14 +13,14 @@
 from mangobay import clock, ids, logs
 from mangobay.generated import messages
 
-INTERVAL = 60.0
+INTERVAL_SECONDS = 60.0
 """Seconds that one line covers."""
 
-SENTENCE = "calls of an interval"
-MESSAGE_TYPE = f"{logs.Component.CALL.value}: {SENTENCE}"
+MESSAGE = "calls of an interval"
+MESSAGE_TYPE = f"{logs.Component.CALL.value}: {MESSAGE}"
 
 
-class Kind(typing.NamedTuple):
+class CallKind(typing.NamedTuple):
     """Calls that are counted together.
 
     Attributes:
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Entry:
+class CallCount:
     """How many calls of one kind ended, as the log line holds it."""
 
     service: str
@@ -48,9 +48,9 @@
     count: int
 
 
-def entry_of(kind: Kind, count: int) -> Entry:
+def make_call_count(kind: CallKind, count: int) -> CallCount:
     """Returns what the log line says of the calls of a kind."""
-    return Entry(
+    return CallCount(
         service=kind.service,
         operation=kind.operation,
         importance=kind.importance.name.lower(),
@@ -61,27 +61,27 @@
     )
 
 
-class Ledger:
+class OutcomeLog:
     """Counts the calls that entered at one node.
 
     Attributes:
       host: this node's name.
       counts: the calls since the last line.
       since_ms: Unix time where the interval began, milliseconds.
-      wall_ms: Unix time in milliseconds.
+      unix_ms: Unix time in milliseconds.
     """
 
     def __init__(
         self,
         host: ids.HostId,
-        wall_ms: collections.abc.Callable[[], int] = clock.unix_ms,
+        unix_ms: collections.abc.Callable[[], int] = clock.unix_ms,
     ):
         self.host = host
-        self.wall_ms = wall_ms
-        self.counts: collections.Counter[Kind] = collections.Counter()
-        self.since_ms = wall_ms()
+        self.unix_ms = unix_ms
+        self.counts: collections.Counter[CallKind] = collections.Counter()
+        self.since_ms = unix_ms()
 
-    def count(
+    def record_call(
         self,
         operation: messages.Operation,
         importance: messages.Importance,
@@ -89,7 +89,7 @@
         reply: messages.Reply,
     ) -> None:
         """Counts one call that ended."""
-        kind = Kind(
+        kind = CallKind(
             operation.service,
             operation.name,
             importance,
@@ -99,26 +99,28 @@
         )
         self.counts[kind] += 1
 
-    def write(self, last: bool = False) -> None:
+    def log_interval(self, is_final: bool = False) -> None:
         """Logs the interval that ends now, also when no call ended in it.
 
         An empty interval is written too: without it a quiet node and a dead
         one would look the same in a report.
 
         Args:
-          last: the node ends in good order, so that no call follows.
+          is_final: the node ends in good order, so that no call follows.
         """
         # A wall clock set back must not make an interval of negative length.
-        until_ms = max(self.since_ms, self.wall_ms())
+        until_ms = max(self.since_ms, self.unix_ms())
         counts = sorted(self.counts.items())
         logs.log_event(
             logs.Component.CALL,
-            SENTENCE,
+            MESSAGE,
             host=self.host,
             since_ms=self.since_ms,
             until_ms=until_ms,
-            last=last,
-            calls=[dataclasses.asdict(entry_of(*item)) for item in counts],
+            last=is_final,
+            calls=[
+                dataclasses.asdict(make_call_count(*item)) for item in counts
+            ],
         )
         self.since_ms = until_ms
         self.counts.clear()
@@ -129,7 +131,7 @@
         The first one covers no time.  It tells that this node runs, so that
         one killed within its first interval is seen to be missing.
         """
-        self.write()
+        self.log_interval()
         while True:
-            await asyncio.sleep(INTERVAL)
-            self.write()
+            await asyncio.sleep(INTERVAL_SECONDS)
+            self.log_interval()
--- a/mangobay/report.py
+++ b/mangobay/report.py
@@ -10,7 +10,7 @@
 import json
 import typing
 
-from mangobay import errors, ledger
+from mangobay import errors, outcomelog
 from mangobay.generated import messages
 
 ANSWERED = messages.Outcome.ANSWERED.name.lower()
@@ -25,30 +25,30 @@
     Attributes:
       since_ms: Unix time, milliseconds.
       until_ms: Unix time, milliseconds.
-      last: the node ended in good order.
+      is_final: the node ended in good order.
     """
 
     host: str
     since_ms: int
     until_ms: int
-    last: bool
-    calls: tuple[ledger.Entry, ...]
+    is_final: bool
+    calls: tuple[outcomelog.CallCount, ...]
 
 
 @dataclasses.dataclass(slots=True)
-class Reading:
+class ParsedLogs:
     """What the files held.
 
     Attributes:
       intervals: in the order of the files.
-      unreadable: lines that are no log lines, such as one torn by a kill.
+      unreadable_lines: lines that are no log lines, such as one torn by a kill.
     """
 
     intervals: list[Interval] = dataclasses.field(default_factory=list)
-    unreadable: int = 0
+    unreadable_lines: int = 0
 
 
-class Group(typing.NamedTuple):
+class CallGroup(typing.NamedTuple):
     """Calls that one line of the report sums up."""
 
     outside: bool
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Total:
+class GroupTotal:
     """How the calls of a group ended.
 
     Attributes:
@@ -77,7 +77,7 @@
     first_ms: int | None = None
     last_ms: int | None = None
 
-    def add(self, entry: ledger.Entry, interval: Interval) -> None:
+    def add(self, entry: outcomelog.CallCount, interval: Interval) -> None:
         """Adds the calls of one entry."""
         self.outcomes[entry.outcome] += entry.count
         if entry.outcome == ANSWERED:
@@ -107,24 +107,24 @@
       hosts: those that recorded something.
       totals: calls by group.
       gaps: what nobody recorded.
-      unreadable: lines that could not be read.
+      unreadable_lines: lines that could not be read.
     """
 
     since_ms: int
     until_ms: int
     hosts: list[str]
-    totals: dict[Group, Total]
+    totals: dict[CallGroup, GroupTotal]
     gaps: list[Gap]
-    unreadable: int
+    unreadable_lines: int
 
 
-def read(paths: collections.abc.Iterable[str]) -> Reading:
+def read_logs(paths: collections.abc.Iterable[str]) -> ParsedLogs:
     """Returns the intervals in log files; other log lines are passed over.
 
     Raises:
       errors.LogFileError: a file cannot be read.
     """
-    reading = Reading()
+    reading = ParsedLogs()
     for path in paths:
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
@@ -134,33 +134,35 @@
     return reading
 
 
-def read_lines(lines: collections.abc.Iterable[str], reading: Reading) -> None:
+def read_lines(
+    lines: collections.abc.Iterable[str], reading: ParsedLogs
+) -> None:
     """Adds the intervals in the lines to the reading."""
     for line in lines:
         try:
-            interval = parse(line)
+            interval = parse_interval(line)
         except (ValueError, KeyError, TypeError, AttributeError):
-            reading.unreadable += 1
+            reading.unreadable_lines += 1
             continue
         if interval is not None:
             reading.intervals.append(interval)
 
 
-def parse(line: str) -> Interval | None:
+def parse_interval(line: str) -> Interval | None:
     """Returns the interval in a log line, None for any other line."""
     document = json.loads(line)
-    if document.get("message_type") != ledger.MESSAGE_TYPE:
+    if document.get("message_type") != outcomelog.MESSAGE_TYPE:
         return None
     return Interval(
         host=document["host"],
         since_ms=int(document["since_ms"]),
         until_ms=int(document["until_ms"]),
-        last=bool(document["last"]),
-        calls=tuple(ledger.Entry(**item) for item in document["calls"]),
+        is_final=bool(document["last"]),
+        calls=tuple(outcomelog.CallCount(**item) for item in document["calls"]),
     )
 
 
-def summed(reading: Reading, since_ms: int, until_ms: int) -> Report:
+def summarize(reading: ParsedLogs, since_ms: int, until_ms: int) -> Report:
     """Returns the report of a period.
 
     An interval counts whole when it touches the period: nothing says where
@@ -178,10 +180,10 @@
     ]
     if not inside:
         raise errors.NoRecordsError
-    totals: dict[Group, Total] = collections.defaultdict(Total)
+    totals: dict[CallGroup, GroupTotal] = collections.defaultdict(GroupTotal)
     for interval in inside:
         for entry in interval.calls:
-            group = Group(
+            group = CallGroup(
                 entry.outside, entry.service, entry.operation, entry.importance
             )
             totals[group].add(entry, interval)
@@ -192,12 +194,12 @@
         until_ms=end,
         hosts=sorted({interval.host for interval in inside}),
         totals=dict(totals),
-        gaps=gaps(distinct, start, end),
-        unreadable=reading.unreadable,
+        gaps=find_gaps(distinct, start, end),
+        unreadable_lines=reading.unreadable_lines,
     )
 
 
-def gaps(
+def find_gaps(
     intervals: collections.abc.Iterable[Interval], start: int, end: int
 ) -> list[Gap]:
     """Returns the times between start and end that a node left unrecorded.
@@ -217,6 +219,6 @@
         starts = [line.since_ms for line in lines[1:]] + [end]
         for line, following in zip(lines, starts, strict=True):
             gap = Gap(host, max(line.until_ms, start), min(following, end))
-            if not line.last and gap.since_ms < gap.until_ms:
+            if not line.is_final and gap.since_ms < gap.until_ms:
                 found.append(gap)
     return found
--- a/mangobay/routedcontrol.py
+++ b/mangobay/routedcontrol.py
@@ -102,6 +102,8 @@
         """Returns the metrics in the Prometheus text format."""
         registry = prometheus_client.CollectorRegistry()
         registry.register(
-            controlmetrics.Collector(self.group, self.machine, self.leases)
+            controlmetrics.ControlCollector(
+                self.group, self.machine, self.leases
+            )
         )
         return prometheus_client.generate_latest(registry)
--- a/mangobay/spantree.py
+++ b/mangobay/spantree.py
@@ -8,8 +8,8 @@
 
 from mangobay import errors
 
-FORK, LAST_FORK, LINE, BLANK = "├─ ", "└─ ", "│  ", "   "
-PREFIX = "mangobay."
+BRANCH, LAST_BRANCH, VERTICAL, BLANK = "├─ ", "└─ ", "│  ", "   "
+ATTRIBUTE_PREFIX = "mangobay."
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -40,7 +40,7 @@
     tries_left: int
 
 
-def parse(line: str) -> Span:
+def parse_span(line: str) -> Span:
     """Returns the span in a line.
 
     Raises:
@@ -59,19 +59,19 @@
             start=start,
             milliseconds=(end - start).total_seconds() * 1000,
             sender=document["resource"]["attributes"]["host.name"],
-            host=facts[f"{PREFIX}host"],
-            data_centre=facts[f"{PREFIX}data_centre"],
-            outcome=facts[f"{PREFIX}outcome"],
-            reason=facts[f"{PREFIX}reason"],
-            status=facts[f"{PREFIX}status"],
-            tries_given=facts[f"{PREFIX}tries_given"],
-            tries_left=facts[f"{PREFIX}tries_left"],
+            host=facts[f"{ATTRIBUTE_PREFIX}host"],
+            data_centre=facts[f"{ATTRIBUTE_PREFIX}data_centre"],
+            outcome=facts[f"{ATTRIBUTE_PREFIX}outcome"],
+            reason=facts[f"{ATTRIBUTE_PREFIX}reason"],
+            status=facts[f"{ATTRIBUTE_PREFIX}status"],
+            tries_given=facts[f"{ATTRIBUTE_PREFIX}tries_given"],
+            tries_left=facts[f"{ATTRIBUTE_PREFIX}tries_left"],
         )
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"no span: {error}") from None
 
 
-def read(paths: collections.abc.Iterable[str]) -> list[Span]:
+def read_spans(paths: collections.abc.Iterable[str]) -> list[Span]:
     """Returns the spans in files; a torn line is passed over.
 
     Raises:
@@ -86,13 +86,13 @@
             raise errors.LogFileError(path, error.strerror or "") from None
         for line in lines:
             try:
-                found.append(parse(line))
+                found.append(parse_span(line))
             except ValueError:
                 continue
     return found
 
 
-def tree_lines(spans: collections.abc.Iterable[Span]) -> list[str]:
+def format_trees(spans: collections.abc.Iterable[Span]) -> list[str]:
     """Returns every trace as a tree, the oldest first."""
     by_trace = collections.defaultdict(list)
     for span in sorted(spans, key=lambda span: span.start):
@@ -104,11 +104,11 @@
         for span in members:
             below[span.parent if span.parent in known else ""].append(span)
         lines.append(f"trace {trace}")
-        lines += branch_lines(below, "", "")
+        lines += format_children(below, "", "")
     return lines
 
 
-def branch_lines(
+def format_children(
     below: collections.abc.Mapping[str, list[Span]], parent: str, indent: str
 ) -> list[str]:
     """Returns the lines of what is below a span."""
@@ -116,13 +116,15 @@
     children = below.get(parent, [])
     for place, span in enumerate(children, start=1):
         last = place == len(children)
-        lines.append(f"{indent}{LAST_FORK if last else FORK}{text_of(span)}")
-        deeper = indent + (BLANK if last else LINE)
-        lines += branch_lines(below, span.span, deeper)
+        lines.append(
+            f"{indent}{LAST_BRANCH if last else BRANCH}{format_span(span)}"
+        )
+        deeper = indent + (BLANK if last else VERTICAL)
+        lines += format_children(below, span.span, deeper)
     return lines
 
 
-def text_of(span: Span) -> str:
+def format_span(span: Span) -> str:
     """Returns one span in words."""
     end = str(span.status) if span.outcome == "answered" else span.reason
     return (
--- a/mangobay/traces.py
+++ b/mangobay/traces.py
@@ -12,27 +12,27 @@
     """What is recorded of one attempt.
 
     Attributes:
-      began: loop time.
+      started_at: loop time.
     """
 
     request: calls.Request
     call: messages.Call
     member: messages.Member
     reply: messages.Reply
-    began: float
+    started_at: float
 
 
 class Tracer:
     """Records nothing."""
 
-    def record(self, attempt: Attempt) -> None:
+    def record_attempt(self, attempt: Attempt) -> None:
         """Records one attempt that has ended."""
 
     def close(self) -> None:
         """Writes what is still unwritten."""
 
 
-def to_file(path: str, process: calls.Process) -> Tracer:
+def make_file_tracer(path: str, process: calls.Process) -> Tracer:
     """Returns a tracer that writes spans to a file.
 
     Raises:
--- a/tests/controlfakes.py
+++ b/tests/controlfakes.py
@@ -8,14 +8,14 @@
 
 
 @contextlib.asynccontextmanager
-async def running(part):
+async def running_task(component):
     """Runs a part of the program in a task of its own.
 
     A fixture can't do this: its loop does not have the test's virtual time.
     """
-    task = asyncio.create_task(part.run())
+    task = asyncio.create_task(component.run())
     try:
-        yield part
+        yield component
         assert not task.done()
     finally:
         task.cancel()
@@ -32,10 +32,10 @@
         self.term = ids.Term(1)
         self.leader = ids.HostId(host)
         self.leader_address = address
-        self.index = 0
+        self.last_index = 0
         self.is_voter = True
-        self.whole = asyncio.Event()
-        self.whole.set()
+        self.has_quorum = asyncio.Event()
+        self.has_quorum.set()
 
     async def propose(self, body):
         await self.confirm_leadership()
@@ -45,53 +45,55 @@
         return [self.leader_address]
 
     def append(self, body):
-        self.index += 1
-        entry = messages.LogEntry(index=self.index, term=self.term, body=body)
+        self.last_index += 1
+        entry = messages.LogEntry(
+            index=self.last_index, term=self.term, body=body
+        )
         self.machine.apply(entry)
         return entry
 
     @property
     def commit_index(self):
-        return self.index
+        return self.last_index
 
     async def confirm_leadership(self):
-        await self.whole.wait()
+        await self.has_quorum.wait()
         await asyncio.sleep(0.003)
         if not self.leading.is_set():
             raise errors.NotLeaderError(self.leader, self.leader_address)
 
-    def cut(self):
+    def lose_quorum(self):
         """No quorum answers any more, and nobody tells this host."""
-        self.whole.clear()
+        self.has_quorum.clear()
 
 
 class FakeTransport:
     """Carries renewals to lease tables by address."""
 
     def __init__(self, tables):
-        self.tables = tables
-        self.asked = []
-        self.lost = False
+        self.lease_tables = tables
+        self.requests = []
+        self.loses_replies = False
 
     async def send_request(self, address, body, timeout):
-        self.asked.append((asyncio.get_running_loop().time(), address, body))
-        if address not in self.tables:
+        self.requests.append((asyncio.get_running_loop().time(), address, body))
+        if address not in self.lease_tables:
             raise errors.PeerUnreachableError(f"{address} is not there")
         async with asyncio.timeout(timeout):
             await asyncio.sleep(0.001)
-            answer = await self.tables[address].renew(body)
-            if self.lost:
+            answer = await self.lease_tables[address].renew(body)
+            if self.loses_replies:
                 await asyncio.Event().wait()
             return answer
 
 
-def operation(name, service="quotes", **fields):
+def make_operation(name, service="quotes", **fields):
     """Returns a row of a sheet."""
     fields.setdefault("path", f"/{name}")
     return messages.Operation(service=service, name=name, **fields)
 
 
-def sheet(version, *changed, base=0, removed=(), digest=None):
+def make_sheet_change(version, *changed, base=0, removed=(), digest=None):
     """Returns the entry of an accepted sheet."""
     return messages.SheetChange(
         version=version,
@@ -103,12 +105,12 @@
     )
 
 
-def joins(host, *services, run="1", slots=70, leaving=False):
+def make_member_join(host, *services, incarnation="1", slots=70, leaving=False):
     """Returns the entry of a host that joins or changes."""
     return messages.MemberChange(
         member=messages.Member(
             host=host,
-            incarnation=run,
+            incarnation=incarnation,
             data_centre="lima",
             peer_address="127.0.0.1:7",
             leaving=leaving,
@@ -119,19 +121,19 @@
     )
 
 
-def goes(host, run="1"):
+def make_member_gone(host, incarnation="1"):
     """Returns the entry of a host that is gone."""
     return messages.MemberChange(
-        member=messages.Member(host=host, incarnation=run), gone=True
+        member=messages.Member(host=host, incarnation=incarnation), gone=True
     )
 
 
-def renewal(host, *services, run="1", acks=(), **fields):
+def make_renewal(host, *services, incarnation="1", acks=(), **fields):
     """Returns a renewal; acks are (service, version[, active])."""
     fields.setdefault("interests", sorted(services))
     return messages.LeaseRenew(
         host=host,
-        incarnation=run,
+        incarnation=incarnation,
         data_centre="lima",
         peer_address="127.0.0.1:7",
         serves=[
--- a/tests/processfakes.py
+++ b/tests/processfakes.py
@@ -113,7 +113,7 @@
 
     async def versions(self) -> list[str]:
         """Returns the versions of the sheets in the history, oldest first."""
-        history = await self.client.ask("GET", "/v1/history")
+        history = await self.client.send_request("GET", "/v1/history")
         return [item["version"] for item in history["items"]]
 
     async def wait_voter(self, host: hosts.ControlHost) -> None:
--- a/tests/test_doorkeeper.py
+++ b/tests/test_connectionlimits.py
@@ -5,22 +5,22 @@
 
 from aiohttp import web
 
-from mangobay import doorkeeper
+from mangobay import connectionlimits
 
-LONG = 20.0
+WAIT_SECONDS = 20.0
 REQUEST = b"GET / HTTP/1.1\r\nHost: here\r\n\r\n"
 
 
 @contextlib.asynccontextmanager
-async def listening(bounds: doorkeeper.Bounds):
+async def running_server(bounds: connectionlimits.Limits):
     """Serves an application; gives what opens a connection to it."""
 
     async def answer(request):
         del request
         return web.Response(text="yes")
 
-    door = doorkeeper.Doorkeeper(bounds)
-    app = web.Application(middlewares=[door.note])
+    door = connectionlimits.ConnectionLimiter(bounds)
+    app = web.Application(middlewares=[door.record_request])
     app.router.add_get("/", answer)
     runner = web.AppRunner(app)
     await runner.setup()
@@ -35,14 +35,14 @@
 
 async def is_ended(reader: asyncio.StreamReader) -> bool:
     """Returns whether the other side ended the connection unanswered."""
-    async with asyncio.timeout(LONG):
+    async with asyncio.timeout(WAIT_SECONDS):
         try:
             return not await reader.read(1)
         except ConnectionError:
             return True
 
 
-class TestDoorkeeper:
+class TestConnectionLimiter:
     """Connections that are not taken, or ended."""
 
     async def test_a_silent_connection_is_ended(self):
@@ -51,8 +51,8 @@
         The first is ended after a while, so that it cannot hold its place
         for ever.  The second is answered, and its connection stays.
         """
-        bounds = doorkeeper.Bounds(request_seconds=0.2)
-        async with listening(bounds) as connect:
+        bounds = connectionlimits.Limits(request_timeout=0.2)
+        async with running_server(bounds) as connect:
             reader, writer = await connect()
             slow_reader, slow_writer = await connect()
             slow_writer.write(REQUEST[:20])
@@ -70,7 +70,9 @@
         It is ended at once; after one of the two has gone, the next is
         taken.
         """
-        async with listening(doorkeeper.Bounds(connections=2)) as connect:
+        async with running_server(
+            connectionlimits.Limits(max_connections=2)
+        ) as connect:
             standing = [await connect() for _ in range(2)]
             for reader, writer in standing:
                 writer.write(REQUEST)
@@ -80,7 +82,7 @@
             writer.close()
             standing[0][1].close()
             await is_ended(standing[0][0])
-            async with asyncio.timeout(LONG):
+            async with asyncio.timeout(WAIT_SECONDS):
                 while not await is_answered(connect):
                     await asyncio.sleep(0.01)
             standing[1][1].close()
--- a/tests/test_controlclient.py
+++ b/tests/test_controlclient.py
@@ -66,22 +66,24 @@
     async def test_a_change_is_in_force_well_before_the_next_renewal(
         self, client, group
     ):
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(1.5)
             assert client.lease.is_valid()
             entry = group.append(
-                controlfakes.sheet("1", controlfakes.operation("sign"))
+                controlfakes.make_sheet_change(
+                    "1", controlfakes.make_operation("sign")
+                )
             )
             await asyncio.sleep(0.1)
             assert client.tables.value.revision == entry.index
             assert client.views.value["quotes"].active
 
     async def test_an_idle_node_renews_at_its_interval(self, client, transport):
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(20)
-            assert 18 <= len(transport.asked) <= 30
+            assert 18 <= len(transport.requests) <= 30
 
     async def test_without_control_the_last_table_stays(
         self, client, group, transport
@@ -91,19 +93,21 @@
         The lease ends ttl after the last renewal was sent; the table and
         the views stay, so that idempotent calls still find their way.
         """
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             entry = group.append(
-                controlfakes.sheet("1", controlfakes.operation("sign"))
+                controlfakes.make_sheet_change(
+                    "1", controlfakes.make_operation("sign")
+                )
             )
             await asyncio.sleep(1)
-            tables = dict(transport.tables)
-            transport.tables.clear()
+            tables = dict(transport.lease_tables)
+            transport.lease_tables.clear()
             await asyncio.sleep(10)
             assert not client.lease.is_valid()
             assert client.tables.value.revision == entry.index
             assert "quotes" in client.views.value
-            transport.tables.update(tables)
+            transport.lease_tables.update(tables)
             await asyncio.sleep(3)
             assert client.lease.is_valid()
 
@@ -115,15 +119,17 @@
         The node gives up after its patience and asks again with the revision
         it has, so the rows come again; it counts no lease for lost answers.
         """
-        async with controlfakes.running(client):
-            transport.lost = True
+        async with controlfakes.running_task(client):
+            transport.loses_replies = True
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             entry = group.append(
-                controlfakes.sheet("1", controlfakes.operation("sign"))
+                controlfakes.make_sheet_change(
+                    "1", controlfakes.make_operation("sign")
+                )
             )
             await asyncio.sleep(2)
             assert not client.lease.is_valid()
-            transport.lost = False
+            transport.loses_replies = False
             await asyncio.sleep(2)
             assert client.tables.value.revision == entry.index
 
@@ -133,8 +139,8 @@
         """A node acts by an older configuration for three seconds and more."""
         third = options.Address("127.0.0.1", 3)
         hosts = (FIRST, SECOND, third)
-        table = transport.tables[FIRST]
-        transport.tables.update(dict.fromkeys(hosts, table))
+        table = transport.lease_tables[FIRST]
+        transport.lease_tables.update(dict.fromkeys(hosts, table))
         silent = set()
         ask = transport.send_request
 
@@ -152,13 +158,15 @@
             "control", hosts=hosts, renew_interval=1.0, patience=0.5
         )
         client = make_client(transport, config)
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(1.5)
             silent.add(client.current_address)
             silent.add(hosts[hosts.index(client.current_address) - 2])
             entry = group.append(
-                controlfakes.sheet("1", controlfakes.operation("sign"))
+                controlfakes.make_sheet_change(
+                    "1", controlfakes.make_operation("sign")
+                )
             )
             await asyncio.sleep(STABLE_SECONDS)
             assert client.tables.value.revision == entry.index
@@ -173,17 +181,19 @@
         longer after each silence and gets its table and its lease, though part
         of that is spent on the way.
         """
-        renew = transport.tables[FIRST].renew
+        renew = transport.lease_tables[FIRST].renew
 
         async def slowly(body):
             await asyncio.sleep(1.5)
             return await renew(body)
 
-        monkeypatch.setattr(transport.tables[FIRST], "renew", slowly)
+        monkeypatch.setattr(transport.lease_tables[FIRST], "renew", slowly)
         entry = group.append(
-            controlfakes.sheet("1", controlfakes.operation("sign"))
+            controlfakes.make_sheet_change(
+                "1", controlfakes.make_operation("sign")
+            )
         )
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             held = 0
             for _ in range(100):
@@ -196,7 +206,7 @@
         follower = controlfakes.FakeGroup(statemachine.ConfigStateMachine())
         follower.leading.clear()
         follower.leader_address = str(FIRST)
-        transport.tables[SECOND] = leases.LeaseTable(
+        transport.lease_tables[SECOND] = leases.LeaseTable(
             follower.machine, follower, 4.0, 1.0
         )
         client = make_client(transport)
@@ -213,15 +223,17 @@
         The node has revision 1 in force and is told revision 0. It takes
         neither table nor lease from that host and asks another.
         """
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             entry = group.append(
-                controlfakes.sheet("1", controlfakes.operation("sign"))
+                controlfakes.make_sheet_change(
+                    "1", controlfakes.make_operation("sign")
+                )
             )
             await asyncio.sleep(1)
             lagging = controlfakes.FakeGroup(statemachine.ConfigStateMachine())
-            lagging.index = 50
-            transport.tables = {
+            lagging.last_index = 50
+            transport.lease_tables = {
                 SECOND: leases.LeaseTable(lagging.machine, lagging, 4.0, 1.0)
             }
             broken = invariants.violation_counts.total()
@@ -238,12 +250,12 @@
     async def test_a_service_is_known_once_control_told_of_it(
         self, client, group
     ):
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             group.append(
-                controlfakes.sheet(
+                controlfakes.make_sheet_change(
                     "1",
-                    controlfakes.operation("sign"),
-                    controlfakes.operation("rank", service="prices"),
+                    controlfakes.make_operation("sign"),
+                    controlfakes.make_operation("rank", service="prices"),
                 )
             )
             await client.fetch_service("quotes")
@@ -258,7 +270,7 @@
         Kept as interests, they would fill every renewal and the leader's
         memory. Each is asked for once, then dropped and remembered briefly.
         """
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             for number in range(1100):
                 await client.fetch_service(f"none-{number}")
             assert not client.interests.wanted
@@ -266,9 +278,9 @@
                 len(client.interests.unknown_until)
                 <= interests.MAX_UNKNOWN_SERVICES
             )
-            asked = len(transport.asked)
+            asked = len(transport.requests)
             await client.fetch_service("none-1099")
-            assert len(transport.asked) == asked
+            assert len(transport.requests) == asked
 
     async def test_a_service_unused_for_long_is_not_followed_any_more(
         self, client, group, transport
@@ -279,12 +291,12 @@
         push. It is dropped with rows and view; called again, the first call
         goes by the rows in force then. What is served or used stays.
         """
-        first = controlfakes.operation("rank", service="prices", tries=1)
-        later = controlfakes.operation("rank", service="prices", tries=2)
-        stock = controlfakes.operation("list", service="stock")
-        group.append(controlfakes.joins("b", "prices"))
-        entry = group.append(controlfakes.sheet("1", first, stock))
-        async with controlfakes.running(client):
+        first = controlfakes.make_operation("rank", service="prices", tries=1)
+        later = controlfakes.make_operation("rank", service="prices", tries=2)
+        stock = controlfakes.make_operation("list", service="stock")
+        group.append(controlfakes.make_member_join("b", "prices"))
+        entry = group.append(controlfakes.make_sheet_change("1", first, stock))
+        async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await client.fetch_service("prices")
             for _ in range(10):
@@ -293,8 +305,10 @@
             assert client.interests.known == {"quotes", "stock"}
             assert "prices" not in client.views.value
             assert "prices" not in client.tables.value.services
-            assert "prices" not in transport.asked[-1][2].interests
-            group.append(controlfakes.sheet("2", later, base=entry.index))
+            assert "prices" not in transport.requests[-1][2].interests
+            group.append(
+                controlfakes.make_sheet_change("2", later, base=entry.index)
+            )
             await client.fetch_service("prices")
             found = client.tables.value.services["prices"].operations["rank"]
             assert found.tries == 2
@@ -309,7 +323,7 @@
         could be given up too, none would ever be answered and the lease
         would end; renewals that are not held are left to be answered.
         """
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             await asyncio.sleep(1)
             asking = []
             for number in range(6000):
@@ -323,8 +337,8 @@
     async def test_without_control_nothing_is_said_of_a_service(
         self, client, transport
     ):
-        async with controlfakes.running(client):
-            transport.tables.clear()
+        async with controlfakes.running_task(client):
+            transport.lease_tables.clear()
             with pytest.raises(errors.ControlUnavailableError):
                 await client.fetch_service("quotes")
 
@@ -340,20 +354,22 @@
         dice = random.Random(11)
         client.keyless = keyless
         told = []
-        renew = transport.tables[FIRST].renew
+        renew = transport.lease_tables[FIRST].renew
 
         async def listen(renewal):
             grant = await renew(renewal)
             told.append(grant)
             return grant
 
-        transport.tables[FIRST].renew = listen
-        async with controlfakes.running(client):
+        transport.lease_tables[FIRST].renew = listen
+        async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(1)
             for turn in range(200):
                 host = f"h{dice.randrange(20)}"
-                member = controlfakes.joins(host, "quotes", run=str(turn))
+                member = controlfakes.make_member_join(
+                    host, "quotes", incarnation=str(turn)
+                )
                 if dice.random() < 0.3 and host in group.machine.members:
                     record = group.machine.members[host]
                     member = messages.MemberChange(
@@ -374,7 +390,7 @@
 
     async def test_steps_from_another_view_are_left_alone(self, client, group):
         """Guards against steps on top of the wrong view by a late answer."""
-        async with controlfakes.running(client):
+        async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(1)
             before = client.views.value["quotes"]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -61,18 +61,20 @@
         while clock.now() < 600:
             for services in ((), ("quotes",)):
                 assert (
-                    await table.renew(controlfakes.renewal("a", *services))
+                    await table.renew(controlfakes.make_renewal("a", *services))
                 ).granted
                 await asyncio.sleep(0.5)
-        assert group.index < 60
-        await renew_until(table, 800, controlfakes.renewal("a", "quotes"))
+        assert group.last_index < 60
+        await renew_until(table, 800, controlfakes.make_renewal("a", "quotes"))
         assert [m.host for m in state.views["quotes"].members] == ["a"]
 
     async def test_a_host_that_restarts_now_and_then_is_not_kept_out(
         self, table, state
     ):
         for run in range(20):
-            await table.renew(controlfakes.renewal("a", "quotes", run=str(run)))
+            await table.renew(
+                controlfakes.make_renewal("a", "quotes", incarnation=str(run))
+            )
             (member,) = state.views["quotes"].members
             assert member.incarnation == str(run)
             await asyncio.sleep(flapping.RESET_SECONDS + 1)
@@ -84,8 +86,8 @@
         renewal that says so, whatever came before.
         """
         for _ in range(flapping.UNDAMPED_JOINS):
-            await table.renew(controlfakes.renewal("a", "quotes"))
-            await table.renew(controlfakes.renewal("a"))
+            await table.renew(controlfakes.make_renewal("a", "quotes"))
+            await table.renew(controlfakes.make_renewal("a"))
             assert not state.views["quotes"].members
 
 
@@ -94,13 +96,13 @@
 
     async def test_a_new_host_joins_and_gets_what_it_lacks(self, table, group):
         group.append(
-            controlfakes.sheet(
+            controlfakes.make_sheet_change(
                 "1",
-                controlfakes.operation("sign"),
-                controlfakes.operation("rank", service="prices"),
+                controlfakes.make_operation("sign"),
+                controlfakes.make_operation("rank", service="prices"),
             )
         )
-        grant = await table.renew(controlfakes.renewal("a", "quotes"))
+        grant = await table.renew(controlfakes.make_renewal("a", "quotes"))
         assert grant.granted
         assert [row.name for row in grant.table.changed] == ["sign"]
         assert [view.service for view in grant.views] == ["quotes"]
@@ -114,13 +116,15 @@
         not claim to reach back to the first one.
         """
         for run in "1234":
-            group.append(controlfakes.joins("a", "quotes", run=run))
-        caller = controlfakes.renewal("b", "prices", interests=["quotes"])
+            group.append(
+                controlfakes.make_member_join("a", "quotes", incarnation=run)
+            )
+        caller = controlfakes.make_renewal("b", "prices", interests=["quotes"])
         told = {v.service: v for v in (await table.renew(caller)).views}
         assert [m.host for m in told["quotes"].members] == ["a"]
         assert not told["quotes"].formers
         assert not told["quotes"].lineage_whole
-        member = controlfakes.renewal("a", "quotes", run="4")
+        member = controlfakes.make_renewal("a", "quotes", incarnation="4")
         (view,) = (await table.renew(member)).views
         assert len(view.formers) == 3
         assert view.lineage_whole
@@ -133,17 +137,17 @@
         gives its slots to another. When the cut ends, the answer is a
         refusal that names the new leader.
         """
-        await table.renew(controlfakes.renewal("a", "quotes"))
-        group.cut()
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
+        group.lose_quorum()
         asking = asyncio.create_task(
-            table.renew(controlfakes.renewal("a", "quotes"))
+            table.renew(controlfakes.make_renewal("a", "quotes"))
         )
         await asyncio.sleep(60)
         assert not asking.done()
         group.leading.clear()
         group.term = ids.Term(2)
         group.leader = ids.HostId("c2")
-        group.whole.set()
+        group.has_quorum.set()
         grant = await asking
         assert not grant.granted
         assert grant.leader == "c2"
@@ -156,10 +160,10 @@
         What was noted for the renewal belongs to the former term; a grant
         that the new term knows nothing of would not delay the node's end.
         """
-        await table.renew(controlfakes.renewal("a", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
         held = asyncio.create_task(
             table.renew(
-                controlfakes.renewal(
+                controlfakes.make_renewal(
                     "a", "quotes", hold_ms=900, acks=[("quotes", 1, True)]
                 )
             )
@@ -169,20 +173,22 @@
         assert not (await held).granted
 
     async def test_a_change_answers_a_held_renewal_at_once(self, table, group):
-        await table.renew(controlfakes.renewal("a", "quotes"))
-        ask = controlfakes.renewal("a", "quotes", hold_ms=900)
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
+        ask = controlfakes.make_renewal("a", "quotes", hold_ms=900)
         ask.views = [messages.ViewAck(service="quotes", version=1, active=True)]
         held = asyncio.create_task(table.renew(ask))
         await asyncio.sleep(0.2)
         group.append(
-            controlfakes.sheet(
-                "1", controlfakes.operation("rank", service="prices")
+            controlfakes.make_sheet_change(
+                "1", controlfakes.make_operation("rank", service="prices")
             )
         )
         await asyncio.sleep(0.1)
         assert not held.done()
         group.append(
-            controlfakes.sheet("2", controlfakes.operation("sign"), base=2)
+            controlfakes.make_sheet_change(
+                "2", controlfakes.make_operation("sign"), base=2
+            )
         )
         grant = await held
         assert clock.now() < 0.4
@@ -198,16 +204,18 @@
         Taken in, it would put the dead run into the view again, and the
         living one would put it out: a new view with every renewal.
         """
-        await table.renew(controlfakes.renewal("a", "quotes"))
-        await table.renew(controlfakes.renewal("a", "quotes", run="2"))
-        late = await table.renew(controlfakes.renewal("a", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
+        await table.renew(
+            controlfakes.make_renewal("a", "quotes", incarnation="2")
+        )
+        late = await table.renew(controlfakes.make_renewal("a", "quotes"))
         assert not late.granted
         assert state.members["a"].member.incarnation == "2"
 
     async def test_a_drained_host_is_told_until_it_leaves(self, table, group):
-        await table.renew(controlfakes.renewal("a", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
         group.append(messages.DrainChange(host="a"))
-        ask = controlfakes.renewal(
+        ask = controlfakes.make_renewal(
             "a", "quotes", hold_ms=900, acks=[("quotes", 1, True)]
         )
         assert (await table.renew(ask)).drain
@@ -219,8 +227,8 @@
     async def test_a_silent_host_is_gone_after_ttl_and_margin(
         self, table, state
     ):
-        async with controlfakes.running(table):
-            await table.renew(controlfakes.renewal("a", "quotes"))
+        async with controlfakes.running_task(table):
+            await table.renew(controlfakes.make_renewal("a", "quotes"))
             await asyncio.sleep(TTL + MARGIN - 0.1)
             assert "a" in state.members
             await asyncio.sleep(0.6)
@@ -236,8 +244,8 @@
         term began. Its lease is then still good, so the new leader waits
         the whole ttl and margin from the start of its own term.
         """
-        async with controlfakes.running(table):
-            await table.renew(controlfakes.renewal("a", "quotes"))
+        async with controlfakes.running_task(table):
+            await table.renew(controlfakes.make_renewal("a", "quotes"))
             await asyncio.sleep(4.5)
             group.term = ids.Term(2)
             await asyncio.sleep(TTL + MARGIN - 0.1)
@@ -254,11 +262,13 @@
         that was replaced never comes back, and once the host stays up the
         view becomes active.
         """
-        async with controlfakes.running(table):
+        async with controlfakes.running_task(table):
             versions = []
             for run in range(1, 9):
                 await table.renew(
-                    controlfakes.renewal("a", "quotes", run=f"{run}")
+                    controlfakes.make_renewal(
+                        "a", "quotes", incarnation=f"{run}"
+                    )
                 )
                 versions.append(state.views["quotes"].version)
                 await asyncio.sleep(0.5)
@@ -269,8 +279,11 @@
             await renew_until(
                 table,
                 clock.now() + TTL + MARGIN + 1,
-                controlfakes.renewal(
-                    "a", "quotes", run="8", acks=[("quotes", view.version)]
+                controlfakes.make_renewal(
+                    "a",
+                    "quotes",
+                    incarnation="8",
+                    acks=[("quotes", view.version)],
                 ),
             )
             assert "quotes" in table.view_activity.active_services
@@ -282,7 +295,7 @@
         Renewals lie unread in its sockets, and by its clock every host was
         silent for too long. It counts from now on instead.
         """
-        await table.renew(controlfakes.renewal("a", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
         stopped = clock.now()
         await asyncio.sleep(10)
         await table.check_expiry(stopped)
@@ -298,16 +311,18 @@
     async def test_a_view_is_active_once_each_former_member_knows_it(
         self, table, state
     ):
-        await table.renew(controlfakes.renewal("a", "quotes"))
-        await table.renew(controlfakes.renewal("b", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
+        await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = state.views["quotes"].version
         assert "quotes" not in table.view_activity.active_services
         await table.renew(
-            controlfakes.renewal("a", "quotes", acks=[("quotes", version - 1)])
+            controlfakes.make_renewal(
+                "a", "quotes", acks=[("quotes", version - 1)]
+            )
         )
         assert "quotes" not in table.view_activity.active_services
         grant = await table.renew(
-            controlfakes.renewal("a", "quotes", acks=[("quotes", version)])
+            controlfakes.make_renewal("a", "quotes", acks=[("quotes", version)])
         )
         assert grant.views[0].active
 
@@ -321,18 +336,20 @@
         their held renewals stay held.
         """
         for host in "ab":
-            await table.renew(controlfakes.renewal(host, "quotes"))
+            await table.renew(controlfakes.make_renewal(host, "quotes"))
         caller = {"interests": ["prices", "quotes"]}
-        grant = await table.renew(controlfakes.renewal("c", "prices", **caller))
+        grant = await table.renew(
+            controlfakes.make_renewal("c", "prices", **caller)
+        )
         acks = [(view.service, view.version, True) for view in grant.views]
         acks = [acks[0], acks[1][:2]]
-        asked = controlfakes.renewal(
+        asked = controlfakes.make_renewal(
             "c", "prices", acks=acks, hold_ms=900, **caller
         )
         held = asyncio.create_task(table.renew(asked))
         await asyncio.sleep(0.1)
         grant = await table.renew(
-            controlfakes.renewal("a", "quotes", acks=[acks[1]])
+            controlfakes.make_renewal("a", "quotes", acks=[acks[1]])
         )
         assert [view.active for view in grant.views] == [True]
         await asyncio.sleep(0.1)
@@ -348,18 +365,20 @@
         act by the first until it acknowledges a later view or its lease
         ends. Until then the newest view must not be called active.
         """
-        await table.renew(controlfakes.renewal("a", "quotes"))
-        await table.renew(controlfakes.renewal("b", "quotes"))
-        await table.renew(controlfakes.renewal("a", interests=["quotes"]))
-        await table.renew(controlfakes.renewal("c", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
+        await table.renew(controlfakes.make_renewal("b", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", interests=["quotes"]))
+        await table.renew(controlfakes.make_renewal("c", "quotes"))
         version = state.views["quotes"].version
         for host in ("b", "c"):
             await table.renew(
-                controlfakes.renewal(host, "quotes", acks=[("quotes", version)])
+                controlfakes.make_renewal(
+                    host, "quotes", acks=[("quotes", version)]
+                )
             )
         assert "quotes" not in table.view_activity.active_services
         await table.renew(
-            controlfakes.renewal(
+            controlfakes.make_renewal(
                 "a", interests=["quotes"], acks=[("quotes", version)]
             )
         )
@@ -373,13 +392,15 @@
         The new leader does not know who was waited for. It waits ttl and
         margin: whoever still has a lease has by then renewed with it.
         """
-        async with controlfakes.running(table):
-            await table.renew(controlfakes.renewal("a", "quotes"))
-            await table.renew(controlfakes.renewal("b", "quotes"))
+        async with controlfakes.running_task(table):
+            await table.renew(controlfakes.make_renewal("a", "quotes"))
+            await table.renew(controlfakes.make_renewal("b", "quotes"))
             version = state.views["quotes"].version
             group.term = ids.Term(2)
             renewals = [
-                controlfakes.renewal(host, "quotes", acks=[("quotes", version)])
+                controlfakes.make_renewal(
+                    host, "quotes", acks=[("quotes", version)]
+                )
                 for host in ("a", "b")
             ]
             start = clock.now()
@@ -393,20 +414,22 @@
     """Where a revision is in force."""
 
     async def test_stragglers_are_named(self, table, group):
-        await table.renew(controlfakes.renewal("a", "quotes"))
-        await table.renew(controlfakes.renewal("b", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
+        await table.renew(controlfakes.make_renewal("b", "quotes"))
         entry = group.append(
-            controlfakes.sheet("1", controlfakes.operation("sign"))
+            controlfakes.make_sheet_change(
+                "1", controlfakes.make_operation("sign")
+            )
         )
         await table.renew(
-            controlfakes.renewal("a", "quotes", revision=entry.index)
+            controlfakes.make_renewal("a", "quotes", revision=entry.index)
         )
         result = await table.revision_reports.wait_until_in_force(
             entry.index, 0.5
         )
         assert (result.host_count, result.stragglers) == (2, ["b"])
         await table.renew(
-            controlfakes.renewal("b", "quotes", revision=entry.index)
+            controlfakes.make_renewal("b", "quotes", revision=entry.index)
         )
         assert not table.revision_reports.rollout_status(entry.index).stragglers
 
@@ -429,7 +452,7 @@
         """Renews for one node for ever."""
         held = {}
         while True:
-            ask = controlfakes.renewal(
+            ask = controlfakes.make_renewal(
                 host,
                 "quotes",
                 hold_ms=900,
@@ -472,7 +495,9 @@
         """Guards against bytes that grow with nodes times members."""
         fleet = FakeNodes(table, nodes)
         async with fleet.running():
-            group.append(controlfakes.joins("h0001", "quotes", slots=71))
+            group.append(
+                controlfakes.make_member_join("h0001", "quotes", slots=71)
+            )
             await asyncio.sleep(0.8)
             assert fleet.update_count >= nodes - 1
             assert fleet.update_bytes / fleet.update_count < 600
@@ -485,7 +510,9 @@
         async with fleet.running():
             for number in range(100):
                 group.append(
-                    controlfakes.joins(f"h{number:04}", "quotes", slots=71)
+                    controlfakes.make_member_join(
+                        f"h{number:04}", "quotes", slots=71
+                    )
                 )
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.8)
@@ -494,11 +521,11 @@
 
     async def test_a_node_that_owns_keys_is_told_at_once(self, table, group):
         """Guards against keyed calls to an owner that is known to be gone."""
-        await table.renew(controlfakes.renewal("a", "quotes"))
-        await table.renew(controlfakes.renewal("b", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
+        await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
         async with FakeNodes(table, 200).running():
-            ask = controlfakes.renewal(
+            ask = controlfakes.make_renewal(
                 "b",
                 "quotes",
                 acks=[("quotes", group.machine.views["quotes"].version, True)],
@@ -506,7 +533,7 @@
             )
             held = asyncio.create_task(table.renew(ask))
             await asyncio.sleep(0.01)
-            group.append(controlfakes.goes("a"))
+            group.append(controlfakes.make_member_gone("a"))
             began = clock.now()
             await held
             assert clock.now() - began < 0.01
@@ -516,10 +543,10 @@
         self, table, group
     ):
         """Guards against a second answer to every member for each change."""
-        await table.renew(controlfakes.renewal("a", "quotes"))
-        await table.renew(controlfakes.renewal("b", "quotes"))
+        await table.renew(controlfakes.make_renewal("a", "quotes"))
+        await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
-        ask = controlfakes.renewal(
+        ask = controlfakes.make_renewal(
             "b",
             "quotes",
             acks=[("quotes", version)],
@@ -529,7 +556,7 @@
         held = asyncio.create_task(table.renew(ask))
         await asyncio.sleep(0.1)
         await table.renew(
-            controlfakes.renewal("a", "quotes", acks=[("quotes", version)])
+            controlfakes.make_renewal("a", "quotes", acks=[("quotes", version)])
         )
         assert "quotes" in table.view_activity.active_services
         await asyncio.sleep(0.1)
--- a/tests/test_leases_random.py
+++ b/tests/test_leases_random.py
@@ -92,12 +92,14 @@
     def elect(self, address, term):
         """Cuts the former leader off, which is not told, and elects one."""
         for group in self.groups.values():
-            group.cut()
+            group.lose_quorum()
         group = self.groups[address]
-        group.index = max(other.index for other in self.groups.values())
+        group.last_index = max(
+            other.last_index for other in self.groups.values()
+        )
         group.term = ids.Term(term)
         group.leading.set()
-        group.whole.set()
+        group.has_quorum.set()
 
     def start_node(self, host):
         """Starts the next run of a host; a former one may be living still."""
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -17,8 +17,8 @@
             reason=messages.Reason.OVERLOADED,
         )
         for thousandth in range(1, 1001):
-            counts.ended(OPERATION, answered, thousandth / 1000)
-        counts.ended(OPERATION, shed, 1e9)
+            counts.record_call(OPERATION, answered, thousandth / 1000)
+        counts.record_call(OPERATION, shed, 1e9)
         lines = counts.render().decode().splitlines()
         labels = 'operation="price",outcome="not_run",reason="overloaded"'
         assert f'mangobay_calls_total{{{labels},service="stock"}} 1.0' in lines
@@ -31,7 +31,7 @@
         counts = metrics.Metrics()
         answered = messages.Reply(outcome=messages.Outcome.ANSWERED)
         for seconds in (0.004, 0.004, 0.3, 60.0):
-            counts.ended(OPERATION, answered, seconds)
+            counts.record_call(OPERATION, answered, seconds)
         lines = counts.render().decode().splitlines()
         name = "mangobay_answer_time_seconds"
         labels = 'operation="price",service="stock"'
@@ -48,5 +48,5 @@
         counts = metrics.Metrics()
         answered = messages.Reply(outcome=messages.Outcome.ANSWERED)
         for seconds in (-1.0, 0.0, 1e9):
-            counts.ended(OPERATION, answered, seconds)
+            counts.record_call(OPERATION, answered, seconds)
         assert b'quantile="0.999"' in counts.render()
--- a/tests/test_operatorapi.py
+++ b/tests/test_operatorapi.py
@@ -25,15 +25,15 @@
 
     def __init__(self, session, address):
         self.session = session
-        self.base = f"http://{address}"
+        self.base_url = f"http://{address}"
 
-    async def ask(self, method, path, **options):
-        url = self.base + path
+    async def send_request(self, method, path, **options):
+        url = self.base_url + path
         async with self.session.request(method, url, **options) as answer:
             return answer.status, await answer.json(content_type=None)
 
     async def apply(self, version, *names):
-        return await self.ask(
+        return await self.send_request(
             "POST",
             "/v1/sheets",
             params={"version": version, "operator": "ana"},
@@ -41,12 +41,12 @@
         )
 
 
-def parse(data, name):
+def parse_words(data, name):
     """Stands for `sheet.parse`: a row for each word."""
     words = data.decode().split()
     if "fault" in words:
         raise errors.SheetError([findings.Finding(f"{name}:row 2", "fault")])
-    rows = [controlfakes.operation(word) for word in words]
+    rows = [controlfakes.make_operation(word) for word in words]
     return types.SimpleNamespace(operations=rows, digest=data)
 
 
@@ -56,7 +56,7 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(group):
+async def running_api(group):
     """Serves the API; gives an operator."""
     table = leases.LeaseTable(group.machine, group, 4.0, 1.0)
     api = operatorapi.OperatorApi(LOOPBACK, group, group.machine, table, 2000)
@@ -70,7 +70,7 @@
 
 @pytest.fixture(autouse=True)
 def sheets(monkeypatch):
-    monkeypatch.setattr(operatorapi.sheet, "parse", parse)
+    monkeypatch.setattr(operatorapi.sheet, "parse", parse_words)
 
 
 class TestSheets:
@@ -82,7 +82,7 @@
         Exactly one is accepted. The other gets 409 and the revision of the
         winner, and nothing of its sheet is in force.
         """
-        async with serving(group) as operator:
+        async with running_api(group) as operator:
             answers = await asyncio.gather(
                 operator.apply("7", "sign"), operator.apply("7", "price")
             )
@@ -97,13 +97,13 @@
         The operator sends the same sheet again and is told the revision that
         it got, not a new one; the later version stays in force.
         """
-        async with serving(group) as operator:
+        async with running_api(group) as operator:
             _, first = await operator.apply("1", "sign", "price")
             await operator.apply("2", "sign")
             status, again = await operator.apply("1", "sign", "price")
             assert status == 200
             assert again == first | {"repeated": True}
-            assert (group.machine.revision, group.index) == (2, 2)
+            assert (group.machine.revision, group.last_index) == (2, 2)
 
     async def test_a_version_of_long_ago_is_refused(self, group, monkeypatch):
         """The history is cut; an operator resends a sheet from before it.
@@ -113,13 +113,13 @@
         history says how many sheets it does not name.
         """
         monkeypatch.setattr(statemachine, "MAX_HISTORY_ITEMS", 1)
-        async with serving(group) as operator:
+        async with running_api(group) as operator:
             await operator.apply("1", "sign")
             await operator.apply("2", "sign", "price")
             status, answer = await operator.apply("1", "sign")
             assert (status, "winner" in answer) == (409, False)
             assert group.machine.revision == 2
-            _, history = await operator.ask("GET", "/v1/history")
+            _, history = await operator.send_request("GET", "/v1/history")
             assert history["cut"] == 1
             assert [item["version"] for item in history["items"]] == ["2"]
 
@@ -130,7 +130,9 @@
         is refused when applied, compared again, and its operator sees only
         that the sheet is in force, whole.
         """
-        late = controlfakes.sheet("1", controlfakes.operation("late"))
+        late = controlfakes.make_sheet_change(
+            "1", controlfakes.make_operation("late")
+        )
         confirm = group.confirm_leadership
 
         async def confirm_with_late_entry():
@@ -141,14 +143,14 @@
 
         confirms = []
         group.confirm_leadership = confirm_with_late_entry
-        async with serving(group) as operator:
+        async with running_api(group) as operator:
             status, answer = await operator.apply("2", "sign")
             assert (status, answer["removed"]) == (200, 1)
             names = [row.name for row in group.machine.operations()]
             assert names == ["sign"]
 
     async def test_findings_are_told_and_nothing_changes(self, group):
-        async with serving(group) as operator:
+        async with running_api(group) as operator:
             status, answer = await operator.apply("1", "sign", "fault")
             assert status == 422
             assert answer["findings"][0]["place"] == "sheet:row 2"
@@ -160,7 +162,7 @@
 
     async def test_a_host_that_does_not_lead_names_the_leader(self, group):
         group.leading.clear()
-        async with serving(group) as operator:
+        async with running_api(group) as operator:
             status, answer = await operator.apply("1", "sign")
             assert (status, answer["leader"]) == (503, "c1")
             assert answer["leader_peer_address"] == group.leader_address
@@ -170,10 +172,10 @@
     """What operators are told."""
 
     async def test_status_names_hosts_and_stragglers(self, group):
-        async with serving(group) as operator:
-            group.append(controlfakes.joins("a", "quotes"))
+        async with running_api(group) as operator:
+            group.append(controlfakes.make_member_join("a", "quotes"))
             await operator.apply("1", "sign")
-            _, status = await operator.ask("GET", "/v1/status")
+            _, status = await operator.send_request("GET", "/v1/status")
             assert status["leader"] == "c1"
             assert status["hosts"][0]["serves"] == ["quotes"]
             assert status["in_force"] == {
@@ -181,34 +183,34 @@
                 "of": 1,
                 "stragglers": ["a"],
             }
-            _, history = await operator.ask("GET", "/v1/history")
+            _, history = await operator.send_request("GET", "/v1/history")
             assert history["items"][0]["operator"] == "ana"
 
     async def test_drain_of_a_host(self, group):
-        async with serving(group) as operator:
-            status, _ = await operator.ask("POST", "/v1/hosts/a/drain")
+        async with running_api(group) as operator:
+            status, _ = await operator.send_request("POST", "/v1/hosts/a/drain")
             assert status == 404
-            group.append(controlfakes.joins("a", "quotes"))
-            status, _ = await operator.ask("POST", "/v1/hosts/a/drain")
+            group.append(controlfakes.make_member_join("a", "quotes"))
+            status, _ = await operator.send_request("POST", "/v1/hosts/a/drain")
             assert status == 202
             assert group.machine.draining == {"a"}
 
     async def test_bad_requests_get_one_clear_problem(self, group):
-        async with serving(group) as operator:
+        async with running_api(group) as operator:
             for method, path, expected in (
                 ("GET", "/v1/revisions/x/in-force", 400),
                 ("GET", "/v1/revisions/9/in-force", 404),
                 ("DELETE", "/v1/sheets", 405),
                 ("GET", "/v2", 404),
             ):
-                status, answer = await operator.ask(method, path)
+                status, answer = await operator.send_request(method, path)
                 assert (status, answer["status"]) == (expected, expected)
 
     async def test_health_and_metrics_need_no_quorum(self, group):
-        group.cut()
-        async with serving(group) as operator:
-            status, health = await operator.ask("GET", "/health")
+        group.lose_quorum()
+        async with running_api(group) as operator:
+            status, health = await operator.send_request("GET", "/health")
             assert (status, health["leads"]) == (200, True)
-            url = operator.base + "/metrics"
+            url = operator.base_url + "/metrics"
             async with operator.session.get(url) as answer:
                 assert "mangobay_control_leads 1.0" in await answer.text()
--- a/tests/test_operatorclient.py
+++ b/tests/test_operatorclient.py
@@ -17,16 +17,16 @@
 REVISION_PATH = "/v1/revisions/7/in-force"
 
 
-class FakeControl:
+class FakeControlHost:
     """Answers from a list, one item a request; None breaks the connection."""
 
     def __init__(self, *answers):
-        self.answers = list(answers)
+        self.responses = list(answers)
         self.requests = []
 
     async def handle(self, request):
         self.requests.append((request.path_qs, await request.read()))
-        answer = self.answers.pop(0)
+        answer = self.responses.pop(0)
         if answer is None:
             request.transport.abort()
             return web.Response()
@@ -35,7 +35,7 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(*controls):
+async def running_hosts(*controls):
     """Gives the addresses of the fakes while they serve."""
     async with contextlib.AsyncExitStack() as stack:
         found = []
@@ -56,15 +56,15 @@
         answer is read.  The same content under the same version goes to the
         next host, so the control group gives the first answer again.
         """
-        first = FakeControl(None)
-        second = FakeControl((503, {"leader": "c1"}))
-        third = FakeControl((200, {**ACCEPTED, "repeated": True}))
+        first = FakeControlHost(None)
+        second = FakeControlHost((503, {"leader": "c1"}))
+        third = FakeControlHost((200, {**ACCEPTED, "repeated": True}))
         async with (
-            serving(first, second, third) as addresses,
+            running_hosts(first, second, third) as addresses,
             operatorclient.OperatorClient(addresses) as client,
         ):
             accepted = await client.apply(SHEET.encode(), "1", "ana")
-            assert client.leader == addresses[2]
+            assert client.preferred_address == addresses[2]
         assert accepted.repeated
         assert first.requests == second.requests == third.requests
         assert first.requests == [
@@ -73,14 +73,14 @@
 
     async def test_refusals_are_typed(self):
         finding = {"place": "s:row 2", "message": "no"}
-        control = FakeControl(
+        control = FakeControlHost(
             (409, {"winner": 5}),
             (422, {"findings": [finding]}),
             (404, {"title": "no such host"}),
             (200, {}),
         )
         async with (
-            serving(control) as addresses,
+            running_hosts(control) as addresses,
             operatorclient.OperatorClient(addresses) as client,
         ):
             with pytest.raises(errors.ConflictError) as conflict:
@@ -94,10 +94,12 @@
         assert conflict.value.winner == 5
 
     async def test_nobody_leads(self):
-        control = FakeControl(*[(503, {"leader": ""})] * 3)
+        control = FakeControlHost(*[(503, {"leader": ""})] * 3)
         async with (
-            serving(control) as addresses,
-            operatorclient.OperatorClient(addresses, patience=0) as client,
+            running_hosts(control) as addresses,
+            operatorclient.OperatorClient(
+                addresses, timeout_seconds=0
+            ) as client,
         ):
             with pytest.raises(errors.ControlUnreachableError, match="lead"):
                 await client.hosts()
@@ -107,20 +109,20 @@
     """Exit codes and what is printed."""
 
     async def run(self, control, *words):
-        async with serving(control) as addresses:
+        async with running_hosts(control) as addresses:
             named = ",".join(map(str, addresses))
             argv = ["--control", named, *map(str, words)]
             return await asyncio.to_thread(cmdline.main, argv)
 
     @pytest.mark.parametrize(
         ("lag", "code"),
-        [([], commands.Exit.OK), (["n2"], commands.Exit.NOT_IN_FORCE)],
+        [([], commands.ExitCode.OK), (["n2"], commands.ExitCode.NOT_IN_FORCE)],
     )
     async def test_apply_waits(self, tmp_path, capsys, lag, code):
         path = tmp_path / "s.csv"
         path.write_text(SHEET)
         state = {"count": 2 - len(lag), "of": 2, "stragglers": lag}
-        control = FakeControl((200, ACCEPTED), (200, state))
+        control = FakeControlHost((200, ACCEPTED), (200, state))
         words = ("apply", path, "--version", "1", "--wait", "2")
         assert await self.run(control, *words) == code
         assert control.requests[1][0] == f"{REVISION_PATH}?wait=2"
@@ -131,18 +133,18 @@
     async def test_bad_sheet_is_not_sent(self, tmp_path, capsys):
         path = tmp_path / "s.csv"
         path.write_text(SHEET.replace("critical", "crtical"))
-        control = FakeControl()
+        control = FakeControlHost()
         words = ("apply", path, "--version", "1")
-        assert await self.run(control, *words) == commands.Exit.BAD_INPUT
+        assert await self.run(control, *words) == commands.ExitCode.BAD_INPUT
         assert "row 2, column importance" in capsys.readouterr().err
         assert control.requests == []
 
     async def test_conflict_names_the_winner(self, tmp_path, capsys):
         path = tmp_path / "s.csv"
         path.write_text(SHEET)
-        control = FakeControl((409, {"winner": 5}))
+        control = FakeControlHost((409, {"winner": 5}))
         words = ("apply", path, "--version", "1")
-        assert await self.run(control, *words) == commands.Exit.CONFLICT
+        assert await self.run(control, *words) == commands.ExitCode.CONFLICT
         assert "revision 5" in capsys.readouterr().err
 
     async def test_status_as_json(self, capsys):
@@ -151,10 +153,12 @@
         status = {"leader": "c1", "term": 2, "commit": 9, "revision": 7}
         status |= {"hosts": [host]}
         status |= {"in_force": {"count": 1, "of": 1, "stragglers": []}}
-        control = FakeControl((200, status), (200, status))
-        assert await self.run(control, "--json", "status") == commands.Exit.OK
+        control = FakeControlHost((200, status), (200, status))
+        assert (
+            await self.run(control, "--json", "status") == commands.ExitCode.OK
+        )
         assert json.loads(capsys.readouterr().out) == status
-        assert await self.run(control, "status") == commands.Exit.OK
+        assert await self.run(control, "status") == commands.ExitCode.OK
         assert "n1    lima         7" in capsys.readouterr().out
 
     async def test_history_between_two_times(self, capsys):
@@ -169,9 +173,11 @@
             }
             for revision in (1, 2, 3)
         ]
-        control = FakeControl((200, {"items": items, "cut": 4}))
+        control = FakeControlHost((200, {"items": items, "cut": 4}))
         limits = ("--since", "1970-01-01T02:00", "--until", "1970-01-01T03:00Z")
-        assert await self.run(control, "history", *limits) == commands.Exit.OK
+        assert (
+            await self.run(control, "history", *limits) == commands.ExitCode.OK
+        )
         out = capsys.readouterr().out
         assert "1970-01-01T02:00:00.000+00:00  v2" in out
         assert "4 older sheets are not named any more" in out
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -343,7 +343,7 @@
     await world.client.status()
 
 
-async def apply_number(world, number) -> operatorclient.Accepted:
+async def apply_number(world, number) -> operatorclient.ApplyResult:
     """Applies a sheet whose deadline is the version's number."""
     data = world.plan.sheet.read_bytes().replace(b"6000", b"%d" % number)
     return await world.client.apply(data, str(number), "ana")
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -8,27 +8,27 @@
 import pytest
 from aiohttp import web
 
-from mangobay import calls, cmdline, errors, ledger, report
+from mangobay import calls, cmdline, errors, outcomelog, report
 from mangobay.generated import messages
 
 Reason = messages.Reason
-BOOK = messages.Operation(
+OPERATION = messages.Operation(
     service="stock", name="book", importance=messages.Importance.CRITICAL
 )
 ANSWERED = messages.Reply(outcome=messages.Outcome.ANSWERED)
-SHED = calls.not_run_reply(Reason.OVERLOADED)
+OVERLOADED = calls.not_run_reply(Reason.OVERLOADED)
 LOST = calls.unknown_reply(Reason.CONNECTION_BROKEN)
-MINUTE = 60_000
+MINUTE_MS = 60_000
 
 
-class Wall:
+class FakeClock:
     """A wall clock that the test moves."""
 
     def __init__(self):
-        self.ms = 0
+        self.now_ms = 0
 
     def __call__(self) -> int:
-        return self.ms
+        return self.now_ms
 
 
 def discard(message: dict) -> None:
@@ -52,9 +52,11 @@
         eliot.remove_destination(destination)
 
 
-def count(record: ledger.Ledger, *replies: messages.Reply) -> None:
+def record_calls(
+    record: outcomelog.OutcomeLog, *replies: messages.Reply
+) -> None:
     for reply in replies:
-        record.count(BOOK, BOOK.importance, True, reply)
+        record.record_call(OPERATION, OPERATION.importance, True, reply)
 
 
 class TestLedger:
@@ -62,30 +64,30 @@
 
     @pytest.mark.looptime
     async def test_each_interval_is_a_line_and_counts_once(self, logged):
-        wall = Wall()
-        record = ledger.Ledger("n1", wall)
+        wall = FakeClock()
+        record = outcomelog.OutcomeLog("n1", wall)
         task = asyncio.create_task(record.run())
         await asyncio.sleep(1)
-        count(record, ANSWERED, ANSWERED, SHED)
-        wall.ms = MINUTE
-        await asyncio.sleep(ledger.INTERVAL)
-        wall.ms = 2 * MINUTE
-        await asyncio.sleep(ledger.INTERVAL)
+        record_calls(record, ANSWERED, ANSWERED, OVERLOADED)
+        wall.now_ms = MINUTE_MS
+        await asyncio.sleep(outcomelog.INTERVAL_SECONDS)
+        wall.now_ms = 2 * MINUTE_MS
+        await asyncio.sleep(outcomelog.INTERVAL_SECONDS)
         task.cancel()
-        opening, first, second = report.read([str(logged)]).intervals
+        opening, first, second = report.read_logs([str(logged)]).intervals
         assert opening.since_ms == opening.until_ms == 0
         assert [item.count for item in first.calls] == [2, 1]
-        assert (first.until_ms, second.since_ms) == (MINUTE, MINUTE)
-        assert second.calls == () and not second.last
+        assert (first.until_ms, second.since_ms) == (MINUTE_MS, MINUTE_MS)
+        assert second.calls == () and not second.is_final
 
     def test_a_wall_clock_set_back_leaves_no_gap(self, logged):
-        wall = Wall()
-        wall.ms = MINUTE
-        record = ledger.Ledger("n1", wall)
-        wall.ms = 0
-        record.write()
-        (interval,) = report.read([str(logged)]).intervals
-        assert interval.since_ms == interval.until_ms == MINUTE
+        wall = FakeClock()
+        wall.now_ms = MINUTE_MS
+        record = outcomelog.OutcomeLog("n1", wall)
+        wall.now_ms = 0
+        record.log_interval()
+        (interval,) = report.read_logs([str(logged)]).intervals
+        assert interval.since_ms == interval.until_ms == MINUTE_MS
 
 
 class TestNode:
@@ -110,9 +112,9 @@
             )
             await nodes.wait_until(lambda: one.backend_server.requests)
             asking.cancel()
-            await nodes.wait_until(lambda: one.ledger.counts)
+            await nodes.wait_until(lambda: one.outcome_log.counts)
             release.set()
-            ((kind, count),) = one.ledger.counts.items()
+            ((kind, count),) = one.outcome_log.counts.items()
         assert (kind.operation, kind.outside, count) == ("book", True, 1)
         assert kind.outcome is messages.Outcome.UNKNOWN
         assert kind.reason is Reason.CANCELLED
@@ -128,44 +130,47 @@
         later, so calls that it took in that half minute were counted by
         nobody.  Node n2 ended in good order: it leaves no gap.
         """
-        wall = Wall()
-        n1, n2 = ledger.Ledger("n1", wall), ledger.Ledger("n2", wall)
-        wall.ms = MINUTE
-        count(n1, ANSWERED, LOST)
-        n1.write()
-        n2.write(last=True)
-        wall.ms = 2 * MINUTE
-        again = ledger.Ledger("n1", wall)
-        wall.ms = 3 * MINUTE
-        count(again, SHED)
-        again.write(last=True)
-        reading = report.read([str(logged), str(logged)])
-        told = report.summed(reading, 0, 10 * MINUTE)
-        assert told.gaps == [report.Gap("n1", MINUTE, 2 * MINUTE)]
+        wall = FakeClock()
+        n1, n2 = (
+            outcomelog.OutcomeLog("n1", wall),
+            outcomelog.OutcomeLog("n2", wall),
+        )
+        wall.now_ms = MINUTE_MS
+        record_calls(n1, ANSWERED, LOST)
+        n1.log_interval()
+        n2.log_interval(is_final=True)
+        wall.now_ms = 2 * MINUTE_MS
+        again = outcomelog.OutcomeLog("n1", wall)
+        wall.now_ms = 3 * MINUTE_MS
+        record_calls(again, OVERLOADED)
+        again.log_interval(is_final=True)
+        reading = report.read_logs([str(logged), str(logged)])
+        told = report.summarize(reading, 0, 10 * MINUTE_MS)
+        assert told.gaps == [report.Gap("n1", MINUTE_MS, 2 * MINUTE_MS)]
         (total,) = told.totals.values()
         assert total.outcomes == {"answered": 1, "unknown": 1, "not_run": 1}
-        assert (total.first_ms, total.last_ms) == (0, 3 * MINUTE)
+        assert (total.first_ms, total.last_ms) == (0, 3 * MINUTE_MS)
 
     def test_only_the_period_is_counted(self, logged):
-        wall = Wall()
-        record = ledger.Ledger("n1", wall)
+        wall = FakeClock()
+        record = outcomelog.OutcomeLog("n1", wall)
         for minute in (1, 2, 3):
-            count(record, SHED)
-            wall.ms = minute * MINUTE
-            record.write()
-        reading = report.read([str(logged)])
-        told = report.summed(reading, MINUTE, 2 * MINUTE)
-        assert (told.since_ms, told.until_ms) == (MINUTE, 2 * MINUTE)
+            record_calls(record, OVERLOADED)
+            wall.now_ms = minute * MINUTE_MS
+            record.log_interval()
+        reading = report.read_logs([str(logged)])
+        told = report.summarize(reading, MINUTE_MS, 2 * MINUTE_MS)
+        assert (told.since_ms, told.until_ms) == (MINUTE_MS, 2 * MINUTE_MS)
         assert [t.outcomes["not_run"] for t in told.totals.values()] == [1]
         with pytest.raises(errors.NoRecordsError):
-            report.summed(reading, 9 * MINUTE, 10 * MINUTE)
+            report.summarize(reading, 9 * MINUTE_MS, 10 * MINUTE_MS)
 
     def test_the_command_prints_it(self, logged, capsys):
-        wall = Wall()
-        record = ledger.Ledger("n1", wall)
-        count(record, ANSWERED, LOST)
-        wall.ms = MINUTE
-        record.write()
+        wall = FakeClock()
+        record = outcomelog.OutcomeLog("n1", wall)
+        record_calls(record, ANSWERED, LOST)
+        wall.now_ms = MINUTE_MS
+        record.log_interval()
         with logged.open("a") as file:
             file.write('{"message_type": "call: calls of an')
         assert cmdline.main(["report", str(logged)]) == 0
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -13,7 +13,7 @@
 from bench import hosts
 from mangobay import options
 
-LONG = 30.0
+WAIT_SECONDS = 30.0
 KEY = "Idempotency-Key: 01980000-0000-7000-8000-000000000001"
 BAD_SETTINGS = """[host]
 nmae = a
@@ -36,7 +36,7 @@
     "mangobay-node": "mangobay.cmdnode",
     "mangobay-control": "mangobay.cmdcontrol",
 }
-NORMALISED = (
+REPLACEMENTS = (
     (re.compile(r"127\.0\.0\.1:\d+"), "ADDRESS"),
     (re.compile(r"revision \d+"), "revision N"),
     (re.compile(r'"(term|commit|revision|winner)": \d+'), r'"\1": N'),
@@ -48,57 +48,57 @@
 """What differs from run to run."""
 
 
-class Session:
+class Transcript:
     """Records commands and HTTP exchanges as text.
 
     Attributes:
-      folder: the working folder of the commands.
+      directory: the working folder of the commands.
       lines: what was recorded.
     """
 
     def __init__(self, folder: pathlib.Path):
-        self.folder = folder
+        self.directory = folder
         self.lines: list[str] = []
 
     def __str__(self) -> str:
-        text = "\n".join(self.lines).replace(str(self.folder), "FOLDER")
+        text = "\n".join(self.lines).replace(str(self.directory), "FOLDER")
         assert "Traceback" not in text
-        for pattern, name in NORMALISED:
+        for pattern, name in REPLACEMENTS:
             text = pattern.sub(name, text)
         return text
 
     def write(self, name: str, text: str) -> None:
         """Writes a file into the working folder."""
-        (self.folder / name).write_text(text)
+        (self.directory / name).write_text(text)
 
-    async def command(self, program: str, *arguments: str) -> None:
+    async def run_command(self, program: str, *arguments: str) -> None:
         """Runs a command and records what it prints."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             PROGRAMS[program],
             *arguments,
-            cwd=self.folder,
+            cwd=self.directory,
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
             env=os.environ
             | {"PYTHONPATH": os.pathsep.join(sys.path), "COLUMNS": "80"},
         )
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_SECONDS):
             output, _ = await process.communicate()
         self.lines.append("$ " + " ".join((program, *arguments)))
         self.lines.append(output.decode().rstrip())
         self.lines.append(f"exit {process.returncode}\n")
 
-    async def exchange(
+    async def send_http(
         self,
         address: options.Address,
         request: str,
         *headers: str,
         body: str = "",
-        length: int | None = None,
-        shown: int = 60,
+        declared_length: int | None = None,
+        max_recorded: int = 60,
     ) -> None:
         """Sends raw HTTP and records both sides.
 
@@ -107,10 +107,10 @@
           request: method and target.
           *headers: further lines.
           body: that is sent.
-          length: of the body as told, when that is not true.
-          shown: how much of the body is recorded.
+          declared_length: of the body as told, when that is not true.
+          max_recorded: how much of the body is recorded.
         """
-        told = len(body) if length is None else length
+        told = len(body) if declared_length is None else declared_length
         lines = [
             f"{request} HTTP/1.1",
             "Host: here",
@@ -120,19 +120,21 @@
         ]
         reader, writer = await asyncio.open_connection(*address)
         writer.write("\r\n".join([*lines, "", body]).encode())
-        if length is not None:
+        if declared_length is not None:
             writer.write_eof()
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_SECONDS):
             answer = await reader.read()
         writer.close()
-        self.lines += [f"> {line}" for line in [*lines, body[:shown]] if line]
+        self.lines += [
+            f"> {line}" for line in [*lines, body[:max_recorded]] if line
+        ]
         answered = answer.decode().replace("\r\n", "\n").strip()
         self.lines += [f"< {line}".rstrip() for line in answered.split("\n")]
         self.lines.append("")
 
 
 @contextlib.asynccontextmanager
-async def small_world(folder: pathlib.Path):
+async def single_node_cluster(folder: pathlib.Path):
     """Gives one control host, one node and its backend server, started."""
     async with processfakes.world(folder, data_centres=1) as world:
         await world.start()
@@ -143,11 +145,11 @@
     """What keeps a process from starting."""
 
     async def test_settings(self, tmp_path, snapshot):
-        session = Session(tmp_path)
+        session = Transcript(tmp_path)
         session.write("bad.ini", BAD_SETTINGS)
         for program in ("mangobay-node", "mangobay-control"):
-            await session.command(program, "--settings", "bad.ini")
-            await session.command(program, "--settings", "missing.ini")
+            await session.run_command(program, "--settings", "bad.ini")
+            await session.run_command(program, "--settings", "missing.ini")
         assert str(session) == snapshot
 
     async def test_the_platform(self, tmp_path, snapshot):
@@ -156,7 +158,7 @@
         A listener's port is in use, or the data folder cannot be written.
         Each program ends with one line that names the address or folder.
         """
-        session = Session(tmp_path)
+        session = Transcript(tmp_path)
         async with processfakes.world(tmp_path, data_centres=1) as world:
             [control], [node] = world.layout.controls, world.layout.nodes
             for host, taken in ((control, control.peer), (node, node.outside)):
@@ -164,14 +166,14 @@
                 if isinstance(host, hosts.ControlHost):
                     program = "mangobay-control"
                 with socket.create_server(taken):
-                    await session.command(
+                    await session.run_command(
                         program, "--settings", host.settings.name
                     )
             session.write("file", "")
             world.rewrite_control(
                 control, {"group": {"data": tmp_path / "file" / "data"}}
             )
-            await session.command(
+            await session.run_command(
                 "mangobay-control", "--settings", control.settings.name
             )
         assert str(session) == snapshot
@@ -182,23 +184,25 @@
 
     async def test_sheets(self, tmp_path, snapshot):
         """Sheets that are broken, sent again, or race under one version."""
-        session = Session(tmp_path)
+        session = Transcript(tmp_path)
         session.write("bad.csv", BAD_SHEET)
         good = (processfakes.BOOKING / "sheet.csv").read_text()
         session.write("good.csv", good)
         session.write("other.csv", good.replace("6000", "5000"))
-        async with small_world(tmp_path) as world:
+        async with single_node_cluster(tmp_path) as world:
             [control] = world.layout.controls
             to = ("--control", str(control.operator))
             named = ("--version", "1", "--operator", "ana")
-            await session.command("mangobay", "check", "bad.csv")
-            await session.command("mangobay", "check", "missing.csv")
+            await session.run_command("mangobay", "check", "bad.csv")
+            await session.run_command("mangobay", "check", "missing.csv")
             for sheet in ("bad.csv", "good.csv", "good.csv", "other.csv"):
-                await session.command("mangobay", *to, "apply", sheet, *named)
-            await session.command("mangobay", *to, "drain", "nobody")
-            await session.exchange(control.operator, "DELETE /v1/sheets")
-            await session.exchange(control.operator, "POST /v1/sheets")
-            await session.exchange(
+                await session.run_command(
+                    "mangobay", *to, "apply", sheet, *named
+                )
+            await session.run_command("mangobay", *to, "drain", "nobody")
+            await session.send_http(control.operator, "DELETE /v1/sheets")
+            await session.send_http(control.operator, "POST /v1/sheets")
+            await session.send_http(
                 control.operator,
                 "POST /v1/sheets?version=2&operator=ana",
                 body=BAD_SHEET,
@@ -206,12 +210,12 @@
         assert str(session) == snapshot
 
     async def test_no_control_host_is_there_yet(self, tmp_path, snapshot):
-        session = Session(tmp_path)
+        session = Transcript(tmp_path)
         with socket.create_server(("127.0.0.1", 0)) as reserved:
             address = f"127.0.0.1:{reserved.getsockname()[1]}"
-        await session.command("mangobay", "--control", address, "status")
-        await session.command("mangobay", "--control", "db:1", "status")
-        await session.command("mangobay", "status")
+        await session.run_command("mangobay", "--control", address, "status")
+        await session.run_command("mangobay", "--control", "db:1", "status")
+        await session.run_command("mangobay", "status")
         assert str(session) == snapshot
 
 
@@ -219,20 +223,20 @@
     """Requests that the node cannot serve; none reaches a backend server."""
 
     async def test_requests(self, tmp_path, snapshot):
-        session = Session(tmp_path)
-        async with small_world(tmp_path) as world:
+        session = Transcript(tmp_path)
+        async with single_node_cluster(tmp_path) as world:
             await world.apply_first()
             [node] = world.layout.nodes
-            await session.exchange(node.outside, "GET /nosuch/thing")
-            await session.exchange(node.outside, "GET /bookings/nosuch/thing")
-            await session.exchange(node.outside, "PUT /bookings/bookings")
+            await session.send_http(node.outside, "GET /nosuch/thing")
+            await session.send_http(node.outside, "GET /bookings/nosuch/thing")
+            await session.send_http(node.outside, "PUT /bookings/bookings")
             book = "POST /bookings/bookings"
-            await session.exchange(node.outside, book)
-            await session.exchange(node.outside, book, KEY, body="x" * 1048577)
-            await session.exchange(
-                node.outside, book, KEY, body="half", length=8
+            await session.send_http(node.outside, book)
+            await session.send_http(node.outside, book, KEY, body="x" * 1048577)
+            await session.send_http(
+                node.outside, book, KEY, body="half", declared_length=8
             )
-            await session.exchange(node.outside, "nonsense")
+            await session.send_http(node.outside, "nonsense")
             assert not await world.runs()
         assert str(session) == snapshot
 
@@ -242,10 +246,10 @@
         Nobody can say what the service is, so the call is refused as not
         run, and the caller is asked to come again.
         """
-        session = Session(tmp_path)
+        session = Transcript(tmp_path)
         async with processfakes.world(tmp_path, data_centres=1) as world:
             [node] = world.layout.nodes
             await world.start_node(node)
-            await session.exchange(node.outside, "GET /bookings/bookings/1")
-            await session.exchange(node.local, "GET /mangobay/ready")
+            await session.send_http(node.outside, "GET /bookings/bookings/1")
+            await session.send_http(node.local, "GET /mangobay/ready")
         assert str(session) == snapshot
--- a/tests/test_statemachine.py
+++ b/tests/test_statemachine.py
@@ -33,9 +33,11 @@
         any host, and `versions` names the winner, revision 1.
         """
         state = statemachine.ConfigStateMachine()
-        first = controlfakes.sheet("7", controlfakes.operation("sign"))
-        second = controlfakes.sheet(
-            "7", controlfakes.operation("price"), digest=b"other", base=1
+        first = controlfakes.make_sheet_change(
+            "7", controlfakes.make_operation("sign")
+        )
+        second = controlfakes.make_sheet_change(
+            "7", controlfakes.make_operation("price"), digest=b"other", base=1
         )
         apply(state, first, second)
         assert [row.name for row in state.operations()] == ["sign"]
@@ -50,11 +52,13 @@
         version 2 stays in force.
         """
         state = statemachine.ConfigStateMachine()
-        old = controlfakes.sheet("1", controlfakes.operation("sign", tries=1))
-        new = controlfakes.sheet(
-            "2", controlfakes.operation("sign", tries=2), base=1
+        old = controlfakes.make_sheet_change(
+            "1", controlfakes.make_operation("sign", tries=1)
+        )
+        new = controlfakes.make_sheet_change(
+            "2", controlfakes.make_operation("sign", tries=2), base=1
         )
-        again = controlfakes.sheet("1", *old.changed, base=2)
+        again = controlfakes.make_sheet_change("1", *old.changed, base=2)
         apply(state, old, new, again)
         assert state.revision == 2
         assert next(state.operations()).tries == 2
@@ -69,8 +73,12 @@
         state = statemachine.ConfigStateMachine()
         apply(
             state,
-            controlfakes.sheet("1", controlfakes.operation("sign")),
-            controlfakes.sheet("2", controlfakes.operation("price")),
+            controlfakes.make_sheet_change(
+                "1", controlfakes.make_operation("sign")
+            ),
+            controlfakes.make_sheet_change(
+                "2", controlfakes.make_operation("price")
+            ),
         )
         assert state.revision == 1
         assert "2" not in state.history_by_version
@@ -79,15 +87,15 @@
         state = statemachine.ConfigStateMachine()
         apply(
             state,
-            controlfakes.sheet(
+            controlfakes.make_sheet_change(
                 "1",
-                controlfakes.operation("sign"),
-                controlfakes.operation("old"),
-                controlfakes.operation("rank", service="prices"),
+                controlfakes.make_operation("sign"),
+                controlfakes.make_operation("old"),
+                controlfakes.make_operation("rank", service="prices"),
             ),
-            controlfakes.sheet(
+            controlfakes.make_sheet_change(
                 "2",
-                controlfakes.operation("seal"),
+                controlfakes.make_operation("seal"),
                 base=1,
                 removed=[("quotes", "old")],
             ),
@@ -108,9 +116,9 @@
         state = statemachine.ConfigStateMachine()
         first, second, _ = apply(
             state,
-            controlfakes.joins("a", "quotes"),
-            controlfakes.joins("b", "quotes"),
-            controlfakes.joins("b", "quotes"),
+            controlfakes.make_member_join("a", "quotes"),
+            controlfakes.make_member_join("b", "quotes"),
+            controlfakes.make_member_join("b", "quotes"),
         )
         view = state.views["quotes"]
         assert (view.version, view.formers[0].version) == (second, first)
@@ -127,11 +135,11 @@
         state = statemachine.ConfigStateMachine()
         indices = apply(
             state,
-            controlfakes.joins("a", "quotes"),
-            controlfakes.joins("b", "quotes"),
-            controlfakes.goes("a"),
-            controlfakes.goes("b"),
-            controlfakes.joins("a", "quotes", run="2"),
+            controlfakes.make_member_join("a", "quotes"),
+            controlfakes.make_member_join("b", "quotes"),
+            controlfakes.make_member_gone("a"),
+            controlfakes.make_member_gone("b"),
+            controlfakes.make_member_join("a", "quotes", incarnation="2"),
         )
         view = state.views["quotes"]
         assert member_ids(view.members) == [("a", "2")]
@@ -148,9 +156,9 @@
         state = statemachine.ConfigStateMachine()
         apply(
             state,
-            controlfakes.joins("a", "quotes"),
-            controlfakes.joins("a", "quotes", run="2"),
-            controlfakes.goes("a", run="1"),
+            controlfakes.make_member_join("a", "quotes"),
+            controlfakes.make_member_join("a", "quotes", incarnation="2"),
+            controlfakes.make_member_gone("a", incarnation="1"),
         )
         view = state.views["quotes"]
         assert member_ids(view.members) == [("a", "2")]
@@ -165,8 +173,8 @@
         state = statemachine.ConfigStateMachine()
         _, index = apply(
             state,
-            controlfakes.joins("a", "quotes"),
-            controlfakes.joins("a", "prices", run="2"),
+            controlfakes.make_member_join("a", "quotes"),
+            controlfakes.make_member_join("a", "prices", incarnation="2"),
         )
         assert state.views["quotes"].members == []
         assert state.views["quotes"].version == index
@@ -176,18 +184,20 @@
         state = statemachine.ConfigStateMachine()
         apply(
             state,
-            controlfakes.joins("a", "quotes"),
-            controlfakes.joins("a", "quotes", leaving=True),
+            controlfakes.make_member_join("a", "quotes"),
+            controlfakes.make_member_join("a", "quotes", leaving=True),
         )
         assert state.views["quotes"].members[0].leaving
         assert not views.former_members(state.views["quotes"])[0].leaving
 
     def test_a_drain_ends_with_the_run_that_it_asked_to_leave(self):
         state = statemachine.ConfigStateMachine()
-        apply(state, controlfakes.joins("a", "quotes"))
+        apply(state, controlfakes.make_member_join("a", "quotes"))
         apply(state, messages.DrainChange(host="a"))
         assert state.draining == {"a"}
-        apply(state, controlfakes.joins("a", "quotes", run="2"))
+        apply(
+            state, controlfakes.make_member_join("a", "quotes", incarnation="2")
+        )
         assert state.draining == set()
 
 
@@ -197,10 +207,10 @@
     def accept_sheets(self, state, count, removing=False):
         """Accepts sheets, each with a row of its own."""
         for number in range(1, count + 1):
-            last = controlfakes.operation(f"row{number - 1}")
-            sheet = controlfakes.sheet(
+            last = controlfakes.make_operation(f"row{number - 1}")
+            sheet = controlfakes.make_sheet_change(
                 f"v{number}",
-                controlfakes.operation(f"row{number}"),
+                controlfakes.make_operation(f"row{number}"),
                 base=state.revision,
                 removed=[(last.service, last.name)] if removing else (),
             )
@@ -224,8 +234,8 @@
             assert [item.version for item in each.history] == ["v3", "v4", "v5"]
             assert list(each.history_by_version) == ["v3", "v4", "v5"]
             assert each.dropped_history_items == 2
-            old = controlfakes.sheet(
-                "v1", controlfakes.operation("row1", tries=9), base=5
+            old = controlfakes.make_sheet_change(
+                "v1", controlfakes.make_operation("row1", tries=9), base=5
             )
             apply(each, old)
             assert each.revision == 5
@@ -257,10 +267,12 @@
         state = statemachine.ConfigStateMachine()
         apply(
             state,
-            controlfakes.joins("a", "quotes"),
-            controlfakes.joins("b", "quotes"),
+            controlfakes.make_member_join("a", "quotes"),
+            controlfakes.make_member_join("b", "quotes"),
             messages.DrainChange(host="b"),
-            controlfakes.sheet("1", controlfakes.operation("sign")),
+            controlfakes.make_sheet_change(
+                "1", controlfakes.make_operation("sign")
+            ),
         )
         data = messages.encode_snapshot(state.snapshot())
         other = statemachine.ConfigStateMachine()
@@ -279,10 +291,12 @@
         state = statemachine.ConfigStateMachine()
         apply(
             state,
-            controlfakes.sheet("1", controlfakes.operation("old")),
-            controlfakes.sheet(
+            controlfakes.make_sheet_change(
+                "1", controlfakes.make_operation("old")
+            ),
+            controlfakes.make_sheet_change(
                 "2",
-                controlfakes.operation("new"),
+                controlfakes.make_operation("new"),
                 base=1,
                 removed=[("quotes", "old")],
             ),
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -209,7 +209,10 @@
 
         def are_read():
             open_now = len(host.operators.runner.server.connections)
-            return open_now == 2 and not host.operators.door.awaited
+            return (
+                open_now == 2
+                and not host.operators.connection_limiter.awaiting_request
+            )
 
         async with running(host, address) as stopping:
             kept = await stopping.connect(STATUS_CALL)
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -6,7 +6,7 @@
 from mangobay import calls, filetracer, httpheaders, retryallowance, traces
 from mangobay.generated import messages
 
-ME = calls.Process("me", "lima", "run-1")
+PROCESS = calls.Process("me", "lima", "run-1")
 
 
 class TestFileTracer:
@@ -14,7 +14,7 @@
 
     async def test_a_span_names_hop_outcome_and_tries(self, tmp_path):
         path = tmp_path / "spans"
-        tracer = filetracer.FileTracer(str(path), ME)
+        tracer = filetracer.FileTracer(str(path), PROCESS)
         trace = httpheaders.TraceContext("ab" * 16, "cd" * 8, True)
         operation = messages.Operation(service="stock", name="price")
         request = calls.Request(
@@ -40,13 +40,13 @@
             reason=messages.Reason.OVERLOADED,
             tries_left=3,
         )
-        tracer.record(
+        tracer.record_attempt(
             traces.Attempt(
                 request=request,
                 call=call,
                 member=messages.Member(host="other", data_centre="trujillo"),
                 reply=reply,
-                began=asyncio.get_running_loop().time(),
+                started_at=asyncio.get_running_loop().time(),
             )
         )
         tracer.close()
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -17,7 +17,10 @@
 @pytest.fixture
 def state():
     state = statemachine.ConfigStateMachine()
-    apply(state, *(controlfakes.joins(host, "quotes") for host in "abc"))
+    apply(
+        state,
+        *(controlfakes.make_member_join(host, "quotes") for host in "abc"),
+    )
     return state
 
 
@@ -27,9 +30,9 @@
     def test_steps_lead_from_any_kept_version_to_the_newest_view(self, state):
         apply(
             state,
-            controlfakes.goes("b"),
-            controlfakes.joins("d", "quotes"),
-            controlfakes.joins("a", "quotes", leaving=True),
+            controlfakes.make_member_gone("b"),
+            controlfakes.make_member_join("d", "quotes"),
+            controlfakes.make_member_join("a", "quotes", leaving=True),
         )
         newest = state.views["quotes"]
         for base in newest.formers:
@@ -43,7 +46,12 @@
 
     def test_no_way_leads_from_a_version_that_is_not_kept(self, state):
         for turn in range(views.MIN_RETAINED_STEPS * 2):
-            apply(state, controlfakes.joins("a", "quotes", run=f"{turn + 2}"))
+            apply(
+                state,
+                controlfakes.make_member_join(
+                    "a", "quotes", incarnation=f"{turn + 2}"
+                ),
+            )
         assert state.view_steps.since("quotes", 1) is None
         assert state.view_steps.since("quotes", 10_000) is None
         assert state.view_steps.since("prices", 1) is None
@@ -54,22 +62,27 @@
         version = state.views["quotes"].version
         assert restored.view_steps.since("quotes", version) == []
         assert restored.view_steps.since("quotes", version - 1) is None
-        apply(restored, controlfakes.joins("d", "quotes"))
+        apply(restored, controlfakes.make_member_join("d", "quotes"))
         (step,) = restored.view_steps.since("quotes", version)
         assert step.member.host == "d"
 
     def test_kept_steps_are_bounded_by_the_members(self, state):
         """Guards against memory that grows with the age of a service."""
         for turn in range(1000):
-            apply(state, controlfakes.joins("a", "quotes", run=f"{turn + 2}"))
+            apply(
+                state,
+                controlfakes.make_member_join(
+                    "a", "quotes", incarnation=f"{turn + 2}"
+                ),
+            )
         most = views.MIN_RETAINED_STEPS + views.RETAINED_STEPS_PER_MEMBER * 3
         assert len(state.view_steps.by_service["quotes"]) == most
 
     def test_several_steps_of_a_host_are_told_as_its_last(self, state):
         apply(
             state,
-            controlfakes.goes("b"),
-            controlfakes.joins("b", "quotes", run="2"),
+            controlfakes.make_member_gone("b"),
+            controlfakes.make_member_join("b", "quotes", incarnation="2"),
         )
         (step,) = views.latest_step_per_host(
             state.view_steps.since("quotes", 3)
@@ -80,9 +93,9 @@
         """Guards against nodes that are told the same steps twice."""
         apply(
             state,
-            controlfakes.joins("a", "quotes", run="2"),
-            controlfakes.joins("b", "quotes", run="2"),
-            controlfakes.joins("a", "quotes", run="3"),
+            controlfakes.make_member_join("a", "quotes", incarnation="2"),
+            controlfakes.make_member_join("b", "quotes", incarnation="2"),
+            controlfakes.make_member_join("a", "quotes", incarnation="3"),
         )
         steps = views.latest_step_per_host(state.view_steps.since("quotes", 3))
         assert [step.version for step in steps] == [5, 6]
