--- a/bench/callcost.py
+++ b/bench/callcost.py
@@ -109,7 +109,7 @@
     with tempfile.TemporaryDirectory() as folder:
         made = make_node(plan, pathlib.Path(folder))
         edge = made.outside_listener.server.handler.__self__
-        basenode.calm_collector()
+        basenode.limit_gc_pauses()
         await call_often(edge, received)
         if profiled:
             profile = cProfile.Profile()
--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -34,7 +34,7 @@
 from mangobay.generated import messages, settings
 
 ROLE = "node"
-IDLE_POLL = 0.02
+IDLE_POLL_SECONDS = 0.02
 """Seconds between two looks whether everything in flight has ended."""
 INCARNATION_BYTES = 8
 ALLOCATIONS_BETWEEN_COLLECTIONS = 50_000
@@ -60,9 +60,9 @@
 
     Attributes:
       listeners: for callers, the backend server and readiness.
-      told_at: loop time at which the node was told to leave.
-      ended: set once the node has left or was told to stop at once.
-      cut: what was in flight when it was told to stop at once.
+      stop_requested_at: loop time at which the node was told to leave.
+      stopped: set once the node has left or was told to stop at once.
+      aborted_count: what was in flight when it was told to stop at once.
     """
 
     listeners: collections.abc.Sequence[Listener]
@@ -78,13 +78,13 @@
         self.metrics = metrics.Metrics()
         self.outcome_log = outcomelog.OutcomeLog(self.process.host)
         self.tasks: list[asyncio.Task] = []
-        self.leaving: asyncio.Task | None = None
-        self.told_at = math.inf
-        self.ended = asyncio.Event()
-        self.cut = 0
+        self.leave_task: asyncio.Task | None = None
+        self.stop_requested_at = math.inf
+        self.stopped = asyncio.Event()
+        self.aborted_count = 0
         self.make_peers()
-        self.make_serving()
-        self.make_entry()
+        self.make_executor()
+        self.make_dispatcher()
         self.make_edges()
         self.metrics.gauges += nodegauges.make_gauges(self)
 
@@ -109,7 +109,7 @@
         self.peer_listener = peers.Listener(
             config.listen.peer,
             hello,
-            self.answer,
+            self.handle_request,
             identity=identity,
             limits=limits,
         )
@@ -125,7 +125,7 @@
             self.rng,
         )
 
-    def make_serving(self) -> None:
+    def make_executor(self) -> None:
         """Makes what runs calls at the backend server here."""
         config = self.config
         self.once = once.AtMostOnce(
@@ -137,7 +137,9 @@
             self.control.lease,
         )
         self.local_services = localservices.LocalServices(
-            config.backend.silence, self.new_admission, self.serves
+            config.backend.silence,
+            self.make_admission_controller,
+            self.set_served_services,
         )
         self.make_backend()
 
@@ -169,18 +171,18 @@
         """Closes listeners, tasks and connections."""
         raise NotImplementedError
 
-    def new_admission(self) -> admission.AdmissionController:
+    def make_admission_controller(self) -> admission.AdmissionController:
         """Returns the admission of a service announced here."""
         config = self.config
         return admission.AdmissionController(
             config.admission, config.retries, config.recovery, self.rng
         )
 
-    def serves(self, served: list[messages.ServedService]) -> None:
+    def set_served_services(self, served: list[messages.ServedService]) -> None:
         """Tells control what the backend server here serves."""
         self.control.serves = served
 
-    def make_entry(self) -> None:
+    def make_dispatcher(self) -> None:
         """Makes what brings calls to hosts."""
         config = self.config
         self.router = routing.Router(
@@ -205,20 +207,20 @@
                 retry_budget=retrybudget.RetryBudget(config.retries),
                 transport=self.peer_client,
                 executor=self.executor,
-                lease=self.entry_lease(),
+                lease=self.make_dispatch_lease(),
                 views=self.control.views,
                 tracer=self.tracer,
                 rng=self.rng,
             ),
         )
 
-    def entry_lease(self) -> dispatch.Lease:
+    def make_dispatch_lease(self) -> dispatch.Lease:
         """Returns what entry asks before a non-idempotent call."""
         if self.config.control.cut_off == "serve":
             return lease.UnlimitedLease()
         return self.control.lease
 
-    async def answer(
+    async def handle_request(
         self, hello: messages.Hello, body: messages.EnvelopeBody
     ) -> messages.EnvelopeBody:
         """Answers another process of the system.
@@ -249,11 +251,11 @@
             loop.add_signal_handler(number, react)
         try:
             await self.start()
-            calm_collector()
-            await self.ended.wait()
+            limit_gc_pauses()
+            await self.stopped.wait()
         finally:
             await self.close()
-        return 1 if self.cut else 0
+        return 1 if self.aborted_count else 0
 
     def reload(self) -> None:
         """Says that settings are only read at the start.
@@ -264,9 +266,9 @@
             logs.Component.NODE, "settings are read at the next start"
         )
 
-    def drained(self, draining: bool) -> None:
+    def leave_if_draining(self, draining: bool) -> None:
         """Leaves when an operator asked for it."""
-        if draining and self.leaving is None:
+        if draining and self.leave_task is None:
             self.stop()
 
     def stop(self) -> None:
@@ -275,22 +277,22 @@
         Service managers send SIGTERM to a node that was drained, and some
         send it twice.
         """
-        if self.leaving is not None:
+        if self.leave_task is not None:
             logs.log_event(
                 logs.Component.NODE, "told to stop again, goes on leaving"
             )
             return
-        self.told_at = asyncio.get_running_loop().time()
-        self.leaving = asyncio.create_task(self.leave())
+        self.stop_requested_at = asyncio.get_running_loop().time()
+        self.leave_task = asyncio.create_task(self.leave())
 
     def interrupt(self) -> None:
         """Leaves in good order; interrupted while it leaves, ends at once."""
-        if self.leaving is None:
+        if self.leave_task is None:
             self.stop()
             return
-        self.end("interrupted")
+        self.abort("interrupted")
 
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Returns whether a call or a request is in flight."""
         return bool(
             self.dispatcher.in_flight.open
@@ -298,9 +300,9 @@
             or any(each.busy for each in self.caller_listeners())
         )
 
-    def end(self, why: str) -> None:
+    def abort(self, why: str) -> None:
         """Stops at once and says what that cuts."""
-        if self.ended.is_set():
+        if self.stopped.is_set():
             return
         running = [
             parent.call.operation for parent in self.executor.parents.values()
@@ -309,20 +311,22 @@
         entered_at = [
             each.entered_at for each in self.dispatcher.in_flight.open
         ]
-        self.cut = len(entered_at) + len(running)
+        self.aborted_count = len(entered_at) + len(running)
         logs.log_event(
             logs.Component.NODE,
             "stopping at once",
             why=why,
             calls_entered_here=len(entered_at),
-            entered_while_leaving=sum(at > self.told_at for at in entered_at),
+            entered_while_leaving=sum(
+                at > self.stop_requested_at for at in entered_at
+            ),
             oldest_s=round(now - min(entered_at, default=now), 3),
             newest_s=round(now - max(entered_at, default=now), 3),
             operations_running_here=running,
         )
-        self.ended.set()
+        self.stopped.set()
 
-    async def give_up(self) -> None:
+    async def abort_in_flight(self) -> None:
         """Answers whatever is still in flight: the node ends now."""
         self.executor.leaving = True
         for place in self.local_services.by_name.values():
@@ -346,12 +350,12 @@
             logs.log_event(
                 logs.Component.NODE, "answers not taken", answers=cut
             )
-        self.cut += cut
+        self.aborted_count += cut
 
-    async def end_tasks(self) -> None:
+    async def cancel_tasks(self) -> None:
         """Ends whatever this node does by itself."""
-        if self.leaving is not None:
-            self.tasks.append(self.leaving)
+        if self.leave_task is not None:
+            self.tasks.append(self.leave_task)
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -363,7 +367,7 @@
         await self.backend.close()
 
 
-def calm_collector() -> None:
+def limit_gc_pauses() -> None:
     """Keeps the garbage collector from what lives as long as the process.
 
     A collection stops every call; one that walks the modules and tables of
--- a/mangobay/cmdcontrol.py
+++ b/mangobay/cmdcontrol.py
@@ -12,15 +12,15 @@
     """The program `mangobay-control`."""
 
     name = "mangobay-control"
-    help = "A control host of mangobay."
-    exit_help = (
+    description = "A control host of mangobay."
+    epilog = (
         "exit codes: 0 stopped as asked; 1 cannot start or the disk failed;"
         " 2 bad settings or command line"
     )
     sections = settings.CONTROL_SECTIONS
-    config = settings.Control
+    config_class = settings.Control
 
-    def make(self, config: settings.Control) -> control.Control:
+    def make_control(self, config: settings.Control) -> control.Control:
         """Returns the control host that is run."""
         return control.Control(config)
 
@@ -31,7 +31,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop.set)
         while not stop.is_set():
-            host = self.make(config)
+            host = self.make_control(config)
             try:
                 await host.start()
                 await host.run(stop)
@@ -40,11 +40,11 @@
                 logs.log_event(
                     logs.Component.CONTROL, "waits for room", why=str(error)
                 )
-                await wait_for_room(host.disk, stop)
-        return program.Exit.OK
+                await wait_for_disk_space(host.disk, stop)
+        return program.ExitCode.OK
 
 
-async def wait_for_room(full: disk.Disk, stop: asyncio.Event) -> None:
+async def wait_for_disk_space(full: disk.Disk, stop: asyncio.Event) -> None:
     """Returns once the disk takes writes, or the program is told to stop.
 
     A control host whose disk is full can promise nothing: it must neither vote
--- a/mangobay/cmdline.py
+++ b/mangobay/cmdline.py
@@ -20,7 +20,7 @@
 CONTROL_VARIABLE = "MANGOBAY_CONTROL"
 
 
-EXIT_OF_ERROR = {
+EXIT_CODE_BY_ERROR = {
     errors.FindingsError: commands.ExitCode.BAD_INPUT,
     errors.ConflictError: commands.ExitCode.CONFLICT,
     errors.ControlUnreachableError: commands.ExitCode.UNREACHABLE,
@@ -29,7 +29,7 @@
 """The first class that fits counts."""
 
 
-def addresses(text: str) -> tuple[options.Address, ...]:
+def parse_addresses(text: str) -> tuple[options.Address, ...]:
     """Returns the addresses of a list with commas.
 
     Raises:
@@ -48,7 +48,7 @@
     )
     parser.add_argument(
         "--control",
-        type=addresses,
+        type=parse_addresses,
         metavar="IP:PORT,...",
         default=os.environ.get(CONTROL_VARIABLE),
         help=f"operator addresses of the control hosts (or {CONTROL_VARIABLE})",
@@ -63,7 +63,7 @@
     return parser
 
 
-async def run(arguments: argparse.Namespace) -> commands.Result:
+async def run_command(arguments: argparse.Namespace) -> commands.Result:
     """Runs the command with a client where it needs one."""
     command = arguments.command
     if not command.asks_control:
@@ -82,7 +82,9 @@
     else:
         print(f"mangobay: {error}", file=sys.stderr)
     return next(
-        code for cls, code in EXIT_OF_ERROR.items() if isinstance(error, cls)
+        code
+        for cls, code in EXIT_CODE_BY_ERROR.items()
+        if isinstance(error, cls)
     )
 
 
@@ -93,7 +95,7 @@
     if arguments.command.asks_control and not arguments.control:
         parser.error(f"give --control IP:PORT,... or set {CONTROL_VARIABLE}")
     try:
-        result = asyncio.run(run(arguments))
+        result = asyncio.run(run_command(arguments))
     except errors.MangobayError as error:
         return report_error(error, arguments.json)
     if arguments.json:
--- a/mangobay/cmdnode.py
+++ b/mangobay/cmdnode.py
@@ -9,7 +9,7 @@
 class NodeProgram(nodeprogram.NodeProgram):
     """A node with the product's own edges."""
 
-    def make(self, config: settings.Node) -> node.Node:
+    def make_node(self, config: settings.Node) -> node.Node:
         """Returns the node that is run."""
         return node.Node(config)
 
--- a/mangobay/control.py
+++ b/mangobay/control.py
@@ -11,9 +11,9 @@
     connections,
     consensus,
     disk,
+    drainmanager,
     errors,
     ids,
-    intake,
     joining,
     leases,
     logs,
@@ -28,11 +28,11 @@
 from mangobay.generated import messages, settings
 
 ROLE = tls.CONTROL_ROLE
-DRAIN_SECONDS = 1.5
+MAX_DRAIN_SECONDS = 1.5
 """Longest time for which a host that stops finishes what it has
 taken: operators' calls, and those that other control hosts pass on."""
 
-REFUSE_SECONDS = 0.3
+MIN_REFUSE_SECONDS = 0.3
 """Shortest time for which a host that stops refuses operators' calls: closed at
 once, connections would cut the calls that are on their way."""
 
@@ -57,9 +57,9 @@
       machine: the replicated state.
       group: agrees on changes of it.
       leases: the grants while this host leads.
-      listener: answers nodes and control hosts.
-      operators: answers operators.
-      forwarded: operators' calls that other control hosts pass on.
+      peer_listener: answers nodes and control hosts.
+      operator_listener: answers operators.
+      forwarded_calls: operators' calls that other control hosts pass on.
     """
 
     def __init__(self, config: settings.Control):
@@ -67,7 +67,7 @@
         self.disk = disk.Disk(config.group.data)
         self.machine = statemachine.ConfigStateMachine()
         self.log = storage.Storage(self.disk)
-        self.forwarded = intake.Intake()
+        self.forwarded_calls = drainmanager.DrainManager()
         self.hello = messages.Hello(
             host=ids.HostId(config.host.name),
             data_centre=ids.DataCentre(config.host.data_centre),
@@ -110,18 +110,18 @@
         self.publisher = routespublisher.RoutesPublisher(
             self.machine, self.group, self.peer_client
         )
-        self.operators = self.make_operators()
-        self.listener = peers.Listener(
+        self.operator_listener = self.make_operator_listener()
+        self.peer_listener = peers.Listener(
             config.listen.peer,
             self.hello,
-            self.answer,
+            self.handle_request,
             identity=identity,
             limits=limits,
         )
-        await self.listener.start()
-        await self.operators.start()
+        await self.peer_listener.start()
+        await self.operator_listener.start()
 
-    def make_operators(self) -> "OperatorListener":
+    def make_operator_listener(self) -> "OperatorListener":
         """Returns what answers operators."""
         config = self.config
         return operatorapi.OperatorApi(
@@ -136,7 +136,7 @@
             ),
         )
 
-    async def answer(
+    async def handle_request(
         self, hello: messages.Hello, body: messages.EnvelopeBody
     ) -> messages.EnvelopeBody:
         """Answers a node or a control host.
@@ -161,7 +161,7 @@
             case messages.RoutesPut() | messages.RoutesFetch() if (
                 hello.role == ROLE
             ):
-                return await self.forwarded.carry(
+                return await self.forwarded_calls.run(
                     functools.partial(self.publisher.handle_request, body)
                 )
         raise errors.PeerProtocolError(
@@ -192,7 +192,7 @@
             await self.drain()
             await stepdown.step_down_and_notify(self.group)
         finally:
-            await self.operators.drain(0)
+            await self.operator_listener.drain(0)
             for task in (*working, stopping):
                 task.cancel()
             await asyncio.gather(*working, return_exceptions=True)
@@ -204,15 +204,16 @@
     async def drain(self) -> None:
         """Finishes the operators' calls that were taken, within a bound."""
         loop = asyncio.get_running_loop()
-        ends_at = loop.time() + DRAIN_SECONDS
+        ends_at = loop.time() + MAX_DRAIN_SECONDS
         await asyncio.gather(
-            self.operators.drain(DRAIN_SECONDS), asyncio.sleep(REFUSE_SECONDS)
+            self.operator_listener.drain(MAX_DRAIN_SECONDS),
+            asyncio.sleep(MIN_REFUSE_SECONDS),
         )
-        await self.forwarded.drain(max(ends_at - loop.time(), 0))
+        await self.forwarded_calls.drain(max(ends_at - loop.time(), 0))
 
     async def close(self) -> None:
         """Closes the sockets and lets go of the data folder."""
-        await self.operators.close()
-        await self.listener.close()
+        await self.operator_listener.close()
+        await self.peer_listener.close()
         await self.peer_client.close()
         self.disk.close()
--- a/mangobay/intake.py
+++ b/mangobay/drainmanager.py
@@ -9,19 +9,19 @@
 Result = typing.TypeVar("Result")
 
 
-class Intake:
+class DrainManager:
     """Carries work; once drained, it takes no more.
 
     Attributes:
-      closed: no more work is taken.
-      running: tasks of the work in flight.
+      draining: no more work is taken.
+      running_tasks: tasks of the work in flight.
     """
 
     def __init__(self):
-        self.closed = False
-        self.running: set[asyncio.Task] = set()
+        self.draining = False
+        self.running_tasks: set[asyncio.Task] = set()
 
-    async def carry(
+    async def run(
         self,
         work: collections.abc.Callable[
             [], collections.abc.Coroutine[typing.Any, typing.Any, Result]
@@ -33,11 +33,11 @@
           errors.LeavingError: the work was not begun.
           errors.CutShortError: it was given up; what it did is not known.
         """
-        if self.closed:
+        if self.draining:
             raise errors.ShuttingDownError("this host stops; ask another one")
         task = asyncio.create_task(work())
-        self.running.add(task)
-        task.add_done_callback(self.running.discard)
+        self.running_tasks.add(task)
+        task.add_done_callback(self.running_tasks.discard)
         try:
             return await task
         except asyncio.CancelledError:
@@ -49,12 +49,14 @@
 
     async def drain(self, seconds: float) -> None:
         """Takes no more work, and gives up what lasts longer than a time."""
-        self.closed = True
-        if self.running:
-            await asyncio.wait(set(self.running), timeout=seconds)
-        if self.running:
+        self.draining = True
+        if self.running_tasks:
+            await asyncio.wait(set(self.running_tasks), timeout=seconds)
+        if self.running_tasks:
             logs.log_event(
-                logs.Component.CONTROL, "calls cut", calls=len(self.running)
+                logs.Component.CONTROL,
+                "calls cut",
+                calls=len(self.running_tasks),
             )
-        for task in self.running:
+        for task in self.running_tasks:
             task.cancel()
--- a/mangobay/node.py
+++ b/mangobay/node.py
@@ -44,15 +44,15 @@
         self.local_api = localapi.LocalApi(
             edges.LocalEdge(*parts), self.local_services, self.metrics, self
         )
-        self.outside_listener = self.listener(
+        self.outside_listener = self.make_listener(
             config.listen.outside, edges.OutsideEdge(*parts).handle
         )
-        self.local_listener = self.listener(
+        self.local_listener = self.make_listener(
             config.listen.local, self.local_api.handle
         )
         self.listeners = self.caller_listeners()
 
-    def listener(self, address, handle) -> httpserver.Listener:
+    def make_listener(self, address, handle) -> httpserver.Listener:
         """Returns an HTTP listener within the settings' limits."""
         limits = self.config.limits
         return httpserver.Listener(
@@ -82,7 +82,7 @@
         await self.outside_listener.start()
         self.control.views.subscribe(self.router.update_views)
         self.control.views.subscribe(self.once.update_views)
-        self.control.draining.subscribe(self.drained)
+        self.control.draining.subscribe(self.leave_if_draining)
         for work in (
             self.control.run(),
             self.local_services.run_expiry(),
@@ -101,14 +101,14 @@
         for listener in self.caller_listeners():
             listener.close_when_answered()
         times = self.executor.shutdown
-        times.start(self.told_at, grace, linger=0)
+        times.start(self.stop_requested_at, grace, linger=0)
         try:
             async with asyncio.timeout_at(times.abort_at):
-                await self.finished()
-                handed_over = await self.hand_over()
-                await self.answers_taken()
+                await self.wait_until_idle()
+                handed_over = await self.hand_over_keys()
+                await self.wait_until_responses_sent()
         except TimeoutError:
-            self.end(f"still in flight after {grace:g} s")
+            self.abort(f"still in flight after {grace:g} s")
             return
         logs.log_event(
             logs.Component.NODE,
@@ -116,9 +116,9 @@
             host=self.process.host,
             keys_handed_over=handed_over,
         )
-        self.ended.set()
+        self.stopped.set()
 
-    async def hand_over(self) -> bool:
+    async def hand_over_keys(self) -> bool:
         """Hands keys over; returns False where nobody can take them.
 
         With the control group gone no view ever names a successor, and a
@@ -129,7 +129,9 @@
         handing = asyncio.create_task(self.once.finish_handover())
         try:
             while True:
-                await asyncio.wait({handing}, timeout=basenode.IDLE_POLL)
+                await asyncio.wait(
+                    {handing}, timeout=basenode.IDLE_POLL_SECONDS
+                )
                 if handing.done():
                     handing.result()
                     return True
@@ -138,30 +140,30 @@
         finally:
             handing.cancel()
 
-    async def finished(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Returns once nothing is in flight here."""
-        while self.busy():
-            await asyncio.sleep(basenode.IDLE_POLL)
+        while self.is_busy():
+            await asyncio.sleep(basenode.IDLE_POLL_SECONDS)
 
     def caller_listeners(self) -> list[httpserver.Listener]:
         """Returns the listeners on which calls come in."""
         return [self.outside_listener, self.local_listener]
 
-    async def answers_taken(self) -> None:
+    async def wait_until_responses_sent(self) -> None:
         """Returns once every answer has left this process.
 
         Keys are handed over before: a caller that reads slowly holds nobody.
         """
         listeners = (*self.caller_listeners(), self.peer_listener)
         while any(each.pending_responses for each in listeners):
-            await asyncio.sleep(basenode.IDLE_POLL)
+            await asyncio.sleep(basenode.IDLE_POLL_SECONDS)
 
     async def close(self) -> None:
         """Closes listeners, tasks and connections."""
-        await self.give_up()
+        await self.abort_in_flight()
         await self.close_listeners()
         await self.peer_listener.close(self.write_timeout())
-        await self.end_tasks()
+        await self.cancel_tasks()
         self.outcome_log.log_interval(is_final=True)
         await self.close_connections()
         self.tracer.close()
--- a/mangobay/operatorapi.py
+++ b/mangobay/operatorapi.py
@@ -12,10 +12,10 @@
     clock,
     connectionlimits,
     controlmetrics,
+    drainmanager,
     errors,
     ids,
     inforce,
-    intake,
     leases,
     listening,
     logs,
@@ -59,7 +59,7 @@
 
     Attributes:
       address: where it listens; with port 0, the port taken once started.
-      intake: the calls in flight.
+      drain_manager: the calls in flight.
     """
 
     routes = (
@@ -93,7 +93,7 @@
         )
         self.limits = limits
         self.connection_limiter = connectionlimits.ConnectionLimiter(limits)
-        self.intake = intake.Intake()
+        self.drain_manager = drainmanager.DrainManager()
         self.server: asyncio.Server | None = None
         app = web.Application(
             client_max_size=sheet_bytes,
@@ -129,7 +129,7 @@
 
     async def drain(self, seconds: float) -> None:
         """Refuses new calls; gives up those that last longer than a time."""
-        await self.intake.drain(seconds)
+        await self.drain_manager.drain(seconds)
 
     async def close(self) -> None:
         """Ends the answers under way and closes the socket."""
@@ -144,7 +144,7 @@
     ) -> web.StreamResponse:
         """Ends a connection behind its answer once the host stops."""
         response = await handler(request)
-        if self.intake.closed:
+        if self.drain_manager.draining:
             response.force_close()
         return response
 
@@ -153,7 +153,7 @@
         self, request: web.Request, handler
     ) -> web.StreamResponse:
         """Takes a call unless the host stops."""
-        return await self.intake.carry(functools.partial(handler, request))
+        return await self.drain_manager.run(functools.partial(handler, request))
 
     async def post_sheet(self, request: web.Request) -> web.Response:
         """Takes in a sheet, whole or not at all."""
--- a/mangobay/program.py
+++ b/mangobay/program.py
@@ -9,11 +9,11 @@
 
 from mangobay import errors, logs, settings
 
-HANDLED = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
+HANDLED_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
 """Signals that daemons handle or ignore."""
 
 
-class Exit(enum.IntEnum):
+class ExitCode(enum.IntEnum):
     """What the exit codes mean."""
 
     OK = 0
@@ -26,17 +26,17 @@
 
     Attributes:
       name: as it is started.
-      help: what it is.
-      exit_help: what its exit codes mean.
+      description: what it is.
+      epilog: what its exit codes mean.
       sections: known sections of its settings.
-      config: class of its settings.
+      config_class: class of its settings.
     """
 
     name = ""
-    help = ""
-    exit_help = ""
+    description = ""
+    epilog = ""
     sections: settings.Sections = {}
-    config: type = object
+    config_class: type = object
 
     async def run(self, config: typing.Any) -> int:
         """Runs until it is told to stop; returns the exit code.
@@ -47,10 +47,10 @@
         """
         raise NotImplementedError
 
-    def parser(self) -> argparse.ArgumentParser:
+    def make_parser(self) -> argparse.ArgumentParser:
         """Returns the parser of the command line."""
         parser = argparse.ArgumentParser(
-            prog=self.name, description=self.help, epilog=self.exit_help
+            prog=self.name, description=self.description, epilog=self.epilog
         )
         parser.add_argument(
             "--settings", required=True, metavar="FILE", help="INI file"
@@ -67,35 +67,35 @@
         end the process.
         """
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-        arguments = self.parser().parse_args(argv)
+        arguments = self.make_parser().parse_args(argv)
         try:
             config = settings.load(
-                arguments.settings, self.sections, self.config
+                arguments.settings, self.sections, self.config_class
             )
         except errors.SettingsError as error:
             print(error, file=sys.stderr)
-            return Exit.BAD_SETTINGS
+            return ExitCode.BAD_SETTINGS
         if arguments.check:
             print(f"{arguments.settings}: no fault found")
-            return Exit.OK
+            return ExitCode.OK
         try:
             logs.open_log(config.log.file)
         except OSError as error:
-            return self.failed(f"log file: {error}")
+            return self.report_failure(f"log file: {error}")
         try:
-            return asyncio.run(self.run_to_end(config))
+            return asyncio.run(self.run_then_block_signals(config))
         except (errors.StartError, errors.StorageError, OSError) as error:
-            return self.failed(str(error))
+            return self.report_failure(str(error))
 
-    async def run_to_end(self, config: typing.Any) -> int:
+    async def run_then_block_signals(self, config: typing.Any) -> int:
         """Runs; then no signal disturbs the end of the process."""
         try:
             return await self.run(config)
         finally:
             # The loop's end would bring back the default: to end the process.
-            signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
+            signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
-    def failed(self, why: str) -> Exit:
+    def report_failure(self, why: str) -> ExitCode:
         """Says in one line why the program ends."""
         print(f"{self.name}: {why}", file=sys.stderr)
-        return Exit.FAILED
+        return ExitCode.FAILED
--- a/mangobay/routedcontrol.py
+++ b/mangobay/routedcontrol.py
@@ -7,8 +7,8 @@
 from mangobay import (
     control,
     controlmetrics,
+    drainmanager,
     errors,
-    intake,
     leanhttp,
     leanserver,
     metricspage,
@@ -16,26 +16,30 @@
 )
 from mangobay.generated import messages, settings
 
-MakeApi = typing.Callable[[routespublisher.RoutesPublisher], leanserver.Handler]
+HandlerFactory = typing.Callable[
+    [routespublisher.RoutesPublisher], leanserver.Handler
+]
 
-ANSWER_SECONDS = 0.3
+WRITE_TIMEOUT_SECONDS = 0.3
 """For the last answers to be taken by their callers."""
-JSON = messages.Header(name="Content-Type", value="application/json")
+JSON_HEADER = messages.Header(name="Content-Type", value="application/json")
 
 
-class Listeners:
+class ListenerGroup:
     """Several listeners that start and close together.
 
     Attributes:
       listeners: that of operators first.
-      intake: operators' calls in flight.
+      drain_manager: operators' calls in flight.
     """
 
     def __init__(
-        self, listeners: list[leanserver.Listener], taken: intake.Intake
+        self,
+        listeners: list[leanserver.Listener],
+        taken: drainmanager.DrainManager,
     ):
         self.listeners = listeners
-        self.intake = taken
+        self.drain_manager = taken
 
     async def start(self) -> None:
         """Opens the sockets.
@@ -50,25 +54,29 @@
         """Refuses new calls; gives up those that last longer than a time."""
         for listener in self.listeners:
             listener.leaving = True
-        await self.intake.drain(seconds)
+        await self.drain_manager.drain(seconds)
 
     async def close(self) -> None:
         """Closes the sockets."""
         await self.drain(0)
         for listener in self.listeners:
-            await listener.close(ANSWER_SECONDS)
+            await listener.close(WRITE_TIMEOUT_SECONDS)
 
 
-def taking(taken: intake.Intake, api: leanserver.Handler) -> leanserver.Handler:
+def drainable_handler(
+    taken: drainmanager.DrainManager, api: leanserver.Handler
+) -> leanserver.Handler:
     """Returns a handler that takes calls unless the host stops."""
 
     async def handle(
         request: leanhttp.Request, client: leanserver.Connection
     ) -> leanhttp.Response:
         try:
-            return await taken.carry(lambda: api(request, client))
+            return await taken.run(lambda: api(request, client))
         except (errors.ShuttingDownError, errors.AbortedByShutdownError):
-            return leanhttp.Response(status=503, headers=[JSON], body=b"{}")
+            return leanhttp.Response(
+                status=503, headers=[JSON_HEADER], body=b"{}"
+            )
 
     return handle
 
@@ -76,11 +84,11 @@
 class RoutedControl(control.Control):
     """One control host; attributes as in `control.Control`."""
 
-    def __init__(self, config: settings.Control, make_api: MakeApi):
+    def __init__(self, config: settings.Control, make_api: HandlerFactory):
         super().__init__(config)
-        self.make_api = make_api
+        self.make_handler = make_api
 
-    def make_operators(self) -> Listeners:
+    def make_operator_listener(self) -> ListenerGroup:
         """Returns what answers operators, and serves metrics."""
         config = self.config
         limits = leanserver.Limits(
@@ -88,15 +96,15 @@
             read_timeout=config.limits.header_timeout,
             max_connections=config.limits.operator_connections,
         )
-        taken = intake.Intake()
-        api = taking(taken, self.make_api(self.publisher))
+        taken = drainmanager.DrainManager()
+        api = drainable_handler(taken, self.make_handler(self.publisher))
         made = [leanserver.Listener(config.listen.operator, api, limits)]
         page = metricspage.make_handler(self.render_metrics)
         made += [
             leanserver.Listener(address, page, leanserver.Limits())
             for address in config.listen.metrics
         ]
-        return Listeners(made, taken)
+        return ListenerGroup(made, taken)
 
     def render_metrics(self) -> bytes:
         """Returns the metrics in the Prometheus text format."""
--- a/mangobay/routednode.py
+++ b/mangobay/routednode.py
@@ -136,7 +136,7 @@
 
     def is_ready(self) -> bool:
         """Returns whether the node is ready for callers."""
-        return self.gateway.table is not None and self.leaving is None
+        return self.gateway.table is not None and self.leave_task is None
 
     async def start(self) -> None:
         """Opens the listeners and starts the background tasks.
@@ -150,7 +150,7 @@
         self.control.views.subscribe(self.router.update_views)
         self.control.views.subscribe(self.set_node_count)
         self.control.routes.subscribe(self.apply_routes)
-        self.control.draining.subscribe(self.drained)
+        self.control.draining.subscribe(self.leave_if_draining)
         for coroutine in (self.control.run(), self.local_services.run_expiry()):
             self.tasks.append(asyncio.create_task(coroutine))
         logs.log_event(logs.Component.NODE, "started", host=self.process.host)
@@ -198,25 +198,25 @@
         logs.log_event(logs.Component.NODE, "leaving", grace=config.grace)
         self.outside_listener.leaving = True
         schedule = self.executor.shutdown
-        schedule.start(self.told_at, config.grace, config.linger)
-        linger = schedule.accept_until - self.told_at
+        schedule.start(self.stop_requested_at, config.grace, config.linger)
+        linger = schedule.accept_until - self.stop_requested_at
         try:
             async with asyncio.timeout_at(schedule.abort_at):
                 await asyncio.sleep(max(linger - LEAVE_NOTICE_SECONDS, 0))
                 self.control.leaving = True
                 await asyncio.sleep(min(linger, LEAVE_NOTICE_SECONDS))
                 self.executor.leaving = True
-                while self.busy():
-                    await asyncio.sleep(basenode.IDLE_POLL)
+                while self.is_busy():
+                    await asyncio.sleep(basenode.IDLE_POLL_SECONDS)
         except TimeoutError:
-            self.end(f"still in flight after {config.grace:g} s")
+            self.abort(f"still in flight after {config.grace:g} s")
             return
         logs.log_event(logs.Component.NODE, "left", host=self.process.host)
-        self.ended.set()
+        self.stopped.set()
 
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Returns whether a call, a request or a response is in flight."""
-        return super().busy() or bool(self.peer_listener.pending_responses)
+        return super().is_busy() or bool(self.peer_listener.pending_responses)
 
     def caller_listeners(self) -> list[leanserver.Listener]:
         """Returns the listeners that accept calls."""
@@ -224,14 +224,14 @@
 
     async def close(self) -> None:
         """Closes listeners, tasks and connections."""
-        await self.give_up()
+        await self.abort_in_flight()
         await asyncio.gather(self.close_listeners(), self.close_peers())
         logs.log_event(logs.Component.NODE, "stopped", host=self.process.host)
 
     async def close_peers(self) -> None:
         """Stops the node's tasks and closes its connections to others."""
         await self.peer_listener.close()
-        await self.end_tasks()
+        await self.cancel_tasks()
         await self.close_connections()
 
 
--- a/tests/processfakes.py
+++ b/tests/processfakes.py
@@ -10,9 +10,9 @@
 from mangobay import ids, keyslots
 from mangobay.generated import messages
 
-BOOKING = pathlib.Path(__file__).parent / "booking"
+BOOKING_DIRECTORY = pathlib.Path(__file__).parent / "booking"
 SERVICE = ids.ServiceName("bookings")
-LONG = 20.0
+WAIT_SECONDS = 20.0
 CONTROL_CHANGES = {"lease": {"ttl": 1.5, "margin": 0.5}}
 NODE_CHANGES = {"control": {"renew_interval": 0.3}}
 LEAVING_SECONDS = 2.0
@@ -20,18 +20,18 @@
 POLL_SECONDS = 0.05
 
 
-class World(cluster.Cluster):
+class ProcessCluster(cluster.Cluster):
     """Control hosts, and nodes with backend servers of one service."""
 
-    async def signal(self, name: str, number: signal.Signals) -> None:
+    async def send_signal(self, name: str, number: signal.Signals) -> None:
         """Sends a signal to a process of the fleet."""
         self.fleet.started[name].process.send_signal(number)
 
-    async def apply_first(self) -> None:
+    async def apply_sheet(self) -> None:
         """Puts the sheet in force everywhere."""
-        await self.apply(self.plan.sheet.read_bytes(), "1", LONG)
+        await self.apply(self.plan.sheet.read_bytes(), "1", WAIT_SECONDS)
 
-    async def owner(self, key: str) -> hosts.NodeHost:
+    async def find_owner(self, key: str) -> hosts.NodeHost:
         """Returns the host that owns a key under the newest membership."""
         members = [
             messages.Member(host=host.host, leaving=host.leaving)
@@ -48,7 +48,7 @@
         """Returns the host of a name."""
         return next(host for host in self.layout.nodes if host.name == name)
 
-    def others(self, host: hosts.NodeHost) -> list[hosts.NodeHost]:
+    def other_nodes(self, host: hosts.NodeHost) -> list[hosts.NodeHost]:
         """Returns the other hosts with backend servers."""
         return [other for other in self.layout.nodes if other is not host]
 
@@ -60,32 +60,32 @@
             await response.read()
             return response.headers[backend.OUTCOME]
 
-    async def book_until_told(self, host: hosts.NodeHost, key: str) -> str:
+    async def book_until_run(self, host: hosts.NodeHost, key: str) -> str:
         """Repeats a booking while it is refused as not run."""
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_SECONDS):
             while True:
                 outcome = await self.book(host, key)
                 if outcome != load.NOT_RUN:
                     return outcome
                 await asyncio.sleep(POLL_SECONDS)
 
-    async def runs_with(self, key: str) -> list[backend.Run]:
+    async def runs_of_key(self, key: str) -> list[backend.Run]:
         """Returns the runs of a key at all backend servers."""
         return [run for run in await self.runs() if run.key == key]
 
-    async def wait_run(self, key: str) -> None:
+    async def wait_until_running(self, key: str) -> None:
         """Returns once a key runs at some backend server."""
-        async with asyncio.timeout(LONG):
-            while not await self.runs_with(key):
+        async with asyncio.timeout(WAIT_SECONDS):
+            while not await self.runs_of_key(key):
                 await asyncio.sleep(POLL_SECONDS)
 
-    async def wait_gone(self, host: hosts.NodeHost) -> None:
+    async def wait_until_removed(self, host: hosts.NodeHost) -> None:
         """Returns once control no longer counts a host as a member."""
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_SECONDS):
             while host.name in {h.host for h in await self.client.hosts()}:
                 await asyncio.sleep(POLL_SECONDS)
 
-    async def ended(self, name: str) -> int:
+    async def wait_for_exit(self, name: str) -> int:
         """Returns the exit code of a process once it has ended by itself."""
         return await self.fleet.started.pop(name).process.wait()
 
@@ -103,22 +103,22 @@
             sections.setdefault(section, {}).update(keys)
         hosts.write(host.settings, sections, CONTROL_CHANGES)
 
-    async def wait_leaving(self, host: hosts.NodeHost) -> None:
+    async def wait_until_leaving(self, host: hosts.NodeHost) -> None:
         """Returns once control knows that a host leaves."""
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_SECONDS):
             while host.name not in {
                 each.host for each in await self.client.hosts() if each.leaving
             }:
                 await asyncio.sleep(POLL_SECONDS)
 
-    async def versions(self) -> list[str]:
+    async def sheet_versions(self) -> list[str]:
         """Returns the versions of the sheets in the history, oldest first."""
         history = await self.client.send_request("GET", "/v1/history")
         return [item["version"] for item in history["items"]]
 
-    async def wait_voter(self, host: hosts.ControlHost) -> None:
+    async def wait_until_voter(self, host: hosts.ControlHost) -> None:
         """Returns once a control host says that it votes."""
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(WAIT_SECONDS):
             while not (await self.health(host))["votes"]:
                 await asyncio.sleep(POLL_SECONDS)
 
@@ -128,24 +128,26 @@
         async with self.session.get(url) as response:
             return await response.json()
 
-    async def check_true_and_once(self, running: load.Load) -> None:
+    async def check_outcomes(self, running: load.Load) -> None:
         """Asserts that callers were told the truth and nothing ran twice."""
         runs = await self.runs()
         truth = verdict.truth_of(self.plan, running.calls, runs)
         assert running.calls
         assert truth == verdict.Truth([], [], [], [])
 
-    async def check_nothing_lost(self, running: load.Load) -> None:
+    async def check_all_answered(self, running: load.Load) -> None:
         """Asserts that all was answered in the end, true, once and uncut."""
-        await self.check_true_and_once(running)
+        await self.check_outcomes(running)
         calls = running.calls
         runs = await self.runs()
-        cut = cut_attempts(calls, {run.marker for run in runs})
+        cut = ambiguous_attempts(calls, {run.marker for run in runs})
         assert not cut, cut
         assert all(call.attempts[-1].whole for call in calls)
 
 
-def cut_attempts(calls: list[load.Call], ran: set[str]) -> list[load.Attempt]:
+def ambiguous_attempts(
+    calls: list[load.Call], ran: set[str]
+) -> list[load.Attempt]:
     """Returns the attempts whose caller can't know whether they ran."""
     return [
         attempt
@@ -157,7 +159,7 @@
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def process_cluster(
     folder: pathlib.Path,
     control_changes: dict | None = None,
     data_centres: int = 3,
@@ -169,7 +171,7 @@
       control_changes: further settings of the control hosts.
       data_centres: how many of them there are, each with one host a kind.
     """
-    plan = deployment.read(str(BOOKING))
+    plan = deployment.read(str(BOOKING_DIRECTORY))
     service = plan.services[SERVICE]
     plan = dataclasses.replace(
         plan,
@@ -180,7 +182,7 @@
     )
     async with (
         launcher.Fleet(folder) as fleet,
-        World(plan, fleet, folder, 1.0) as made,
+        ProcessCluster(plan, fleet, folder, 1.0) as made,
     ):
         changes = CONTROL_CHANGES | (control_changes or {})
         hosts.write_all(made.layout, plan, NODE_CHANGES, changes)
@@ -188,21 +190,21 @@
 
 
 @contextlib.asynccontextmanager
-async def started_world(folder: pathlib.Path):
+async def running_cluster(folder: pathlib.Path):
     """Gives a deployment that runs, with its sheet in force."""
-    async with world(folder) as made:
+    async with process_cluster(folder) as made:
         await made.start()
-        await made.apply_first()
+        await made.apply_sheet()
         yield made
 
 
 @contextlib.asynccontextmanager
-async def loaded(made: World, targets: list[hosts.NodeHost]):
+async def under_load(made: ProcessCluster, targets: list[hosts.NodeHost]):
     """Gives callers that call until the block ends; all are answered then."""
     running = load.Load(
         made.plan, [host.outside for host in targets], made.plan.rate, tries=6
     )
-    calling = asyncio.create_task(running.run(LONG * 3))
+    calling = asyncio.create_task(running.run(WAIT_SECONDS * 3))
     try:
         yield running
         calling.cancel()
--- a/tests/test_cmdnode.py
+++ b/tests/test_cmdnode.py
@@ -11,31 +11,31 @@
 import nodes
 import pytest
 
-LONG = 30
+WAIT_SECONDS = 30
 
 
-def command(path, *more) -> list[str]:
+def make_command(path, *more) -> list[str]:
     module = [sys.executable, "-m", "mangobay.cmdnode"]
     return [*module, "--settings", str(path), *more]
 
 
-def run(path, *more) -> subprocess.CompletedProcess:
+def run_node(path, *more) -> subprocess.CompletedProcess:
     return subprocess.run(
-        command(path, *more),
+        make_command(path, *more),
         capture_output=True,
         text=True,
-        timeout=LONG,
+        timeout=WAIT_SECONDS,
         check=False,
     )
 
 
 @contextlib.contextmanager
-def started(folder):
+def running_node(folder):
     """Gives a process that runs, without control; kills it at the end."""
     path = folder / "node.ini"
     path.write_text(nodes.SETTINGS.format(host="one"))
     process = subprocess.Popen(
-        command(path), stderr=subprocess.PIPE, text=True, env=os.environ
+        make_command(path), stderr=subprocess.PIPE, text=True, env=os.environ
     )
     try:
         while "started" not in (line := process.stderr.readline()):
@@ -53,7 +53,7 @@
     def test_faults_of_the_settings_are_told_together(self, tmp_path):
         path = tmp_path / "node.ini"
         path.write_text("[host]\nnmae = a\n[listen]\nlocal = db:1\n")
-        done = run(path)
+        done = run_node(path)
         assert done.returncode == 2
         assert "nmae" in done.stderr
         assert "db" in done.stderr
@@ -62,7 +62,7 @@
     def test_check_opens_nothing(self, tmp_path):
         path = tmp_path / "node.ini"
         path.write_text(nodes.SETTINGS.format(host="one"))
-        assert run(path, "--check").returncode == 0
+        assert run_node(path, "--check").returncode == 0
 
     @pytest.mark.parametrize(
         "extra", ["", "[trace]\nfile = /nowhere/at/all/spans\n"]
@@ -77,7 +77,7 @@
                     "outside = 127.0.0.1:0", f"outside = 127.0.0.1:{port}"
                 )
             )
-            done = run(path)
+            done = run_node(path)
         assert done.returncode == 1
         (line,) = [
             each
@@ -93,23 +93,23 @@
         It must not fail at the start, since control may come later; and with
         nothing in flight SIGTERM ends it at once, with exit code 0.
         """
-        with started(tmp_path) as process:
+        with running_node(tmp_path) as process:
             process.send_signal(signal.SIGTERM)
-            assert process.wait(LONG) == 0
+            assert process.wait(WAIT_SECONDS) == 0
 
     def test_sighup_changes_nothing(self, tmp_path):
         """A log rotation ends the node, and cuts whatever it carries."""
-        with started(tmp_path) as process:
+        with running_node(tmp_path) as process:
             process.send_signal(signal.SIGHUP)
             while "next start" not in (line := process.stderr.readline()):
-                assert line, f"ended with {process.wait(LONG)}"
+                assert line, f"ended with {process.wait(WAIT_SECONDS)}"
             process.send_signal(signal.SIGTERM)
-            assert process.wait(LONG) == 0
+            assert process.wait(WAIT_SECONDS) == 0
 
     def test_sigterm_until_it_is_gone_changes_no_exit_code(self, tmp_path):
         """One that comes in the last moment ends the process as killed."""
-        with started(tmp_path) as process:
-            give_up = time.monotonic() + LONG
+        with running_node(tmp_path) as process:
+            give_up = time.monotonic() + WAIT_SECONDS
             while process.poll() is None and time.monotonic() < give_up:
                 process.send_signal(signal.SIGTERM)
                 time.sleep(0.002)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -27,7 +27,7 @@
 from mangobay.generated import messages
 from mangobay.generated import settings as generated
 
-PATIENCE = 15.0
+WAIT_SECONDS = 15.0
 """Seconds after which a test gives up; nothing is measured by it."""
 
 SETTINGS = """
@@ -78,7 +78,7 @@
     return str(path)
 
 
-class Running:
+class RunningHost:
     """One control host and the task that runs it."""
 
     async def start(self, path):
@@ -86,31 +86,31 @@
             path, generated.CONTROL_SECTIONS, generated.Control
         )
         self.host = control.Control(config)
-        self.stopping = asyncio.Event()
+        self.stop_event = asyncio.Event()
         await self.host.start()
-        self.task = asyncio.create_task(self.host.run(self.stopping))
+        self.task = asyncio.create_task(self.host.run(self.stop_event))
 
     async def stop(self):
-        self.stopping.set()
+        self.stop_event.set()
         await self.task
 
 
-async def until(condition):
+async def wait_until(condition):
     """Waits for a condition; fails when it does not come."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while not condition():
             await asyncio.sleep(0.02)
 
 
-def leader_of(hosts):
+def find_leader(hosts):
     return next((one for one in hosts if one.host.group.leading.is_set()), None)
 
 
-async def apply(session, running, version):
+async def apply_sheet(session, running, version):
     """Sends the sheet to one host until it is accepted."""
-    url = f"http://{running.host.operators.address}/v1/sheets"
+    url = f"http://{running.host.operator_listener.address}/v1/sheets"
     query = {"version": version, "operator": "ana"}
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while True:
             async with session.post(url, params=query, data=SHEET) as answer:
                 if answer.status != 503:
@@ -130,7 +130,7 @@
         """
         addresses = free_addresses(3)
         paths = [write_settings(tmp_path, n, addresses) for n in range(3)]
-        hosts = [Running() for _ in paths]
+        hosts = [RunningHost() for _ in paths]
         for one, path in zip(hosts, paths, strict=True):
             await one.start(path)
         hello = messages.Hello(host="a", incarnation="1", role="node")
@@ -154,13 +154,15 @@
         client.serves = [messages.ServedService(name="quotes", slots=4)]
         renewing = asyncio.create_task(client.run())
         async with aiohttp.ClientSession() as session:
-            await until(lambda: leader_of(hosts) and client.lease.is_valid())
-            first = leader_of(hosts)
-            status, accepted = await apply(session, first, "1")
+            await wait_until(
+                lambda: find_leader(hosts) and client.lease.is_valid()
+            )
+            first = find_leader(hosts)
+            status, accepted = await apply_sheet(session, first, "1")
             assert status == 200
             revision = accepted["revision"]
-            await until(lambda: client.tables.value.revision == revision)
-            url = f"http://{first.host.operators.address}/v1/revisions"
+            await wait_until(lambda: client.tables.value.revision == revision)
+            url = f"http://{first.host.operator_listener.address}/v1/revisions"
             async with session.get(
                 f"{url}/{revision}/in-force", params={"wait": "5"}
             ) as answer:
@@ -168,17 +170,17 @@
 
             await first.stop()
             rest = [one for one in hosts if one is not first]
-            await until(lambda: leader_of(rest))
+            await wait_until(lambda: find_leader(rest))
             old_end = client.lease.expires_at
-            await until(lambda: client.lease.expires_at > old_end + 0.5)
+            await wait_until(lambda: client.lease.expires_at > old_end + 0.5)
             assert client.tables.value.revision == revision
 
             for one in rest:
                 await one.stop()
             for one, path in zip(hosts, paths, strict=True):
                 await one.start(path)
-            await until(lambda: leader_of(hosts))
-            _, again = await apply(session, leader_of(hosts), "1")
+            await wait_until(lambda: find_leader(hosts))
+            _, again = await apply_sheet(session, find_leader(hosts), "1")
             assert again == accepted | {"repeated": True}
         renewing.cancel()
         await transport.close()
@@ -191,20 +193,20 @@
 
     full = False
 
-    def check(self):
+    def check_space(self):
         if FillingDisk.full:
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def write(self, name, data):
-        self.check()
+        self.check_space()
         super().write(name, data)
 
     def append(self, name, data):
-        self.check()
+        self.check_space()
         super().append(name, data)
 
     def truncate(self, name, size):
-        self.check()
+        self.check_space()
         super().truncate(name, size)
 
 
@@ -218,22 +220,22 @@
         monkeypatch.setattr(FillingDisk, "full", False)
         made = cmdcontrol.ControlProgram()
         made.hosts = []
-        make = made.make
+        make = made.make_control
 
         def remember(config):
             made.hosts.append(make(config))
             return made.hosts[-1]
 
-        monkeypatch.setattr(made, "make", remember)
+        monkeypatch.setattr(made, "make_control", remember)
         return made
 
-    def config(self, tmp_path):
+    def load_config(self, tmp_path):
         path = write_settings(tmp_path, 0, free_addresses(1))
         return settings.load(
             path, generated.CONTROL_SECTIONS, generated.Control
         )
 
-    def leads(self, program):
+    def is_leading(self, program):
         host = program.hosts[-1]
         return hasattr(host, "group") and host.group.leading.is_set()
 
@@ -244,8 +246,8 @@
         that nobody has to start it, and leads again with all that it had
         acknowledged once the disk takes writes.
         """
-        running = asyncio.create_task(program.run(self.config(tmp_path)))
-        await until(lambda: program.hosts and self.leads(program))
+        running = asyncio.create_task(program.run(self.load_config(tmp_path)))
+        await wait_until(lambda: program.hosts and self.is_leading(program))
         change = messages.SheetChange(version="1", operator="ana")
         first = program.hosts[-1]
         await first.group.propose(change)
@@ -255,8 +257,8 @@
         await asyncio.sleep(3 * disk.FULL_POLL_SECONDS)
         assert not running.done()
         FillingDisk.full = False
-        await until(
-            lambda: program.hosts[-1] is not first and self.leads(program)
+        await wait_until(
+            lambda: program.hosts[-1] is not first and self.is_leading(program)
         )
         await program.hosts[-1].group.propose(
             messages.SheetChange(version="3", operator="ana")
@@ -272,7 +274,7 @@
         and can still be told to stop.
         """
         FillingDisk.full = True
-        running = asyncio.create_task(program.run(self.config(tmp_path)))
+        running = asyncio.create_task(program.run(self.load_config(tmp_path)))
         await asyncio.sleep(3 * disk.FULL_POLL_SECONDS)
         assert not running.done()
         os.kill(os.getpid(), signal.SIGTERM)
@@ -282,7 +284,7 @@
 class TestProgram:
     """`mangobay-control` as a process."""
 
-    async def run(self, path, *arguments):
+    async def start_program(self, path, *arguments):
         """Starts the program."""
         return await asyncio.create_subprocess_exec(
             sys.executable,
@@ -295,10 +297,10 @@
             stderr=asyncio.subprocess.PIPE,
         )
 
-    async def fails(self, path, code):
+    async def wait_for_failure(self, path, code):
         """Returns the one message of a process that cannot start."""
-        process = await self.run(path)
-        async with asyncio.timeout(PATIENCE):
+        process = await self.start_program(path)
+        async with asyncio.timeout(WAIT_SECONDS):
             _, told = await process.communicate()
         assert process.returncode == code
         assert b"Traceback" not in told
@@ -309,7 +311,7 @@
         path = write_settings(tmp_path, 0, free_addresses(1))
         with open(path, "a") as file:
             file.write("margn = 3\n")
-        lines = await self.fails(path, 2)
+        lines = await self.wait_for_failure(path, 2)
         assert "margn" in lines[0]
 
     async def test_what_it_cannot_start_with_is_one_clear_line(self, tmp_path):
@@ -322,36 +324,36 @@
             taken.listen()
             address = options.Address(*taken.getsockname())
             path = write_settings(tmp_path, 0, [address])
-            lines = await self.fails(path, 1)
+            lines = await self.wait_for_failure(path, 1)
             assert len(lines) == 1
             assert str(address) in lines[0]
         (tmp_path / "c0").rename(tmp_path / "old")
         (tmp_path / "c0").write_text("no folder")
-        lines = await self.fails(path, 1)
+        lines = await self.wait_for_failure(path, 1)
         assert len(lines) == 1
         assert "c0" in lines[0]
 
-    async def started(self, tmp_path):
+    async def start_and_wait(self, tmp_path):
         """Returns a process that has started."""
         path = write_settings(tmp_path, 0, free_addresses(1))
-        process = await self.run(path)
-        async with asyncio.timeout(PATIENCE):
+        process = await self.start_program(path)
+        async with asyncio.timeout(WAIT_SECONDS):
             while b"control: started" not in await process.stderr.readline():
                 pass
         return process
 
     async def test_sighup_does_not_end_it(self, tmp_path):
-        process = await self.started(tmp_path)
+        process = await self.start_and_wait(tmp_path)
         process.send_signal(signal.SIGHUP)
         process.terminate()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_SECONDS):
             await process.communicate()
         assert process.returncode == 0
 
     async def test_sigterm_ends_it_with_exit_code_0(self, tmp_path):
-        process = await self.started(tmp_path)
+        process = await self.start_and_wait(tmp_path)
         process.terminate()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_SECONDS):
             _, told = await process.communicate()
         assert process.returncode == 0
         assert b"Traceback" not in told
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -466,8 +466,8 @@
         release.set()
         assert (await request_task)[0] == 200
         cluster.publish_views()
-        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
-        assert one.cut == 0
+        await asyncio.wait_for(one.stopped.wait(), nodes.WAIT_SECONDS)
+        assert one.aborted_count == 0
 
     async def test_repeated_stop_does_not_abort_calls(self, cluster):
         """Guards against a second SIGTERM that aborts the running calls."""
@@ -486,12 +486,12 @@
         one.stop()
         one.stop()
         await asyncio.sleep(0.1)
-        assert not one.ended.is_set()
+        assert not one.stopped.is_set()
         release.set()
         assert (await request_task)[0] == 200
         cluster.publish_views()
-        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
-        assert one.cut == 0
+        await asyncio.wait_for(one.stopped.wait(), nodes.WAIT_SECONDS)
+        assert one.aborted_count == 0
 
     async def test_second_interrupt_ends_at_once_and_counts_aborted_calls(
         self, cluster
@@ -505,10 +505,10 @@
         )
         await nodes.wait_until(lambda: one.backend_server.requests)
         one.interrupt()
-        assert not one.ended.is_set()
+        assert not one.stopped.is_set()
         one.interrupt()
-        assert one.ended.is_set()
-        assert one.cut == 2
+        assert one.stopped.is_set()
+        assert one.aborted_count == 2
         request_task.cancel()
 
 
@@ -535,11 +535,11 @@
             await nodes.wait_until(lambda: one.executor.leaving)
             cluster.publish_views()
             await asyncio.sleep(0.3)
-            assert not one.ended.is_set()
+            assert not one.stopped.is_set()
             _, _, body = await caller.read_response()
         assert len(body) == size
-        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
-        assert one.cut == 0
+        await asyncio.wait_for(one.stopped.wait(), nodes.WAIT_SECONDS)
+        assert one.aborted_count == 0
 
     async def test_leaving_node_waits_until_replies_to_other_nodes_are_sent(
         self, cluster
@@ -563,10 +563,10 @@
         handler.release.set()
         await nodes.wait_until(lambda: two.executor.idle)
         await asyncio.sleep(0.3)
-        assert not two.ended.is_set()
+        assert not two.stopped.is_set()
         peer.connection.transport.resume_reading()
         assert [(await each)[0] for each in request_tasks] == [200] * 4
-        await asyncio.wait_for(two.ended.wait(), nodes.WAIT_SECONDS)
+        await asyncio.wait_for(two.stopped.wait(), nodes.WAIT_SECONDS)
 
 
 class BlockingHandler:
@@ -599,12 +599,12 @@
             await nodes.wait_until(lambda: one.outside_listener.busy)
             one.stop()
             await asyncio.sleep(0.2)
-            assert not one.ended.is_set()
+            assert not one.stopped.is_set()
             caller.writer.write(b"b")
             status, _, body = await caller.read_response()
         assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
-        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
+        await asyncio.wait_for(one.stopped.wait(), nodes.WAIT_SECONDS)
 
     async def test_request_that_waited_for_control_is_refused_as_not_run(
         self, cluster
@@ -627,12 +627,12 @@
         await nodes.wait_until(lambda: cluster.interest_requests)
         one.stop()
         await asyncio.sleep(0.2)
-        assert not one.ended.is_set()
+        assert not one.stopped.is_set()
         control_answered.set()
         status, _, body = await request_task
         assert (status, reason_of(body)) == (503, "leaving")
         assert not two.backend_server.requests
-        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
+        await asyncio.wait_for(one.stopped.wait(), nodes.WAIT_SECONDS)
 
 
 class TestCallsOfBackendServers:
@@ -690,8 +690,8 @@
         assert (status, body) == (200, b"GET /inside")
         assert len(two.backend_server.requests) == 1
         cluster.publish_views()
-        await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
-        assert one.cut == 0
+        await asyncio.wait_for(one.stopped.wait(), nodes.WAIT_SECONDS)
+        assert one.aborted_count == 0
 
     async def test_call_with_a_late_body_is_refused_as_not_run(self, cluster):
         """Guards against new work that is aborted when the node ends."""
@@ -834,8 +834,8 @@
     async def stop_and_close(self, node):
         """Stops a node and closes it once its grace is over."""
         node.stop()
-        await asyncio.wait_for(node.ended.wait(), nodes.WAIT_SECONDS)
-        assert node.cut
+        await asyncio.wait_for(node.stopped.wait(), nodes.WAIT_SECONDS)
+        assert node.aborted_count
         await node.close()
 
     async def test_queued_calls_are_refused_as_not_run(self, cluster):
@@ -867,7 +867,7 @@
             caller.send("POST", "/stock/book", b"a", length=2)
             await nodes.wait_until(lambda: one.outside_listener.busy)
             one.stop()
-            await asyncio.wait_for(one.ended.wait(), nodes.WAIT_SECONDS)
+            await asyncio.wait_for(one.stopped.wait(), nodes.WAIT_SECONDS)
             closing = asyncio.create_task(one.close())
             await asyncio.sleep(0.1)
             caller.writer.write(b"b")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,7 +6,7 @@
 
 import pytest
 import routingfakes
-from adapter import words
+from adapter import platformnames
 
 from mangobay import (
     admission,
@@ -72,7 +72,7 @@
         self.schedule = shutdown.ShutdownSchedule()
         self.parents = {}
         self.gateway = gateway.Gateway(
-            words.HEADER_NAMES,
+            platformnames.HEADER_NAMES,
             ids.ServiceName("front"),
             self.parents.get,
             self.dispatcher,
@@ -104,8 +104,8 @@
         """Returns the status of a call made by the backend server."""
         headers = {
             "Host": "below.example",
-            words.HEADER_NAMES.backend.attempt_id: attempt_id,
-            words.HEADER_NAMES.backend.deadline: "700",
+            platformnames.HEADER_NAMES.backend.attempt_id: attempt_id,
+            platformnames.HEADER_NAMES.backend.deadline: "700",
         }
         request = leanhttp.Request(
             method="GET", target="/x", headers=headers, raw_headers=[], body=b""
--- a/tests/test_loading.py
+++ b/tests/test_loading.py
@@ -16,7 +16,7 @@
 """
 
 
-def modules_of(role):
+def loaded_modules(role):
     """Returns the names of all modules that a program loads."""
     paths = json.dumps([str(ROOT), str(PLATFORM)])
     done = subprocess.run(
@@ -43,4 +43,4 @@
             "opentelemetry",
             "prometheus_client",
         }
-        assert not unused & modules_of("node")
+        assert not unused & loaded_modules("node")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,7 +6,7 @@
 import re
 
 import pytest
-from adapter import calls, documents, values, words
+from adapter import documents, handlers, jsonvalues, platformnames
 
 from mangobay import heartbeats, leanhttp, options, routes
 
@@ -83,7 +83,7 @@
         assert routes.validate(document) == []
 
     def test_upload_routes_are_unsafe(self):
-        document = documents.document_of(
+        document = documents.parse_document(
             configuration_with_cell("route_type", "upload")
         )
         assert document.routes[0].retry_safety is routes.RetrySafety.UNSAFE
@@ -99,12 +99,12 @@
         ],
     )
     def test_error_names_the_invalid_place(self, broken, where):
-        with pytest.raises(values.FormatError, match=re.escape(where)):
-            documents.document_of(configuration(**broken))
+        with pytest.raises(jsonvalues.FormatError, match=re.escape(where)):
+            documents.parse_document(configuration(**broken))
 
     def test_truncated_json_is_an_error(self):
         data = json.dumps(configuration()).encode()
-        with pytest.raises(values.FormatError, match="not JSON"):
+        with pytest.raises(jsonvalues.FormatError, match="not JSON"):
             documents.decode(data[:-9])
 
     @pytest.mark.parametrize(
@@ -119,8 +119,8 @@
         ],
     )
     def test_unreadable_cell_error_names_the_route(self, column, value):
-        with pytest.raises(values.FormatError, match=r"routes\[0\]"):
-            documents.document_of(configuration_with_cell(column, value))
+        with pytest.raises(jsonvalues.FormatError, match=r"routes\[0\]"):
+            documents.parse_document(configuration_with_cell(column, value))
 
     @pytest.mark.parametrize(
         ("column", "value"),
@@ -133,14 +133,16 @@
         ],
     )
     def test_value_out_of_range_is_a_finding(self, column, value):
-        document = documents.document_of(configuration_with_cell(column, value))
+        document = documents.parse_document(
+            configuration_with_cell(column, value)
+        )
         assert len(routes.validate(document)) == 1
 
     def test_member_order_does_not_change_the_canonical_form(self):
         reordered = dict(reversed(configuration().items()))
-        assert documents.canonical(reordered) == documents.canonical(
-            configuration()
-        )
+        assert documents.encode_canonical(
+            reordered
+        ) == documents.encode_canonical(configuration())
 
 
 def heartbeat(**changes):
@@ -160,7 +162,7 @@
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     return leanhttp.Request(
         method="POST",
-        target=f"{words.RPC_PATH}?call={call}&of={subject}",
+        target=f"{platformnames.RPC_PATH}?call={call}&of={subject}",
         headers={},
         raw_headers=[],
         body=data,
@@ -185,7 +187,9 @@
     """Matching of requests with routes."""
 
     def setup_method(self):
-        self.table = routes.RouteTable(documents.document_of(configuration()))
+        self.table = routes.RouteTable(
+            documents.parse_document(configuration())
+        )
 
     def test_longest_prefix_wins(self):
         assert self.table.find("h.example", "/x/z").route.name == "r1"
@@ -217,7 +221,7 @@
         self.receiver = heartbeats.HeartbeatReceiver(
             self.local_services, "a", address
         )
-        self.handle = calls.heartbeat_api(self.receiver)
+        self.handle = handlers.heartbeat_api(self.receiver)
 
     async def send(self, call):
         return (await self.handle(call, None)).status
@@ -295,4 +299,4 @@
 
     def test_standard_platform_module_is_found(self):
         assert standard_platform.python_version()
-        assert calls.__name__ == "adapter.calls"
+        assert handlers.__name__ == "adapter.handlers"
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -28,18 +28,18 @@
         says that the run began and nobody knows how it ended, so the caller
         is told `unknown`; the booking has run once.
         """
-        async with processfakes.started_world(tmp_path) as world:
+        async with processfakes.running_cluster(tmp_path) as world:
             key = str(uuid6.uuid7())
-            owner = await world.owner(key)
-            other = world.others(owner)[0]
+            owner = await world.find_owner(key)
+            other = world.other_nodes(owner)[0]
             await world.slow_down(processfakes.SERVICE, 50)
             first = asyncio.create_task(world.book(other, key))
-            await world.wait_run(key)
+            await world.wait_until_running(key)
             await world.fleet.kill(owner.name)
             assert await first == load.UNKNOWN
-            outcome = await world.book_until_told(other, key)
+            outcome = await world.book_until_run(other, key)
             assert outcome == load.UNKNOWN
-            assert len(await world.runs_with(key)) == 1
+            assert len(await world.runs_of_key(key)) == 1
 
     async def test_a_frozen_owner_that_wakes_runs_nothing(self, tmp_path):
         """The owner is stopped, and a booking waits in its socket.
@@ -48,19 +48,19 @@
         owner wakes up and finds the first attempt, whose deadline has not
         passed by its own clock: it must refuse it.
         """
-        async with processfakes.started_world(tmp_path) as world:
+        async with processfakes.running_cluster(tmp_path) as world:
             key = str(uuid6.uuid7())
-            owner = await world.owner(key)
-            first_node, second_node = world.others(owner)
-            await world.signal(owner.name, signal.SIGSTOP)
+            owner = await world.find_owner(key)
+            first_node, second_node = world.other_nodes(owner)
+            await world.send_signal(owner.name, signal.SIGSTOP)
             first = asyncio.create_task(world.book(first_node, key))
-            await world.wait_gone(owner)
-            outcome = await world.book_until_told(second_node, key)
-            await world.signal(owner.name, signal.SIGCONT)
+            await world.wait_until_removed(owner)
+            outcome = await world.book_until_run(second_node, key)
+            await world.send_signal(owner.name, signal.SIGCONT)
             await first
             await world.wait_serving({owner.name})
             assert outcome == load.ANSWERED
-            assert len(await world.runs_with(key)) == 1
+            assert len(await world.runs_of_key(key)) == 1
 
 
 class TestDataCentre:
@@ -74,7 +74,7 @@
         When it wakes, the requests that waited in its sockets run nothing
         that ran meanwhile, and it joins again.
         """
-        async with processfakes.started_world(tmp_path) as world:
+        async with processfakes.running_cluster(tmp_path) as world:
             place = world.layout.nodes[0].data_centre
             lost = [
                 host
@@ -84,21 +84,21 @@
             names = [host.name for host in lost]
             names.append(cluster.backend_name(world.layout.nodes[0]))
             rest = world.layout.nodes[1:]
-            async with processfakes.loaded(world, rest) as load_:
+            async with processfakes.under_load(world, rest) as load_:
                 await calls_made(load_, 20)
                 for name in names:
-                    await world.signal(name, signal.SIGSTOP)
-                await world.wait_gone(world.layout.nodes[0])
+                    await world.send_signal(name, signal.SIGSTOP)
+                await world.wait_until_removed(world.layout.nodes[0])
                 await calls_made(load_, 40)
-                outcome = await world.book_until_told(
+                outcome = await world.book_until_run(
                     rest[0], str(uuid6.uuid7())
                 )
                 assert outcome == load.ANSWERED
                 for name in names:
-                    await world.signal(name, signal.SIGCONT)
+                    await world.send_signal(name, signal.SIGCONT)
                 await world.wait_serving({world.layout.nodes[0].name})
                 await calls_made(load_, 20)
-            await world.check_true_and_once(load_)
+            await world.check_outcomes(load_)
 
 
 class TestControl:
@@ -110,14 +110,14 @@
         The next change is accepted by another leader within the client's
         patience, and both are in the history.
         """
-        async with processfakes.world(tmp_path) as world:
+        async with processfakes.process_cluster(tmp_path) as world:
             await start_controls(world)
             await apply_number(world, 1)
             leader = await world.leader()
             await world.fleet.kill(leader.name)
             await apply_number(world, 2)
             assert (await world.leader()).name != leader.name
-            assert await world.versions() == ["1", "2"]
+            assert await world.sheet_versions() == ["1", "2"]
 
     async def test_a_frozen_leader_that_wakes_tells_no_old_state(
         self, tmp_path
@@ -128,16 +128,16 @@
         when it wakes, while it still believes that it leads.  It must not
         tell the old revision: the operator hears the new one, or an error.
         """
-        async with processfakes.world(tmp_path) as world:
+        async with processfakes.process_cluster(tmp_path) as world:
             await start_controls(world)
             await apply_number(world, 1)
             leader = await world.leader()
-            await world.signal(leader.name, signal.SIGSTOP)
-            async with asyncio.timeout(processfakes.LONG):
+            await world.send_signal(leader.name, signal.SIGSTOP)
+            async with asyncio.timeout(processfakes.WAIT_SECONDS):
                 asked = asyncio.create_task(status_of(world, leader))
                 await asyncio.sleep(0)
                 accepted = await apply_number(world, 2)
-                await world.signal(leader.name, signal.SIGCONT)
+                await world.send_signal(leader.name, signal.SIGCONT)
                 assert await asked != 200
                 status = await world.client.status()
             assert status.revision == accepted.revision
@@ -150,7 +150,7 @@
         and take the next change.
         """
         changes = 300
-        async with processfakes.world(
+        async with processfakes.process_cluster(
             tmp_path, {"group": {"snapshot_entries": 100}}
         ) as world:
             await start_controls(world)
@@ -161,7 +161,7 @@
             await start_controls(world)
             status = await world.client.status()
             assert status.revision == newest.revision
-            assert (await world.versions())[-1] == str(changes)
+            assert (await world.sheet_versions())[-1] == str(changes)
             repeated = await apply_number(world, changes)
             assert repeated.repeated
             following = await apply_number(world, changes + 1)
@@ -176,7 +176,7 @@
         that are left, one of them repaired a moment ago, hold every accepted
         change and take the next one.
         """
-        async with processfakes.world(tmp_path) as world:
+        async with processfakes.process_cluster(tmp_path) as world:
             await start_controls(world)
             accepted = await apply_number(world, 1)
             repaired, lost, _ = world.layout.controls
@@ -184,7 +184,7 @@
             shutil.rmtree(repaired.settings.with_suffix(".data"))
             world.rewrite_control(repaired, {"group": {"join": "yes"}})
             await world.start_control(repaired)
-            await world.wait_voter(repaired)
+            await world.wait_until_voter(repaired)
             await world.fleet.kill(lost.name)
             status = await world.client.status()
             assert status.revision == accepted.revision
@@ -202,19 +202,21 @@
         after two seconds, and both end with 0; callers that they refuse are
         told `not_run` and repeat elsewhere.
         """
-        async with processfakes.started_world(tmp_path) as world:
+        async with processfakes.running_cluster(tmp_path) as world:
             stopped, drained, _ = world.layout.nodes
-            async with processfakes.loaded(world, world.layout.nodes) as load_:
+            async with processfakes.under_load(
+                world, world.layout.nodes
+            ) as load_:
                 await calls_made(load_, 40)
                 assert await world.fleet.stop(stopped.name) == 0
                 load_.targets.remove(stopped.outside)
                 await world.check_no_new_work(stopped)
                 await world.client.drain(drained.name)
-                async with asyncio.timeout(processfakes.LONG):
-                    assert await world.ended(drained.name) == 0
+                async with asyncio.timeout(processfakes.WAIT_SECONDS):
+                    assert await world.wait_for_exit(drained.name) == 0
                 load_.targets.remove(drained.outside)
                 await world.check_no_new_work(drained)
-            await world.check_nothing_lost(load_)
+            await world.check_all_answered(load_)
 
     async def test_everything_is_restarted_in_turn_under_load(self, tmp_path):
         """Each node and each control host is stopped and started again.
@@ -222,8 +224,10 @@
         Bookings may be refused `not_run` meanwhile and are repeated; in the
         end each is answered, none ran twice and none was cut.
         """
-        async with processfakes.started_world(tmp_path) as world:
-            async with processfakes.loaded(world, world.layout.nodes) as load_:
+        async with processfakes.running_cluster(tmp_path) as world:
+            async with processfakes.under_load(
+                world, world.layout.nodes
+            ) as load_:
                 for host in world.layout.nodes:
                     load_.targets.remove(host.outside)
                     assert await world.fleet.stop(host.name) == 0
@@ -234,24 +238,26 @@
                     assert await world.fleet.stop(host.name) == 0
                     await world.start_control(host)
                     await world.client.status()
-            await world.check_nothing_lost(load_)
+            await world.check_all_answered(load_)
 
     async def test_signals_in_series_cut_nothing_under_load(self, tmp_path):
         """A signal that comes while a node leaves cuts what it carries."""
-        async with processfakes.started_world(tmp_path) as world:
-            async with processfakes.loaded(world, world.layout.nodes) as load_:
+        async with processfakes.running_cluster(tmp_path) as world:
+            async with processfakes.under_load(
+                world, world.layout.nodes
+            ) as load_:
                 await calls_made(load_, 40)
                 for host in world.layout.nodes[:2]:
-                    await world.signal(host.name, signal.SIGHUP)
+                    await world.send_signal(host.name, signal.SIGHUP)
                     await calls_made(load_, 40)
                     await world.client.drain(host.name)
                     process = world.fleet.started[host.name].process
-                    ending = asyncio.create_task(world.ended(host.name))
+                    ending = asyncio.create_task(world.wait_for_exit(host.name))
                     await self.signal_until(process, ending)
                     assert await ending == 0
                     load_.targets.remove(host.outside)
                     await world.check_no_new_work(host)
-            await world.check_nothing_lost(load_)
+            await world.check_all_answered(load_)
 
     async def signal_until(self, process, ending):
         """Sends SIGTERM and SIGHUP in turn until a process has ended."""
@@ -264,40 +270,40 @@
 
     async def test_a_second_sigterm_waits_for_what_is_in_flight(self, tmp_path):
         """A manager's second SIGTERM cuts what the first one waits for."""
-        async with processfakes.started_world(tmp_path) as world:
+        async with processfakes.running_cluster(tmp_path) as world:
             owner, booking = await self.start_slow_booking(world)
-            await world.signal(owner.name, signal.SIGTERM)
-            await world.wait_leaving(owner)
+            await world.send_signal(owner.name, signal.SIGTERM)
+            await world.wait_until_leaving(owner)
             for _ in range(2):
-                await world.signal(owner.name, signal.SIGTERM)
+                await world.send_signal(owner.name, signal.SIGTERM)
                 await asyncio.sleep(processfakes.POLL_SECONDS)
-            async with asyncio.timeout(processfakes.LONG):
+            async with asyncio.timeout(processfakes.WAIT_SECONDS):
                 assert await booking == load.ANSWERED
-                assert await world.ended(owner.name) == 0
+                assert await world.wait_for_exit(owner.name) == 0
             log = owner.settings.with_suffix(".log").read_text()
             assert '"operations_running_here"' not in log
             assert log.count("told to stop again") >= 1
 
     async def test_a_drain_and_then_sigterm_cuts_nothing(self, tmp_path):
         """A manager stops the process while it drains, and cuts its work."""
-        async with processfakes.started_world(tmp_path) as world:
+        async with processfakes.running_cluster(tmp_path) as world:
             owner, booking = await self.start_slow_booking(world)
             await world.client.drain(owner.name)
-            await world.wait_leaving(owner)
-            await world.signal(owner.name, signal.SIGTERM)
-            async with asyncio.timeout(processfakes.LONG):
+            await world.wait_until_leaving(owner)
+            await world.send_signal(owner.name, signal.SIGTERM)
+            async with asyncio.timeout(processfakes.WAIT_SECONDS):
                 assert await booking == load.ANSWERED
-                assert await world.ended(owner.name) == 0
+                assert await world.wait_for_exit(owner.name) == 0
 
     async def test_sigint_while_leaving_cuts_and_says_what(self, tmp_path):
         """A cut is not logged, or its caller is told that nothing ran."""
-        async with processfakes.started_world(tmp_path) as world:
+        async with processfakes.running_cluster(tmp_path) as world:
             owner, booking = await self.start_slow_booking(world)
-            await world.signal(owner.name, signal.SIGTERM)
-            await world.wait_leaving(owner)
-            await world.signal(owner.name, signal.SIGINT)
-            async with asyncio.timeout(processfakes.LONG):
-                assert await world.ended(owner.name) == 1
+            await world.send_signal(owner.name, signal.SIGTERM)
+            await world.wait_until_leaving(owner)
+            await world.send_signal(owner.name, signal.SIGINT)
+            async with asyncio.timeout(processfakes.WAIT_SECONDS):
+                assert await world.wait_for_exit(owner.name) == 1
             log = owner.settings.with_suffix(".log").read_text()
             assert '"operations_running_here":["book"]' in log
             assert await booking == load.UNKNOWN
@@ -305,11 +311,11 @@
     async def start_slow_booking(self, world):
         """Starts a slow booking; returns the host that runs it and a task."""
         key = str(uuid6.uuid7())
-        owner = await world.owner(key)
+        owner = await world.find_owner(key)
         await world.slow_down(processfakes.SERVICE, SLOWNESS)
-        caller = world.others(owner)[0]
+        caller = world.other_nodes(owner)[0]
         booking = asyncio.create_task(world.book(caller, key))
-        await world.wait_run(key)
+        await world.wait_until_running(key)
         return owner, booking
 
     async def test_a_node_without_control_ends_at_once(self, tmp_path):
@@ -318,9 +324,9 @@
         Nobody can take over the keys that it owns.  It must not wait out
         its grace of 30 s for that, and says so in its log.
         """
-        async with processfakes.started_world(tmp_path) as world:
+        async with processfakes.running_cluster(tmp_path) as world:
             host = world.layout.nodes[0]
-            await world.book_until_told(host, str(uuid6.uuid7()))
+            await world.book_until_run(host, str(uuid6.uuid7()))
             for control in world.layout.controls:
                 await world.fleet.kill(control.name)
             assert await world.fleet.stop(host.name) == 0
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,26 +9,26 @@
 import pytest
 import test_control
 
-LONG = 30.0
+WAIT_SECONDS = 30.0
 """Seconds after which a test gives up."""
 ROOT = pathlib.Path(__file__).parent.parent
-STANDIN_EXIT = 7
-STANDIN = """import sys
+BLOCKING_MODULE_EXIT_CODE = 7
+BLOCKING_MODULE = """import sys
 open({pipe!r}).read()
 sys.exit({code})
 """
-LATE = """import asyncio, os, sys
+LATE_SIGNAL_PROGRAM = """import asyncio, os, sys
 from mangobay import program
 from mangobay.generated import settings
 
 class Idle(program.Program):
     sections = settings.CONTROL_SECTIONS
-    config = settings.Control
+    config_class = settings.Control
 
     async def run(self, config):
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(int(sys.argv[1]), print)
-        return program.Exit.OK
+        return program.ExitCode.OK
 
 code = Idle().main(sys.argv[2:])
 os.kill(os.getpid(), int(sys.argv[1]))
@@ -44,14 +44,14 @@
     return path
 
 
-def hang_up(process, pipe, text):
+def send_sighup(process, pipe, text):
     """Sends SIGHUP to a process that reads a pipe, then lets it go on."""
     with open(pipe, "w") as writing:
         process.send_signal(signal.SIGHUP)
         writing.write(text)
 
 
-def started(command, **environment):
+def start_process(command, **environment):
     """Starts a program whose standard error is read."""
     return subprocess.Popen(
         command,
@@ -61,10 +61,10 @@
     )
 
 
-def ended(process):
+def wait_for_exit(process):
     """Returns the exit code and what a process said."""
     try:
-        _, told = process.communicate(timeout=LONG)
+        _, told = process.communicate(timeout=WAIT_SECONDS)
     finally:
         process.kill()
         process.wait()
@@ -79,9 +79,9 @@
         self, pipe, module
     ):
         command = [sys.executable, "-m", f"mangobay.{module}"]
-        process = started([*command, "--settings", str(pipe), "--check"])
-        hang_up(process, pipe, "[nonsense]\n")
-        code, told = ended(process)
+        process = start_process([*command, "--settings", str(pipe), "--check"])
+        send_sighup(process, pipe, "[nonsense]\n")
+        code, told = wait_for_exit(process)
         assert code == 2
         assert "nonsense" in told
 
@@ -90,15 +90,17 @@
         self, tmp_path, pipe, program
     ):
         """The stand-in for a library waits while it is imported."""
-        standin = STANDIN.format(pipe=str(pipe), code=STANDIN_EXIT)
+        standin = BLOCKING_MODULE.format(
+            pipe=str(pipe), code=BLOCKING_MODULE_EXIT_CODE
+        )
         (tmp_path / "capnp.py").write_text(standin)
-        process = started(
+        process = start_process(
             [sys.executable, ROOT / "platform" / "run.py", program],
             PYTHONPATH=str(tmp_path),
         )
-        hang_up(process, pipe, "")
-        code, _ = ended(process)
-        assert code == STANDIN_EXIT
+        send_sighup(process, pipe, "")
+        code, _ = wait_for_exit(process)
+        assert code == BLOCKING_MODULE_EXIT_CODE
 
 
 class TestLateSignals:
@@ -111,6 +113,6 @@
         path = test_control.write_settings(
             tmp_path, 0, test_control.free_addresses(1)
         )
-        command = [sys.executable, "-c", LATE, str(int(number))]
-        process = started([*command, "--settings", path])
-        assert ended(process) == (0, "")
+        command = [sys.executable, "-c", LATE_SIGNAL_PROGRAM, str(int(number))]
+        process = start_process([*command, "--settings", path])
+        assert wait_for_exit(process) == (0, "")
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -136,7 +136,7 @@
 @contextlib.asynccontextmanager
 async def single_node_cluster(folder: pathlib.Path):
     """Gives one control host, one node and its backend server, started."""
-    async with processfakes.world(folder, data_centres=1) as world:
+    async with processfakes.process_cluster(folder, data_centres=1) as world:
         await world.start()
         yield world
 
@@ -159,7 +159,9 @@
         Each program ends with one line that names the address or folder.
         """
         session = Transcript(tmp_path)
-        async with processfakes.world(tmp_path, data_centres=1) as world:
+        async with processfakes.process_cluster(
+            tmp_path, data_centres=1
+        ) as world:
             [control], [node] = world.layout.controls, world.layout.nodes
             for host, taken in ((control, control.peer), (node, node.outside)):
                 program = "mangobay-node"
@@ -186,7 +188,7 @@
         """Sheets that are broken, sent again, or race under one version."""
         session = Transcript(tmp_path)
         session.write("bad.csv", BAD_SHEET)
-        good = (processfakes.BOOKING / "sheet.csv").read_text()
+        good = (processfakes.BOOKING_DIRECTORY / "sheet.csv").read_text()
         session.write("good.csv", good)
         session.write("other.csv", good.replace("6000", "5000"))
         async with single_node_cluster(tmp_path) as world:
@@ -225,7 +227,7 @@
     async def test_requests(self, tmp_path, snapshot):
         session = Transcript(tmp_path)
         async with single_node_cluster(tmp_path) as world:
-            await world.apply_first()
+            await world.apply_sheet()
             [node] = world.layout.nodes
             await session.send_http(node.outside, "GET /nosuch/thing")
             await session.send_http(node.outside, "GET /bookings/nosuch/thing")
@@ -247,7 +249,9 @@
         run, and the caller is asked to come again.
         """
         session = Transcript(tmp_path)
-        async with processfakes.world(tmp_path, data_centres=1) as world:
+        async with processfakes.process_cluster(
+            tmp_path, data_centres=1
+        ) as world:
             [node] = world.layout.nodes
             await world.start_node(node)
             await session.send_http(node.outside, "GET /bookings/bookings/1")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 
 import pytest
 import soakfakes
-from adapter import standin
+from adapter import fakeplatform
 
 from bench.soak import (
     checks,
@@ -165,8 +165,8 @@
         server = await asyncio.start_server(silent, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         speech = dataclasses.replace(
-            standin.DIALECT,
-            ports=dataclasses.replace(standin.DIALECT.ports, outside=port),
+            fakeplatform.DIALECT,
+            ports=dataclasses.replace(fakeplatform.DIALECT.ports, outside=port),
         )
         place = types.SimpleNamespace(
             ip="127.0.0.1", name="node-1", service="a"
--- a/tests/test_soak_processes.py
+++ b/tests/test_soak_processes.py
@@ -3,7 +3,7 @@
 import dataclasses
 import pathlib
 
-from adapter import standin
+from adapter import fakeplatform
 
 from bench.soak import bounds, judge, play, report, world
 
@@ -28,6 +28,6 @@
             tree=ROOT,
             folder=tmp_path,
         )
-        played = await play.play(run, standin.DIALECT)
+        played = await play.play(run, fakeplatform.DIALECT)
         found = judge.judge(played.seen, BUSY)
         assert not found, report.explain(played, found, "this test")
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -19,7 +19,7 @@
 from mangobay.generated import messages
 from mangobay.generated import settings as generated
 
-GRACE = 6.0
+GRACE_SECONDS = 6.0
 """Seconds after which a process that was told to stop is killed."""
 ROUTES_CALL = b"POST / HTTP/1.1\r\nHost: here\r\nContent-Length: 0\r\n\r\n"
 STATUS_CALL = b"GET /v1/status HTTP/1.1\r\nHost: here\r\n\r\n"
@@ -30,14 +30,14 @@
 )
 
 
-class Stopping:
+class StoppingHost:
     """A control host that leads a group of one."""
 
     def __init__(self, host: control.Control, address):
         self.host = host
         self.address = address
-        self.stop = asyncio.Event()
-        self.task = asyncio.create_task(host.run(self.stop))
+        self.stop_event = asyncio.Event()
+        self.task = asyncio.create_task(host.run(self.stop_event))
 
     async def connect(self, data):
         """Returns a connection on which bytes were sent."""
@@ -46,38 +46,38 @@
         caller.writer.write(data)
         return caller
 
-    async def ask(self, data):
+    async def send_request(self, data):
         """Returns the answer to a call on a new connection."""
         return await platformfakes.send_request(*self.address(), data)
 
-    async def refuses(self, data):
+    async def wait_until_refusing(self, data):
         """Returns once new calls are refused."""
 
         async def check():
-            return (await self.ask(data)).status == 503
+            return (await self.send_request(data)).status == 503
 
         await platformfakes.wait_until(check)
 
-    async def ended(self):
+    async def wait_until_stopped(self):
         """Returns once it has stopped, within the grace."""
-        async with asyncio.timeout(GRACE):
+        async with asyncio.timeout(GRACE_SECONDS):
             await self.task
 
 
 @contextlib.asynccontextmanager
-async def running(host, address):
+async def running_host(host, address):
     """Runs a control host until it is stopped."""
     await host.start()
-    made = Stopping(host, address)
+    made = StoppingHost(host, address)
     try:
-        await test_control.until(host.group.leading.is_set)
+        await test_control.wait_until(host.group.leading.is_set)
         yield made
     finally:
-        made.stop.set()
+        made.stop_event.set()
         await asyncio.gather(made.task, return_exceptions=True)
 
 
-def config(tmp_path):
+def load_config(tmp_path):
     """Returns the settings of a group of one."""
     addresses = test_control.free_addresses(1)
     path = test_control.write_settings(tmp_path, 0, addresses)
@@ -87,7 +87,7 @@
 @pytest.fixture
 def patient(monkeypatch):
     """A bound on the drain that a slow machine does not reach."""
-    monkeypatch.setattr(control, "DRAIN_SECONDS", test_control.PATIENCE)
+    monkeypatch.setattr(control, "MAX_DRAIN_SECONDS", test_control.WAIT_SECONDS)
 
 
 class SlowApi:
@@ -95,16 +95,16 @@
 
     def __init__(self, publisher):
         self.group = publisher.group
-        self.taken = asyncio.Event()
-        self.done = asyncio.Event()
-        self.led = False
+        self.request_received = asyncio.Event()
+        self.release_event = asyncio.Event()
+        self.was_leading = False
 
     async def handle(self, request, client):
         del request, client
-        if not self.taken.is_set():
-            self.taken.set()
-            await self.done.wait()
-            self.led = self.group.leading.is_set()
+        if not self.request_received.is_set():
+            self.request_received.set()
+            await self.release_event.wait()
+            self.was_leading = self.group.leading.is_set()
         return leanhttp.Response(status=200, body=b"{}")
 
 
@@ -112,7 +112,7 @@
     """Operators that send routes documents."""
 
     @contextlib.asynccontextmanager
-    async def stopping(self, tmp_path):
+    async def call_in_flight(self, tmp_path):
         """Gives a host, a caller whose call is in flight, and the API."""
         made = []
 
@@ -120,111 +120,111 @@
             made.append(SlowApi(publisher))
             return made[0].handle
 
-        host = routedcontrol.RoutedControl(config(tmp_path), make_api)
+        host = routedcontrol.RoutedControl(load_config(tmp_path), make_api)
 
         def address():
-            return host.operators.listeners[0].address
+            return host.operator_listener.listeners[0].address
 
-        async with running(host, address) as stopping:
+        async with running_host(host, address) as stopping:
             caller = await stopping.connect(ROUTES_CALL)
-            async with asyncio.timeout(test_control.PATIENCE):
-                await made[0].taken.wait()
+            async with asyncio.timeout(test_control.WAIT_SECONDS):
+                await made[0].request_received.wait()
             yield stopping, caller, made[0]
 
     async def test_a_call_in_flight_is_finished_while_the_host_leads(
         self, tmp_path, patient
     ):
-        async with self.stopping(tmp_path) as (stopping, caller, api):
-            stopping.stop.set()
-            await stopping.refuses(ROUTES_CALL)
-            api.done.set()
+        async with self.call_in_flight(tmp_path) as (stopping, caller, api):
+            stopping.stop_event.set()
+            await stopping.wait_until_refusing(ROUTES_CALL)
+            api.release_event.set()
             answer = await caller.read_response()
             assert answer.status == 200, answer
             assert "connection: close" in answer.head
-            assert api.led
-            await stopping.ended()
+            assert api.was_leading
+            await stopping.wait_until_stopped()
 
     async def test_new_calls_are_refused_on_kept_connections(
         self, tmp_path, patient
     ):
-        async with self.stopping(tmp_path) as (stopping, caller, api):
+        async with self.call_in_flight(tmp_path) as (stopping, caller, api):
             kept = await stopping.connect(ROUTES_CALL)
             assert (await kept.read_response()).status == 200
-            stopping.stop.set()
-            await stopping.refuses(ROUTES_CALL)
+            stopping.stop_event.set()
+            await stopping.wait_until_refusing(ROUTES_CALL)
             kept.writer.write(ROUTES_CALL)
             refused = await kept.read_response()
             assert refused.status == 503
             assert "connection: close" in refused.head
             caller.writer.write(ROUTES_CALL)
-            api.done.set()
+            api.release_event.set()
             assert (await caller.read_response()).status == 200
             assert (await caller.read_response()).status in (503, 0)
 
     async def test_a_call_on_an_idle_connection_is_refused_not_cut(
         self, tmp_path, monkeypatch
     ):
-        monkeypatch.setattr(control, "REFUSE_SECONDS", 3.0, raising=False)
-        async with self.stopping(tmp_path) as (stopping, caller, api):
-            api.done.set()
+        monkeypatch.setattr(control, "MIN_REFUSE_SECONDS", 3.0, raising=False)
+        async with self.call_in_flight(tmp_path) as (stopping, caller, api):
+            api.release_event.set()
             assert (await caller.read_response()).status == 200
-            stopping.stop.set()
+            stopping.stop_event.set()
             await asyncio.sleep(0.1)
             caller.writer.write(ROUTES_CALL)
             answer = await caller.read_response()
             assert answer.status == 503, answer
-            await stopping.ended()
+            await stopping.wait_until_stopped()
 
     async def test_a_call_that_lasts_too_long_is_answered_as_unclear(
         self, tmp_path
     ):
-        async with self.stopping(tmp_path) as (stopping, caller, _):
-            stopping.stop.set()
+        async with self.call_in_flight(tmp_path) as (stopping, caller, _):
+            stopping.stop_event.set()
             answer = await caller.read_response()
             assert answer.status == 503, answer
-            await stopping.ended()
+            await stopping.wait_until_stopped()
 
     async def test_a_call_is_answered_as_unclear_when_the_disk_fails(
         self, tmp_path
     ):
-        async with self.stopping(tmp_path) as (stopping, caller, _):
+        async with self.call_in_flight(tmp_path) as (stopping, caller, _):
             stopping.host.log.failure = "the disk is gone"
             stopping.host.group.abort_run()
             answer = await caller.read_response()
             assert answer.status == 503, answer
             with pytest.raises(errors.StorageError):
-                await stopping.ended()
+                await stopping.wait_until_stopped()
 
 
 class TestSheetCalls:
     """Operators that send sheets."""
 
     @contextlib.asynccontextmanager
-    async def stopping(self, tmp_path):
+    async def sheet_in_flight(self, tmp_path):
         """Gives a host, and a caller whose sheet is on its way."""
-        host = control.Control(config(tmp_path))
+        host = control.Control(load_config(tmp_path))
 
         def address():
-            return host.operators.address
+            return host.operator_listener.address
 
         def are_read():
-            open_now = len(host.operators.runner.server.connections)
+            open_now = len(host.operator_listener.runner.server.connections)
             return (
                 open_now == 2
-                and not host.operators.connection_limiter.awaiting_request
+                and not host.operator_listener.connection_limiter.awaiting_request
             )
 
-        async with running(host, address) as stopping:
+        async with running_host(host, address) as stopping:
             kept = await stopping.connect(STATUS_CALL)
             assert (await kept.read_response()).status == 200
             caller = await stopping.connect(SHEET_CALL)
-            await test_control.until(are_read)
+            await test_control.wait_until(are_read)
             yield stopping, caller, kept
 
     async def test_a_sheet_in_flight_is_accepted(self, tmp_path, patient):
-        async with self.stopping(tmp_path) as (stopping, caller, kept):
-            stopping.stop.set()
-            await stopping.refuses(STATUS_CALL)
+        async with self.sheet_in_flight(tmp_path) as (stopping, caller, kept):
+            stopping.stop_event.set()
+            await stopping.wait_until_refusing(STATUS_CALL)
             kept.writer.write(STATUS_CALL)
             refused = await kept.read_response()
             assert refused.status == 503
@@ -232,15 +232,15 @@
             caller.writer.write(SHEET)
             answer = await caller.read_response()
             assert answer.status == 200, answer
-            await stopping.ended()
+            await stopping.wait_until_stopped()
             assert stopping.host.machine.history[0].version == "1"
 
     async def test_a_sheet_that_comes_too_slowly_is_told_so(self, tmp_path):
-        async with self.stopping(tmp_path) as (stopping, caller, _):
-            stopping.stop.set()
+        async with self.sheet_in_flight(tmp_path) as (stopping, caller, _):
+            stopping.stop_event.set()
             answer = await caller.read_response()
             assert answer.status == 503, answer
-            await stopping.ended()
+            await stopping.wait_until_stopped()
 
 
 class TestForwardedCalls:
@@ -249,7 +249,7 @@
     async def test_one_in_flight_is_finished(
         self, tmp_path, monkeypatch, patient
     ):
-        host = control.Control(config(tmp_path))
+        host = control.Control(load_config(tmp_path))
         taken = asyncio.Event()
         done = asyncio.Event()
         transport = peers.PeerClient(
@@ -266,19 +266,21 @@
             return messages.RoutesReply(outcome=outcome)
 
         def address():
-            return host.operators.address
+            return host.operator_listener.address
 
-        async with running(host, address) as stopping:
+        async with running_host(host, address) as stopping:
             monkeypatch.setattr(host.publisher, "handle_request", answer)
-            peer = options.Address(*host.listener.address)
+            peer = options.Address(*host.peer_listener.address)
             asking = asyncio.create_task(
-                transport.send_request(peer, messages.RoutesFetch(), GRACE)
+                transport.send_request(
+                    peer, messages.RoutesFetch(), GRACE_SECONDS
+                )
             )
             await taken.wait()
-            stopping.stop.set()
-            await stopping.refuses(STATUS_CALL)
+            stopping.stop_event.set()
+            await stopping.wait_until_refusing(STATUS_CALL)
             done.set()
             reply = await asking
             assert reply.outcome is messages.RoutesOutcome.ACCEPTED
-            await stopping.ended()
+            await stopping.wait_until_stopped()
         await transport.close()
