--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -241,14 +241,14 @@
 
     async def run(self) -> int:
         """Runs until the node has left; returns the exit code."""
-        reactions = {
+        handlers = {
             signal.SIGTERM: self.stop,
             signal.SIGINT: self.interrupt,
             signal.SIGHUP: self.reload,
         }
         loop = asyncio.get_running_loop()
-        for number, react in reactions.items():
-            loop.add_signal_handler(number, react)
+        for signal_number, handler in handlers.items():
+            loop.add_signal_handler(signal_number, handler)
         try:
             await self.start()
             limit_gc_pauses()
@@ -297,40 +297,40 @@
         return bool(
             self.dispatcher.in_flight.open
             or not self.executor.idle
-            or any(each.busy for each in self.caller_listeners())
+            or any(listener.busy for listener in self.caller_listeners())
         )
 
-    def abort(self, why: str) -> None:
+    def abort(self, reason: str) -> None:
         """Stops at once and says what that cuts."""
         if self.stopped.is_set():
             return
-        running = [
+        running_operations = [
             parent.call.operation for parent in self.executor.parents.values()
         ]
         now = asyncio.get_running_loop().time()
         entered_at = [
-            each.entered_at for each in self.dispatcher.in_flight.open
+            call.entered_at for call in self.dispatcher.in_flight.open
         ]
-        self.aborted_count = len(entered_at) + len(running)
+        self.aborted_count = len(entered_at) + len(running_operations)
         logs.log_event(
             logs.Component.NODE,
             "stopping at once",
-            why=why,
+            why=reason,
             calls_entered_here=len(entered_at),
             entered_while_leaving=sum(
-                at > self.stop_requested_at for at in entered_at
+                entry > self.stop_requested_at for entry in entered_at
             ),
             oldest_s=round(now - min(entered_at, default=now), 3),
             newest_s=round(now - max(entered_at, default=now), 3),
-            operations_running_here=running,
+            operations_running_here=running_operations,
         )
         self.stopped.set()
 
     async def abort_in_flight(self) -> None:
         """Answers whatever is still in flight: the node ends now."""
         self.executor.leaving = True
-        for place in self.local_services.by_name.values():
-            place.admission.refuse_all_waiting()
+        for local_service in self.local_services.by_name.values():
+            local_service.admission.refuse_all_waiting()
         await self.dispatcher.in_flight.give_up()
 
     def write_timeout(self) -> float:
@@ -340,17 +340,17 @@
 
     async def close_listeners(self) -> None:
         """Closes the HTTP listeners; answers that are cut count as calls."""
-        seconds = self.write_timeout()
-        cut = sum(
+        timeout = self.write_timeout()
+        aborted_count = sum(
             await asyncio.gather(
-                *(each.close(seconds) for each in self.listeners)
+                *(listener.close(timeout) for listener in self.listeners)
             )
         )
-        if cut:
+        if aborted_count:
             logs.log_event(
-                logs.Component.NODE, "answers not taken", answers=cut
+                logs.Component.NODE, "answers not taken", answers=aborted_count
             )
-        self.aborted_count += cut
+        self.aborted_count += aborted_count
 
     async def cancel_tasks(self) -> None:
         """Ends whatever this node does by itself."""
--- a/mangobay/cmdcontrol.py
+++ b/mangobay/cmdcontrol.py
@@ -28,23 +28,25 @@
         """Runs a control host until SIGTERM or SIGINT."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop.set)
         while not stop.is_set():
-            host = self.make_control(config)
+            control_host = self.make_control(config)
             try:
-                await host.start()
-                await host.run(stop)
+                await control_host.start()
+                await control_host.run(stop)
             except errors.DiskFullError as error:
-                host.disk.close()
+                control_host.disk.close()
                 logs.log_event(
                     logs.Component.CONTROL, "waits for room", why=str(error)
                 )
-                await wait_for_disk_space(host.disk, stop)
+                await wait_for_disk_space(control_host.disk, stop)
         return program.ExitCode.OK
 
 
-async def wait_for_disk_space(full: disk.Disk, stop: asyncio.Event) -> None:
+async def wait_for_disk_space(
+    full_disk: disk.Disk, stop: asyncio.Event
+) -> None:
     """Returns once the disk takes writes, or the program is told to stop.
 
     A control host whose disk is full can promise nothing: it must neither vote
@@ -53,7 +55,7 @@
     anew from the disk, as after a restart: how much of the refused write
     arrived there is not known.
     """
-    while not (stop.is_set() or await full.offload(full.has_space)):
+    while not (stop.is_set() or await full_disk.offload(full_disk.has_space)):
         await asyncio.sleep(disk.FULL_POLL_SECONDS)
 
 
--- a/mangobay/cmdline.py
+++ b/mangobay/cmdline.py
@@ -36,7 +36,9 @@
       argparse.ArgumentTypeError: one is no IP:PORT.
     """
     try:
-        return tuple(options.parse_address(part) for part in text.split(","))
+        return tuple(
+            options.parse_address(address) for address in text.split(",")
+        )
     except ValueError as error:
         raise argparse.ArgumentTypeError(str(error)) from None
 
@@ -57,9 +59,9 @@
         "--json", action="store_true", help="print JSON, for scripts"
     )
     shtab.add_argument_to(parser, ["--print-completion"])
-    parsers = parser.add_subparsers(required=True, metavar="COMMAND")
+    subparsers = parser.add_subparsers(required=True, metavar="COMMAND")
     for command in (*commands.COMMANDS, *filecommands.COMMANDS):
-        command().add_parser(parsers)
+        command().add_parser(subparsers)
     return parser
 
 
@@ -77,14 +79,14 @@
 ) -> commands.ExitCode:
     """Prints an error and returns its exit code."""
     if as_json and isinstance(error, errors.FindingsError):
-        found = [dataclasses.asdict(finding) for finding in error.findings]
-        print(json.dumps({"findings": found}, indent=2))
+        findings = [dataclasses.asdict(finding) for finding in error.findings]
+        print(json.dumps({"findings": findings}, indent=2))
     else:
         print(f"mangobay: {error}", file=sys.stderr)
     return next(
-        code
-        for cls, code in EXIT_CODE_BY_ERROR.items()
-        if isinstance(error, cls)
+        exit_code
+        for error_class, exit_code in EXIT_CODE_BY_ERROR.items()
+        if isinstance(error, error_class)
     )
 
 
--- a/mangobay/control.py
+++ b/mangobay/control.py
@@ -175,17 +175,17 @@
           errors.StorageError: the disk failed; this host claims nothing more.
         """
         logs.log_event(logs.Component.CONTROL, "started", host=self.hello.host)
-        working = [
+        tasks = [
             asyncio.create_task(self.group.run()),
             asyncio.create_task(self.leases.run()),
         ]
         if self.config.group.seeds:
-            joins = joining.run(self.group, self.peer_client)
-            working.append(asyncio.create_task(joins))
-        stopping = asyncio.create_task(stop.wait())
+            join_coroutine = joining.run(self.group, self.peer_client)
+            tasks.append(asyncio.create_task(join_coroutine))
+        stop_task = asyncio.create_task(stop.wait())
         try:
             done, _ = await asyncio.wait(
-                {*working, stopping}, return_when=asyncio.FIRST_COMPLETED
+                {*tasks, stop_task}, return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
                 task.result()
@@ -193,9 +193,9 @@
             await stepdown.step_down_and_notify(self.group)
         finally:
             await self.operator_listener.drain(0)
-            for task in (*working, stopping):
+            for task in (*tasks, stop_task):
                 task.cancel()
-            await asyncio.gather(*working, return_exceptions=True)
+            await asyncio.gather(*tasks, return_exceptions=True)
             await self.close()
             logs.log_event(
                 logs.Component.CONTROL, "stopped", host=self.hello.host
@@ -204,12 +204,12 @@
     async def drain(self) -> None:
         """Finishes the operators' calls that were taken, within a bound."""
         loop = asyncio.get_running_loop()
-        ends_at = loop.time() + MAX_DRAIN_SECONDS
+        drain_until = loop.time() + MAX_DRAIN_SECONDS
         await asyncio.gather(
             self.operator_listener.drain(MAX_DRAIN_SECONDS),
             asyncio.sleep(MIN_REFUSE_SECONDS),
         )
-        await self.forwarded_calls.drain(max(ends_at - loop.time(), 0))
+        await self.forwarded_calls.drain(max(drain_until - loop.time(), 0))
 
     async def close(self) -> None:
         """Closes the sockets and lets go of the data folder."""
--- a/mangobay/drainmanager.py
+++ b/mangobay/drainmanager.py
@@ -23,7 +23,7 @@
 
     async def run(
         self,
-        work: collections.abc.Callable[
+        make_coroutine: collections.abc.Callable[
             [], collections.abc.Coroutine[typing.Any, typing.Any, Result]
         ],
     ) -> Result:
@@ -35,7 +35,7 @@
         """
         if self.draining:
             raise errors.ShuttingDownError("this host stops; ask another one")
-        task = asyncio.create_task(work())
+        task = asyncio.create_task(make_coroutine())
         self.running_tasks.add(task)
         task.add_done_callback(self.running_tasks.discard)
         try:
@@ -47,11 +47,11 @@
                 "this host stops; send it again to another one"
             ) from None
 
-    async def drain(self, seconds: float) -> None:
+    async def drain(self, timeout: float) -> None:
         """Takes no more work, and gives up what lasts longer than a time."""
         self.draining = True
         if self.running_tasks:
-            await asyncio.wait(set(self.running_tasks), timeout=seconds)
+            await asyncio.wait(set(self.running_tasks), timeout=timeout)
         if self.running_tasks:
             logs.log_event(
                 logs.Component.CONTROL,
--- a/mangobay/node.py
+++ b/mangobay/node.py
@@ -32,7 +32,7 @@
         """Makes the two HTTP listeners."""
         config = self.config
         sample = config.trace.sample if config.trace.file else 0.0
-        parts = (
+        dependencies = (
             config.limits,
             self.control,
             self.dispatcher,
@@ -42,22 +42,25 @@
             sample,
         )
         self.local_api = localapi.LocalApi(
-            edges.LocalEdge(*parts), self.local_services, self.metrics, self
+            edges.LocalEdge(*dependencies),
+            self.local_services,
+            self.metrics,
+            self,
         )
         self.outside_listener = self.make_listener(
-            config.listen.outside, edges.OutsideEdge(*parts).handle
+            config.listen.outside, edges.OutsideEdge(*dependencies).handle
         )
         self.local_listener = self.make_listener(
             config.listen.local, self.local_api.handle
         )
         self.listeners = self.caller_listeners()
 
-    def make_listener(self, address, handle) -> httpserver.Listener:
+    def make_listener(self, address, handler) -> httpserver.Listener:
         """Returns an HTTP listener within the settings' limits."""
         limits = self.config.limits
         return httpserver.Listener(
             address,
-            handle,
+            handler,
             max_connections=limits.connections,
             head_timeout=limits.header_timeout,
         )
@@ -83,13 +86,13 @@
         self.control.views.subscribe(self.router.update_views)
         self.control.views.subscribe(self.once.update_views)
         self.control.draining.subscribe(self.leave_if_draining)
-        for work in (
+        for coroutine in (
             self.control.run(),
             self.local_services.run_expiry(),
             self.once.run_expiry(),
             self.outcome_log.run(),
         ):
-            self.tasks.append(asyncio.create_task(work))
+            self.tasks.append(asyncio.create_task(coroutine))
         logs.log_event(logs.Component.NODE, "started", host=self.process.host)
 
     async def leave(self) -> None:
@@ -100,12 +103,12 @@
         self.control.leaving = True
         for listener in self.caller_listeners():
             listener.close_when_answered()
-        times = self.executor.shutdown
-        times.start(self.stop_requested_at, grace, linger=0)
+        schedule = self.executor.shutdown
+        schedule.start(self.stop_requested_at, grace, linger=0)
         try:
-            async with asyncio.timeout_at(times.abort_at):
+            async with asyncio.timeout_at(schedule.abort_at):
                 await self.wait_until_idle()
-                handed_over = await self.hand_over_keys()
+                keys_handed_over = await self.hand_over_keys()
                 await self.wait_until_responses_sent()
         except TimeoutError:
             self.abort(f"still in flight after {grace:g} s")
@@ -114,7 +117,7 @@
             logs.Component.NODE,
             "left",
             host=self.process.host,
-            keys_handed_over=handed_over,
+            keys_handed_over=keys_handed_over,
         )
         self.stopped.set()
 
@@ -126,19 +129,19 @@
         outlasts an election, so a lease that ended means that control is out
         of reach; what this node knows is with the holders of its copies.
         """
-        handing = asyncio.create_task(self.once.finish_handover())
+        handover_task = asyncio.create_task(self.once.finish_handover())
         try:
             while True:
                 await asyncio.wait(
-                    {handing}, timeout=basenode.IDLE_POLL_SECONDS
+                    {handover_task}, timeout=basenode.IDLE_POLL_SECONDS
                 )
-                if handing.done():
-                    handing.result()
+                if handover_task.done():
+                    handover_task.result()
                     return True
                 if not self.control.lease.is_valid():
                     return False
         finally:
-            handing.cancel()
+            handover_task.cancel()
 
     async def wait_until_idle(self) -> None:
         """Returns once nothing is in flight here."""
@@ -155,7 +158,7 @@
         Keys are handed over before: a caller that reads slowly holds nobody.
         """
         listeners = (*self.caller_listeners(), self.peer_listener)
-        while any(each.pending_responses for each in listeners):
+        while any(listener.pending_responses for listener in listeners):
             await asyncio.sleep(basenode.IDLE_POLL_SECONDS)
 
     async def close(self) -> None:
--- a/mangobay/program.py
+++ b/mangobay/program.py
@@ -95,7 +95,7 @@
             # The loop's end would bring back the default: to end the process.
             signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
-    def report_failure(self, why: str) -> ExitCode:
+    def report_failure(self, reason: str) -> ExitCode:
         """Says in one line why the program ends."""
-        print(f"{self.name}: {why}", file=sys.stderr)
+        print(f"{self.name}: {reason}", file=sys.stderr)
         return ExitCode.FAILED
--- a/mangobay/routedcontrol.py
+++ b/mangobay/routedcontrol.py
@@ -36,10 +36,10 @@
     def __init__(
         self,
         listeners: list[leanserver.Listener],
-        taken: drainmanager.DrainManager,
+        drain_manager: drainmanager.DrainManager,
     ):
         self.listeners = listeners
-        self.drain_manager = taken
+        self.drain_manager = drain_manager
 
     async def start(self) -> None:
         """Opens the sockets.
@@ -50,11 +50,11 @@
         for listener in self.listeners:
             await listener.start()
 
-    async def drain(self, seconds: float) -> None:
+    async def drain(self, timeout: float) -> None:
         """Refuses new calls; gives up those that last longer than a time."""
         for listener in self.listeners:
             listener.leaving = True
-        await self.drain_manager.drain(seconds)
+        await self.drain_manager.drain(timeout)
 
     async def close(self) -> None:
         """Closes the sockets."""
@@ -64,15 +64,15 @@
 
 
 def drainable_handler(
-    taken: drainmanager.DrainManager, api: leanserver.Handler
+    drain_manager: drainmanager.DrainManager, handler: leanserver.Handler
 ) -> leanserver.Handler:
     """Returns a handler that takes calls unless the host stops."""
 
     async def handle(
-        request: leanhttp.Request, client: leanserver.Connection
+        request: leanhttp.Request, connection: leanserver.Connection
     ) -> leanhttp.Response:
         try:
-            return await taken.run(lambda: api(request, client))
+            return await drain_manager.run(lambda: handler(request, connection))
         except (errors.ShuttingDownError, errors.AbortedByShutdownError):
             return leanhttp.Response(
                 status=503, headers=[JSON_HEADER], body=b"{}"
@@ -84,9 +84,9 @@
 class RoutedControl(control.Control):
     """One control host; attributes as in `control.Control`."""
 
-    def __init__(self, config: settings.Control, make_api: HandlerFactory):
+    def __init__(self, config: settings.Control, make_handler: HandlerFactory):
         super().__init__(config)
-        self.make_handler = make_api
+        self.make_handler = make_handler
 
     def make_operator_listener(self) -> ListenerGroup:
         """Returns what answers operators, and serves metrics."""
@@ -96,15 +96,19 @@
             read_timeout=config.limits.header_timeout,
             max_connections=config.limits.operator_connections,
         )
-        taken = drainmanager.DrainManager()
-        api = drainable_handler(taken, self.make_handler(self.publisher))
-        made = [leanserver.Listener(config.listen.operator, api, limits)]
-        page = metricspage.make_handler(self.render_metrics)
-        made += [
-            leanserver.Listener(address, page, leanserver.Limits())
+        drain_manager = drainmanager.DrainManager()
+        handler = drainable_handler(
+            drain_manager, self.make_handler(self.publisher)
+        )
+        listeners = [
+            leanserver.Listener(config.listen.operator, handler, limits)
+        ]
+        metrics_handler = metricspage.make_handler(self.render_metrics)
+        listeners += [
+            leanserver.Listener(address, metrics_handler, leanserver.Limits())
             for address in config.listen.metrics
         ]
-        return ListenerGroup(made, taken)
+        return ListenerGroup(listeners, drain_manager)
 
     def render_metrics(self) -> bytes:
         """Returns the metrics in the Prometheus text format."""
