--- a/tests/processfakes.py
+++ b/tests/processfakes.py
@@ -23,9 +23,11 @@
 class ProcessCluster(cluster.Cluster):
     """Control hosts, and nodes with backend servers of one service."""
 
-    async def send_signal(self, name: str, number: signal.Signals) -> None:
+    async def send_signal(
+        self, name: str, signal_number: signal.Signals
+    ) -> None:
         """Sends a signal to a process of the fleet."""
-        self.fleet.started[name].process.send_signal(number)
+        self.fleet.started[name].process.send_signal(signal_number)
 
     async def apply_sheet(self) -> None:
         """Puts the sheet in force everywhere."""
@@ -82,7 +84,9 @@
     async def wait_until_removed(self, host: hosts.NodeHost) -> None:
         """Returns once control no longer counts a host as a member."""
         async with asyncio.timeout(WAIT_SECONDS):
-            while host.name in {h.host for h in await self.client.hosts()}:
+            while host.name in {
+                each.host for each in await self.client.hosts()
+            }:
                 await asyncio.sleep(POLL_SECONDS)
 
     async def wait_for_exit(self, name: str) -> int:
@@ -128,25 +132,25 @@
         async with self.session.get(url) as response:
             return await response.json()
 
-    async def check_outcomes(self, running: load.Load) -> None:
+    async def check_outcomes(self, load_: load.Load) -> None:
         """Asserts that callers were told the truth and nothing ran twice."""
         runs = await self.runs()
-        truth = verdict.truth_of(self.plan, running.calls, runs)
-        assert running.calls
+        truth = verdict.truth_of(self.plan, load_.calls, runs)
+        assert load_.calls
         assert truth == verdict.Truth([], [], [], [])
 
-    async def check_all_answered(self, running: load.Load) -> None:
+    async def check_all_answered(self, load_: load.Load) -> None:
         """Asserts that all was answered in the end, true, once and uncut."""
-        await self.check_outcomes(running)
-        calls = running.calls
+        await self.check_outcomes(load_)
+        calls = load_.calls
         runs = await self.runs()
-        cut = ambiguous_attempts(calls, {run.marker for run in runs})
-        assert not cut, cut
+        ambiguous = ambiguous_attempts(calls, {run.marker for run in runs})
+        assert not ambiguous, ambiguous
         assert all(call.attempts[-1].whole for call in calls)
 
 
 def ambiguous_attempts(
-    calls: list[load.Call], ran: set[str]
+    calls: list[load.Call], run_markers: set[str]
 ) -> list[load.Attempt]:
     """Returns the attempts whose caller can't know whether they ran."""
     return [
@@ -154,20 +158,20 @@
         for call in calls
         for attempt in call.attempts
         if attempt.outcome == load.UNKNOWN
-        or (not attempt.outcome and attempt.marker in ran)
+        or (not attempt.outcome and attempt.marker in run_markers)
     ]
 
 
 @contextlib.asynccontextmanager
 async def process_cluster(
-    folder: pathlib.Path,
+    directory: pathlib.Path,
     control_changes: dict | None = None,
     data_centres: int = 3,
 ):
     """Gives a deployment that is not started yet; ends all its processes.
 
     Args:
-      folder: of settings, data, logs and output.
+      directory: of settings, data, logs and output.
       control_changes: further settings of the control hosts.
       data_centres: how many of them there are, each with one host a kind.
     """
@@ -181,34 +185,37 @@
         },
     )
     async with (
-        launcher.Fleet(folder) as fleet,
-        ProcessCluster(plan, fleet, folder, 1.0) as made,
+        launcher.Fleet(directory) as fleet,
+        ProcessCluster(plan, fleet, directory, 1.0) as cluster_,
     ):
         changes = CONTROL_CHANGES | (control_changes or {})
-        hosts.write_all(made.layout, plan, NODE_CHANGES, changes)
-        yield made
+        hosts.write_all(cluster_.layout, plan, NODE_CHANGES, changes)
+        yield cluster_
 
 
 @contextlib.asynccontextmanager
-async def running_cluster(folder: pathlib.Path):
+async def running_cluster(directory: pathlib.Path):
     """Gives a deployment that runs, with its sheet in force."""
-    async with process_cluster(folder) as made:
-        await made.start()
-        await made.apply_sheet()
-        yield made
+    async with process_cluster(directory) as cluster_:
+        await cluster_.start()
+        await cluster_.apply_sheet()
+        yield cluster_
 
 
 @contextlib.asynccontextmanager
-async def under_load(made: ProcessCluster, targets: list[hosts.NodeHost]):
+async def under_load(cluster_: ProcessCluster, targets: list[hosts.NodeHost]):
     """Gives callers that call until the block ends; all are answered then."""
-    running = load.Load(
-        made.plan, [host.outside for host in targets], made.plan.rate, tries=6
+    load_ = load.Load(
+        cluster_.plan,
+        [host.outside for host in targets],
+        cluster_.plan.rate,
+        tries=6,
     )
-    calling = asyncio.create_task(running.run(WAIT_SECONDS * 3))
+    load_task = asyncio.create_task(load_.run(WAIT_SECONDS * 3))
     try:
-        yield running
-        calling.cancel()
-        await running.finish()
+        yield load_
+        load_task.cancel()
+        await load_.finish()
     finally:
-        calling.cancel()
-        await running.close()
+        load_task.cancel()
+        await load_.close()
--- a/tests/test_cmdnode.py
+++ b/tests/test_cmdnode.py
@@ -14,14 +14,14 @@
 WAIT_SECONDS = 30
 
 
-def make_command(path, *more) -> list[str]:
-    module = [sys.executable, "-m", "mangobay.cmdnode"]
-    return [*module, "--settings", str(path), *more]
+def make_command(path, *arguments) -> list[str]:
+    program = [sys.executable, "-m", "mangobay.cmdnode"]
+    return [*program, "--settings", str(path), *arguments]
 
 
-def run_node(path, *more) -> subprocess.CompletedProcess:
+def run_node(path, *arguments) -> subprocess.CompletedProcess:
     return subprocess.run(
-        make_command(path, *more),
+        make_command(path, *arguments),
         capture_output=True,
         text=True,
         timeout=WAIT_SECONDS,
@@ -30,9 +30,9 @@
 
 
 @contextlib.contextmanager
-def running_node(folder):
+def running_node(directory):
     """Gives a process that runs, without control; kills it at the end."""
-    path = folder / "node.ini"
+    path = directory / "node.ini"
     path.write_text(nodes.SETTINGS.format(host="one"))
     process = subprocess.Popen(
         make_command(path), stderr=subprocess.PIPE, text=True, env=os.environ
@@ -50,44 +50,44 @@
 class TestProcess:
     """Starting and stopping, as an operator sees it."""
 
-    def test_faults_of_the_settings_are_told_together(self, tmp_path):
+    def test_all_errors_of_the_settings_are_reported(self, tmp_path):
         path = tmp_path / "node.ini"
         path.write_text("[host]\nnmae = a\n[listen]\nlocal = db:1\n")
-        done = run_node(path)
-        assert done.returncode == 2
-        assert "nmae" in done.stderr
-        assert "db" in done.stderr
-        assert "Traceback" not in done.stderr
+        result = run_node(path)
+        assert result.returncode == 2
+        assert "nmae" in result.stderr
+        assert "db" in result.stderr
+        assert "Traceback" not in result.stderr
 
-    def test_check_opens_nothing(self, tmp_path):
+    def test_check_of_valid_settings_succeeds(self, tmp_path):
         path = tmp_path / "node.ini"
         path.write_text(nodes.SETTINGS.format(host="one"))
         assert run_node(path, "--check").returncode == 0
 
     @pytest.mark.parametrize(
-        "extra", ["", "[trace]\nfile = /nowhere/at/all/spans\n"]
+        "extra_settings", ["", "[trace]\nfile = /nowhere/at/all/spans\n"]
     )
-    def test_what_keeps_it_from_starting_is_one_line(self, tmp_path, extra):
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            port = taken.getsockname()[1] if not extra else 0
-            text = nodes.SETTINGS.format(host="one") + extra
+    def test_start_error_is_one_line(self, tmp_path, extra_settings):
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            port = listener.getsockname()[1] if not extra_settings else 0
+            text = nodes.SETTINGS.format(host="one") + extra_settings
             path = tmp_path / "node.ini"
             path.write_text(
                 text.replace(
                     "outside = 127.0.0.1:0", f"outside = 127.0.0.1:{port}"
                 )
             )
-            done = run_node(path)
-        assert done.returncode == 1
+            result = run_node(path)
+        assert result.returncode == 1
         (line,) = [
             each
-            for each in done.stderr.splitlines()
+            for each in result.stderr.splitlines()
             if each.startswith("mangobay-node:")
         ]
         assert "listen" in line or "trace" in line
-        assert "Traceback" not in done.stderr
+        assert "Traceback" not in result.stderr
 
-    def test_without_control_it_starts_and_leaves_when_asked(self, tmp_path):
+    def test_node_starts_and_stops_without_control(self, tmp_path):
         """No control host is there yet, and an operator stops the node.
 
         It must not fail at the start, since control may come later; and with
@@ -97,7 +97,7 @@
             process.send_signal(signal.SIGTERM)
             assert process.wait(WAIT_SECONDS) == 0
 
-    def test_sighup_changes_nothing(self, tmp_path):
+    def test_sighup_does_not_end_the_node(self, tmp_path):
         """A log rotation ends the node, and cuts whatever it carries."""
         with running_node(tmp_path) as process:
             process.send_signal(signal.SIGHUP)
@@ -106,11 +106,11 @@
             process.send_signal(signal.SIGTERM)
             assert process.wait(WAIT_SECONDS) == 0
 
-    def test_sigterm_until_it_is_gone_changes_no_exit_code(self, tmp_path):
+    def test_repeated_sigterm_does_not_change_the_exit_code(self, tmp_path):
         """One that comes in the last moment ends the process as killed."""
         with running_node(tmp_path) as process:
-            give_up = time.monotonic() + WAIT_SECONDS
-            while process.poll() is None and time.monotonic() < give_up:
+            deadline = time.monotonic() + WAIT_SECONDS
+            while process.poll() is None and time.monotonic() < deadline:
                 process.send_signal(signal.SIGTERM)
                 time.sleep(0.002)
             assert process.poll() == 0
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -63,16 +63,16 @@
         return [options.Address(*sock.getsockname()) for sock in sockets]
 
 
-def write_settings(folder, number, addresses):
+def write_settings(directory, number, addresses):
     """Writes the settings of one host; returns their path."""
-    path = folder / f"c{number}.ini"
+    path = directory / f"c{number}.ini"
     path.write_text(
         SETTINGS.format(
             name=f"c{number}",
             number=number,
             peer=addresses[number],
             hosts=" ".join(map(str, addresses)),
-            folder=folder / f"c{number}",
+            folder=directory / f"c{number}",
         )
     )
     return str(path)
@@ -103,7 +103,10 @@
 
 
 def find_leader(hosts):
-    return next((one for one in hosts if one.host.group.leading.is_set()), None)
+    return next(
+        (running for running in hosts if running.host.group.leading.is_set()),
+        None,
+    )
 
 
 async def apply_sheet(session, running, version):
@@ -112,9 +115,11 @@
     query = {"version": version, "operator": "ana"}
     async with asyncio.timeout(WAIT_SECONDS):
         while True:
-            async with session.post(url, params=query, data=SHEET) as answer:
-                if answer.status != 503:
-                    return answer.status, await answer.json(content_type=None)
+            async with session.post(url, params=query, data=SHEET) as response:
+                if response.status != 503:
+                    return response.status, await response.json(
+                        content_type=None
+                    )
             await asyncio.sleep(0.05)
 
 
@@ -131,8 +136,8 @@
         addresses = free_addresses(3)
         paths = [write_settings(tmp_path, n, addresses) for n in range(3)]
         hosts = [RunningHost() for _ in paths]
-        for one, path in zip(hosts, paths, strict=True):
-            await one.start(path)
+        for running, path in zip(hosts, paths, strict=True):
+            await running.start(path)
         hello = messages.Hello(host="a", incarnation="1", role="node")
         transport = peers.PeerClient(hello)
         client = controlclient.ControlClient(
@@ -152,7 +157,7 @@
             random.Random(1),
         )
         client.serves = [messages.ServedService(name="quotes", slots=4)]
-        renewing = asyncio.create_task(client.run())
+        client_task = asyncio.create_task(client.run())
         async with aiohttp.ClientSession() as session:
             await wait_until(
                 lambda: find_leader(hosts) and client.lease.is_valid()
@@ -165,27 +170,27 @@
             url = f"http://{first.host.operator_listener.address}/v1/revisions"
             async with session.get(
                 f"{url}/{revision}/in-force", params={"wait": "5"}
-            ) as answer:
-                assert (await answer.json())["count"] == 1
+            ) as response:
+                assert (await response.json())["count"] == 1
 
             await first.stop()
-            rest = [one for one in hosts if one is not first]
-            await wait_until(lambda: find_leader(rest))
-            old_end = client.lease.expires_at
-            await wait_until(lambda: client.lease.expires_at > old_end + 0.5)
+            remaining = [running for running in hosts if running is not first]
+            await wait_until(lambda: find_leader(remaining))
+            old_expiry = client.lease.expires_at
+            await wait_until(lambda: client.lease.expires_at > old_expiry + 0.5)
             assert client.tables.value.revision == revision
 
-            for one in rest:
-                await one.stop()
-            for one, path in zip(hosts, paths, strict=True):
-                await one.start(path)
+            for running in remaining:
+                await running.stop()
+            for running, path in zip(hosts, paths, strict=True):
+                await running.start(path)
             await wait_until(lambda: find_leader(hosts))
-            _, again = await apply_sheet(session, find_leader(hosts), "1")
-            assert again == accepted | {"repeated": True}
-        renewing.cancel()
+            _, repeated = await apply_sheet(session, find_leader(hosts), "1")
+            assert repeated == accepted | {"repeated": True}
+        client_task.cancel()
         await transport.close()
-        for one in hosts:
-            await one.stop()
+        for running in hosts:
+            await running.stop()
 
 
 class FillingDisk(disk.Disk):
@@ -218,16 +223,16 @@
         """A program whose disk fills, run in this process."""
         monkeypatch.setattr(disk, "Disk", FillingDisk)
         monkeypatch.setattr(FillingDisk, "full", False)
-        made = cmdcontrol.ControlProgram()
-        made.hosts = []
-        make = made.make_control
+        program = cmdcontrol.ControlProgram()
+        program.hosts = []
+        make_control = program.make_control
 
-        def remember(config):
-            made.hosts.append(make(config))
-            return made.hosts[-1]
+        def make_and_record(config):
+            program.hosts.append(make_control(config))
+            return program.hosts[-1]
 
-        monkeypatch.setattr(made, "make_control", remember)
-        return made
+        monkeypatch.setattr(program, "make_control", make_and_record)
+        return program
 
     def load_config(self, tmp_path):
         path = write_settings(tmp_path, 0, free_addresses(1))
@@ -301,28 +306,30 @@
         """Returns the one message of a process that cannot start."""
         process = await self.start_program(path)
         async with asyncio.timeout(WAIT_SECONDS):
-            _, told = await process.communicate()
+            _, stderr = await process.communicate()
         assert process.returncode == code
-        assert b"Traceback" not in told
-        lines = told.decode().splitlines()
+        assert b"Traceback" not in stderr
+        lines = stderr.decode().splitlines()
         return [line for line in lines if not line.startswith("{")]
 
-    async def test_bad_settings_stop_it_before_any_socket_opens(self, tmp_path):
+    async def test_invalid_setting_ends_it_before_any_socket_opens(
+        self, tmp_path
+    ):
         path = write_settings(tmp_path, 0, free_addresses(1))
         with open(path, "a") as file:
             file.write("margn = 3\n")
         lines = await self.wait_for_failure(path, 2)
         assert "margn" in lines[0]
 
-    async def test_what_it_cannot_start_with_is_one_clear_line(self, tmp_path):
+    async def test_start_error_is_one_line_that_names_the_cause(self, tmp_path):
         """The port is taken by another process, then the folder is no folder.
 
         The operator sees one line that names it, and exit code 1.
         """
-        with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))
-            taken.listen()
-            address = options.Address(*taken.getsockname())
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen()
+            address = options.Address(*listener.getsockname())
             path = write_settings(tmp_path, 0, [address])
             lines = await self.wait_for_failure(path, 1)
             assert len(lines) == 1
@@ -342,7 +349,7 @@
                 pass
         return process
 
-    async def test_sighup_does_not_end_it(self, tmp_path):
+    async def test_sighup_is_ignored(self, tmp_path):
         process = await self.start_and_wait(tmp_path)
         process.send_signal(signal.SIGHUP)
         process.terminate()
@@ -354,6 +361,6 @@
         process = await self.start_and_wait(tmp_path)
         process.terminate()
         async with asyncio.timeout(WAIT_SECONDS):
-            _, told = await process.communicate()
+            _, stderr = await process.communicate()
         assert process.returncode == 0
-        assert b"Traceback" not in told
+        assert b"Traceback" not in stderr
--- a/tests/test_loading.py
+++ b/tests/test_loading.py
@@ -19,19 +19,19 @@
 def loaded_modules(role):
     """Returns the names of all modules that a program loads."""
     paths = json.dumps([str(ROOT), str(PLATFORM)])
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", LIST_MODULES, role, paths],
         capture_output=True,
         check=True,
         text=True,
     )
-    return set(json.loads(done.stdout))
+    return set(json.loads(result.stdout))
 
 
 class TestNode:
     """A node of a large fleet is restarted hundreds of times a day."""
 
-    def test_a_node_loads_nothing_that_only_others_use(self):
+    def test_node_imports_no_unused_modules(self):
         """Guards against starts that take twice the processor time needed."""
         unused = {
             "aiohttp.web",
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -46,9 +46,9 @@
 
 def send_sighup(process, pipe, text):
     """Sends SIGHUP to a process that reads a pipe, then lets it go on."""
-    with open(pipe, "w") as writing:
+    with open(pipe, "w") as writer:
         process.send_signal(signal.SIGHUP)
-        writing.write(text)
+        writer.write(text)
 
 
 def start_process(command, **environment):
@@ -64,55 +64,60 @@
 def wait_for_exit(process):
     """Returns the exit code and what a process said."""
     try:
-        _, told = process.communicate(timeout=WAIT_SECONDS)
+        _, stderr = process.communicate(timeout=WAIT_SECONDS)
     finally:
         process.kill()
         process.wait()
-    return process.returncode, told
+    return process.returncode, stderr
 
 
-class TestHangup:
+class TestSighup:
     """SIGHUP while a daemon starts."""
 
     @pytest.mark.parametrize("module", ["cmdcontrol", "cmdnode"])
-    def test_it_does_not_end_a_daemon_that_reads_its_settings(
-        self, pipe, module
-    ):
+    def test_sighup_while_settings_are_read_is_ignored(self, pipe, module):
         command = [sys.executable, "-m", f"mangobay.{module}"]
         process = start_process([*command, "--settings", str(pipe), "--check"])
         send_sighup(process, pipe, "[nonsense]\n")
-        code, told = wait_for_exit(process)
-        assert code == 2
-        assert "nonsense" in told
+        exit_code, stderr = wait_for_exit(process)
+        assert exit_code == 2
+        assert "nonsense" in stderr
 
     @pytest.mark.parametrize("program", ["control", "node"])
-    def test_it_does_not_end_a_program_that_loads_its_modules(
+    def test_sighup_while_modules_are_imported_is_ignored(
         self, tmp_path, pipe, program
     ):
         """The stand-in for a library waits while it is imported."""
-        standin = BLOCKING_MODULE.format(
+        source = BLOCKING_MODULE.format(
             pipe=str(pipe), code=BLOCKING_MODULE_EXIT_CODE
         )
-        (tmp_path / "capnp.py").write_text(standin)
+        (tmp_path / "capnp.py").write_text(source)
         process = start_process(
             [sys.executable, ROOT / "platform" / "run.py", program],
             PYTHONPATH=str(tmp_path),
         )
         send_sighup(process, pipe, "")
-        code, _ = wait_for_exit(process)
-        assert code == BLOCKING_MODULE_EXIT_CODE
+        exit_code, _ = wait_for_exit(process)
+        assert exit_code == BLOCKING_MODULE_EXIT_CODE
 
 
 class TestLateSignals:
     """Signals while a daemon that has done its work ends."""
 
     @pytest.mark.parametrize(
-        "number", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP]
+        "signal_number", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP]
     )
-    def test_they_do_not_change_its_exit_code(self, tmp_path, number):
+    def test_late_signal_does_not_change_the_exit_code(
+        self, tmp_path, signal_number
+    ):
         path = test_control.write_settings(
             tmp_path, 0, test_control.free_addresses(1)
         )
-        command = [sys.executable, "-c", LATE_SIGNAL_PROGRAM, str(int(number))]
+        command = [
+            sys.executable,
+            "-c",
+            LATE_SIGNAL_PROGRAM,
+            str(int(signal_number)),
+        ]
         process = start_process([*command, "--settings", path])
         assert wait_for_exit(process) == (0, "")
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -41,8 +41,8 @@
 
     async def connect(self, data):
         """Returns a connection on which bytes were sent."""
-        opening = asyncio.open_connection(*self.address())
-        caller = platformfakes.Caller(*await opening)
+        connecting = asyncio.open_connection(*self.address())
+        caller = platformfakes.Caller(*await connecting)
         caller.writer.write(data)
         return caller
 
@@ -68,13 +68,13 @@
 async def running_host(host, address):
     """Runs a control host until it is stopped."""
     await host.start()
-    made = StoppingHost(host, address)
+    stopping_host = StoppingHost(host, address)
     try:
         await test_control.wait_until(host.group.leading.is_set)
-        yield made
+        yield stopping_host
     finally:
-        made.stop_event.set()
-        await asyncio.gather(made.task, return_exceptions=True)
+        stopping_host.stop_event.set()
+        await asyncio.gather(stopping_host.task, return_exceptions=True)
 
 
 def load_config(tmp_path):
@@ -85,7 +85,7 @@
 
 
 @pytest.fixture
-def patient(monkeypatch):
+def long_drain_timeout(monkeypatch):
     """A bound on the drain that a slow machine does not reach."""
     monkeypatch.setattr(control, "MAX_DRAIN_SECONDS", test_control.WAIT_SECONDS)
 
@@ -99,8 +99,8 @@
         self.release_event = asyncio.Event()
         self.was_leading = False
 
-    async def handle(self, request, client):
-        del request, client
+    async def handle(self, request, connection):
+        del request, connection
         if not self.request_received.is_set():
             self.request_received.set()
             await self.release_event.wait()
@@ -114,11 +114,11 @@
     @contextlib.asynccontextmanager
     async def call_in_flight(self, tmp_path):
         """Gives a host, a caller whose call is in flight, and the API."""
-        made = []
+        apis = []
 
         def make_api(publisher):
-            made.append(SlowApi(publisher))
-            return made[0].handle
+            apis.append(SlowApi(publisher))
+            return apis[0].handle
 
         host = routedcontrol.RoutedControl(load_config(tmp_path), make_api)
 
@@ -128,32 +128,32 @@
         async with running_host(host, address) as stopping:
             caller = await stopping.connect(ROUTES_CALL)
             async with asyncio.timeout(test_control.WAIT_SECONDS):
-                await made[0].request_received.wait()
-            yield stopping, caller, made[0]
+                await apis[0].request_received.wait()
+            yield stopping, caller, apis[0]
 
-    async def test_a_call_in_flight_is_finished_while_the_host_leads(
-        self, tmp_path, patient
+    async def test_call_in_flight_ends_before_the_host_steps_down(
+        self, tmp_path, long_drain_timeout
     ):
         async with self.call_in_flight(tmp_path) as (stopping, caller, api):
             stopping.stop_event.set()
             await stopping.wait_until_refusing(ROUTES_CALL)
             api.release_event.set()
-            answer = await caller.read_response()
-            assert answer.status == 200, answer
-            assert "connection: close" in answer.head
+            response = await caller.read_response()
+            assert response.status == 200, response
+            assert "connection: close" in response.head
             assert api.was_leading
             await stopping.wait_until_stopped()
 
-    async def test_new_calls_are_refused_on_kept_connections(
-        self, tmp_path, patient
+    async def test_new_calls_on_open_connections_are_refused(
+        self, tmp_path, long_drain_timeout
     ):
         async with self.call_in_flight(tmp_path) as (stopping, caller, api):
-            kept = await stopping.connect(ROUTES_CALL)
-            assert (await kept.read_response()).status == 200
+            kept_alive = await stopping.connect(ROUTES_CALL)
+            assert (await kept_alive.read_response()).status == 200
             stopping.stop_event.set()
             await stopping.wait_until_refusing(ROUTES_CALL)
-            kept.writer.write(ROUTES_CALL)
-            refused = await kept.read_response()
+            kept_alive.writer.write(ROUTES_CALL)
+            refused = await kept_alive.read_response()
             assert refused.status == 503
             assert "connection: close" in refused.head
             caller.writer.write(ROUTES_CALL)
@@ -161,7 +161,7 @@
             assert (await caller.read_response()).status == 200
             assert (await caller.read_response()).status in (503, 0)
 
-    async def test_a_call_on_an_idle_connection_is_refused_not_cut(
+    async def test_call_on_an_idle_connection_gets_a_refusal(
         self, tmp_path, monkeypatch
     ):
         monkeypatch.setattr(control, "MIN_REFUSE_SECONDS", 3.0, raising=False)
@@ -171,27 +171,23 @@
             stopping.stop_event.set()
             await asyncio.sleep(0.1)
             caller.writer.write(ROUTES_CALL)
-            answer = await caller.read_response()
-            assert answer.status == 503, answer
+            response = await caller.read_response()
+            assert response.status == 503, response
             await stopping.wait_until_stopped()
 
-    async def test_a_call_that_lasts_too_long_is_answered_as_unclear(
-        self, tmp_path
-    ):
+    async def test_call_that_outlasts_the_drain_gets_503(self, tmp_path):
         async with self.call_in_flight(tmp_path) as (stopping, caller, _):
             stopping.stop_event.set()
-            answer = await caller.read_response()
-            assert answer.status == 503, answer
+            response = await caller.read_response()
+            assert response.status == 503, response
             await stopping.wait_until_stopped()
 
-    async def test_a_call_is_answered_as_unclear_when_the_disk_fails(
-        self, tmp_path
-    ):
+    async def test_call_in_flight_gets_503_when_the_disk_fails(self, tmp_path):
         async with self.call_in_flight(tmp_path) as (stopping, caller, _):
             stopping.host.log.failure = "the disk is gone"
             stopping.host.group.abort_run()
-            answer = await caller.read_response()
-            assert answer.status == 503, answer
+            response = await caller.read_response()
+            assert response.status == 503, response
             with pytest.raises(errors.StorageError):
                 await stopping.wait_until_stopped()
 
@@ -207,59 +203,67 @@
         def address():
             return host.operator_listener.address
 
-        def are_read():
-            open_now = len(host.operator_listener.runner.server.connections)
+        def requests_are_read():
+            connection_count = len(
+                host.operator_listener.runner.server.connections
+            )
             return (
-                open_now == 2
+                connection_count == 2
                 and not host.operator_listener.connection_limiter.awaiting_request
             )
 
         async with running_host(host, address) as stopping:
-            kept = await stopping.connect(STATUS_CALL)
-            assert (await kept.read_response()).status == 200
+            kept_alive = await stopping.connect(STATUS_CALL)
+            assert (await kept_alive.read_response()).status == 200
             caller = await stopping.connect(SHEET_CALL)
-            await test_control.wait_until(are_read)
-            yield stopping, caller, kept
+            await test_control.wait_until(requests_are_read)
+            yield stopping, caller, kept_alive
 
-    async def test_a_sheet_in_flight_is_accepted(self, tmp_path, patient):
-        async with self.sheet_in_flight(tmp_path) as (stopping, caller, kept):
+    async def test_sheet_in_flight_is_accepted(
+        self, tmp_path, long_drain_timeout
+    ):
+        async with self.sheet_in_flight(tmp_path) as (
+            stopping,
+            caller,
+            kept_alive,
+        ):
             stopping.stop_event.set()
             await stopping.wait_until_refusing(STATUS_CALL)
-            kept.writer.write(STATUS_CALL)
-            refused = await kept.read_response()
+            kept_alive.writer.write(STATUS_CALL)
+            refused = await kept_alive.read_response()
             assert refused.status == 503
             assert "connection: close" in refused.head
             caller.writer.write(SHEET)
-            answer = await caller.read_response()
-            assert answer.status == 200, answer
+            response = await caller.read_response()
+            assert response.status == 200, response
             await stopping.wait_until_stopped()
             assert stopping.host.machine.history[0].version == "1"
 
-    async def test_a_sheet_that_comes_too_slowly_is_told_so(self, tmp_path):
+    async def test_sheet_that_outlasts_the_drain_gets_503(self, tmp_path):
         async with self.sheet_in_flight(tmp_path) as (stopping, caller, _):
             stopping.stop_event.set()
-            answer = await caller.read_response()
-            assert answer.status == 503, answer
+            response = await caller.read_response()
+            assert response.status == 503, response
             await stopping.wait_until_stopped()
 
 
 class TestForwardedCalls:
     """Routes documents that other control hosts pass on to the leader."""
 
-    async def test_one_in_flight_is_finished(
-        self, tmp_path, monkeypatch, patient
+    async def test_forwarded_call_in_flight_is_finished(
+        self, tmp_path, monkeypatch, long_drain_timeout
     ):
         host = control.Control(load_config(tmp_path))
-        taken = asyncio.Event()
-        done = asyncio.Event()
+        request_received = asyncio.Event()
+        release_event = asyncio.Event()
         transport = peers.PeerClient(
             messages.Hello(host="c9", incarnation="1", role=control.ROLE)
         )
 
         async def answer(body):
             del body
-            taken.set()
-            await done.wait()
+            request_received.set()
+            await release_event.wait()
             outcome = messages.RoutesOutcome.UNCERTAIN
             if host.group.leading.is_set():
                 outcome = messages.RoutesOutcome.ACCEPTED
@@ -271,16 +275,16 @@
         async with running_host(host, address) as stopping:
             monkeypatch.setattr(host.publisher, "handle_request", answer)
             peer = options.Address(*host.peer_listener.address)
-            asking = asyncio.create_task(
+            request_task = asyncio.create_task(
                 transport.send_request(
                     peer, messages.RoutesFetch(), GRACE_SECONDS
                 )
             )
-            await taken.wait()
+            await request_received.wait()
             stopping.stop_event.set()
             await stopping.wait_until_refusing(STATUS_CALL)
-            done.set()
-            reply = await asking
+            release_event.set()
+            reply = await request_task
             assert reply.outcome is messages.RoutesOutcome.ACCEPTED
             await stopping.wait_until_stopped()
         await transport.close()
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -36,7 +36,7 @@
 
 
 @pytest.fixture
-def written(tmp_path):
+def write_report(tmp_path):
     """Writes a report with changes; returns its path."""
 
     def write(name, **changes):
@@ -50,23 +50,24 @@
 class TestTable:
     """What is printed."""
 
-    def test_one_day(self, written, capsys, snapshot):
-        assert worth.main([written("day.json")]) == 0
+    def test_one_day(self, write_report, capsys, snapshot):
+        assert worth.main([write_report("day.json")]) == 0
         assert capsys.readouterr().out == snapshot
 
-    def test_two_days(self, written, capsys, snapshot):
+    def test_two_days(self, write_report, capsys, snapshot):
         better = [["whole day", 0.6, 0.9], ["worst windows", 0.4, 0.375]]
-        other = written("other.json", G=0.661, parts=better)
-        assert worth.main([written("day.json"), other]) == 0
+        other = write_report("other.json", G=0.661, parts=better)
+        assert worth.main([write_report("day.json"), other]) == 0
         assert capsys.readouterr().out == snapshot
 
     @pytest.mark.parametrize(
-        ("text", "why"), [("{", "not JSON"), ("{}", "'G'"), ("[]", "no report")]
+        ("text", "expected"),
+        [("{", "not JSON"), ("{}", "'G'"), ("[]", "no report")],
     )
-    def test_what_is_no_report(self, tmp_path, capsys, text, why):
+    def test_invalid_report_is_an_error(self, tmp_path, capsys, text, expected):
         path = tmp_path / "broken.json"
         path.write_text(text)
         assert worth.main([str(path)]) == 1
-        told = capsys.readouterr().err
-        assert why in told
-        assert len(told.splitlines()) == 1
+        stderr = capsys.readouterr().err
+        assert expected in stderr
+        assert len(stderr.splitlines()) == 1
