--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -1,4 +1,4 @@
-"""What every kind of node is made of: its parts, its run and its end."""
+"""The base class of nodes: components, run loop and shutdown."""
 
 import asyncio
 import collections.abc
@@ -35,34 +35,37 @@
 
 ROLE = "node"
 IDLE_POLL_SECONDS = 0.02
-"""Seconds between two looks whether everything in flight has ended."""
+"""Seconds between two checks whether the node is still busy."""
 INCARNATION_BYTES = 8
 ALLOCATIONS_BETWEEN_COLLECTIONS = 50_000
-"""Calls make few reference cycles; a collection stops every call."""
+"""Threshold of the youngest generation, in allocations.
+
+A collection pauses every call, and calls create few reference cycles.
+"""
 
 
 class Listener(typing.Protocol):
-    """What a node needs of the listeners on which calls come in.
+    """A listener of the node, as shutdown needs it.
 
     Attributes:
-      busy: a caller waits for an answer, or has not taken one.
+      busy: whether a caller waits for a response or is still receiving one.
     """
 
     busy: bool
 
     async def close(self, seconds: float = 0.0) -> int:
-        """Ends every connection; returns how many answers that cuts."""
+        """Closes every connection; returns the number of aborted responses."""
         ...
 
 
 class BaseNode:
-    """One node; subclasses make its edges and say how it starts and leaves.
+    """One node; subclasses create its edges and define its start and shutdown.
 
     Attributes:
-      listeners: for callers, the backend server and readiness.
-      stop_requested_at: loop time at which the node was told to leave.
-      stopped: set once the node has left or was told to stop at once.
-      aborted_count: what was in flight when it was told to stop at once.
+      listeners: for callers, the backend server and readiness checks.
+      stop_requested_at: loop time at which the node was told to stop.
+      stopped: set once the node has left or has aborted.
+      aborted_count: calls and responses that were still in flight.
     """
 
     listeners: collections.abc.Sequence[Listener]
@@ -89,7 +92,7 @@
         self.metrics.gauges += nodegauges.make_gauges(self)
 
     def make_peers(self) -> None:
-        """Makes what speaks to other processes."""
+        """Creates the clients and the listener for other processes."""
         config = self.config
         hello = messages.Hello(
             host=self.process.host,
@@ -126,7 +129,7 @@
         )
 
     def make_executor(self) -> None:
-        """Makes what runs calls at the backend server here."""
+        """Creates the components that run calls at the local backend server."""
         config = self.config
         self.once = once.AtMostOnce(
             config.once,
@@ -144,19 +147,19 @@
         self.make_backend()
 
     def make_backend(self) -> None:
-        """Makes the connections to the backend server here."""
+        """Creates the client of the local backend server, and the executor."""
         raise NotImplementedError
 
     def make_edges(self) -> None:
-        """Makes the listeners."""
+        """Creates the edges and the HTTP listeners."""
         raise NotImplementedError
 
     def caller_listeners(self) -> list[Listener]:
-        """Returns the listeners on which calls come in."""
+        """Returns the listeners that accept calls."""
         raise NotImplementedError
 
     async def start(self) -> None:
-        """Opens the listeners and starts the parts.
+        """Opens the listeners and starts the background tasks.
 
         Raises:
           errors.StartError: an address cannot be used.
@@ -164,7 +167,7 @@
         raise NotImplementedError
 
     async def leave(self) -> None:
-        """Takes no new work, finishes what is in flight, and ends."""
+        """Refuses new work, finishes the work in flight, and stops."""
         raise NotImplementedError
 
     async def close(self) -> None:
@@ -172,18 +175,18 @@
         raise NotImplementedError
 
     def make_admission_controller(self) -> admission.AdmissionController:
-        """Returns the admission of a service announced here."""
+        """Returns a controller for a service announced to this node."""
         config = self.config
         return admission.AdmissionController(
             config.admission, config.retries, config.recovery, self.rng
         )
 
     def set_served_services(self, served: list[messages.ServedService]) -> None:
-        """Tells control what the backend server here serves."""
+        """Announces the services of the local backend server to control."""
         self.control.serves = served
 
     def make_dispatcher(self) -> None:
-        """Makes what brings calls to hosts."""
+        """Creates the components that send calls to hosts."""
         config = self.config
         self.router = routing.Router(
             config.routing,
@@ -215,7 +218,7 @@
         )
 
     def make_dispatch_lease(self) -> dispatch.Lease:
-        """Returns what entry asks before a non-idempotent call."""
+        """Returns the lease that non-idempotent calls require."""
         if self.config.control.cut_off == "serve":
             return lease.UnlimitedLease()
         return self.control.lease
@@ -223,10 +226,10 @@
     async def handle_request(
         self, hello: messages.Hello, body: messages.EnvelopeBody
     ) -> messages.EnvelopeBody:
-        """Answers another process of the system.
+        """Handles a request of another process of the system.
 
         Raises:
-          errors.PeerProtocolError: a node does not answer such a request.
+          errors.PeerProtocolError: nodes do not handle such a request.
         """
         match body:
             case messages.Call():
@@ -236,7 +239,7 @@
             case messages.CopyPut() | messages.CopyFetch():
                 return await self.once.handle(body)
         raise errors.PeerProtocolError(
-            f"a node does not answer {type(body).__name__} of {hello.host}"
+            f"a node does not handle {type(body).__name__} of {hello.host}"
         )
 
     async def run(self) -> int:
@@ -258,24 +261,23 @@
         return 1 if self.aborted_count else 0
 
     def reload(self) -> None:
-        """Says that settings are only read at the start.
+        """Logs that settings are read only at the start.
 
-        All that changes while a node runs, it learns from the control group.
+        All configuration that changes at run time comes from the control group.
         """
         logs.log_event(
             logs.Component.NODE, "settings are read at the next start"
         )
 
     def leave_if_draining(self, draining: bool) -> None:
-        """Leaves when an operator asked for it."""
+        """Leaves if an operator has requested it."""
         if draining and self.leave_task is None:
             self.stop()
 
     def stop(self) -> None:
-        """Leaves in good order; told again, goes on leaving.
+        """Starts a graceful shutdown; does nothing if one is in progress.
 
-        Service managers send SIGTERM to a node that was drained, and some
-        send it twice.
+        Service managers send SIGTERM to a drained node, and some send it twice.
         """
         if self.leave_task is not None:
             logs.log_event(
@@ -286,7 +288,7 @@
         self.leave_task = asyncio.create_task(self.leave())
 
     def interrupt(self) -> None:
-        """Leaves in good order; interrupted while it leaves, ends at once."""
+        """Starts a graceful shutdown; aborts if one is in progress."""
         if self.leave_task is None:
             self.stop()
             return
@@ -301,7 +303,7 @@
         )
 
     def abort(self, reason: str) -> None:
-        """Stops at once and says what that cuts."""
+        """Stops at once and logs what is still in flight."""
         if self.stopped.is_set():
             return
         running_operations = [
@@ -327,19 +329,19 @@
         self.stopped.set()
 
     async def abort_in_flight(self) -> None:
-        """Answers whatever is still in flight: the node ends now."""
+        """Refuses waiting calls and ends the others with `unknown`."""
         self.executor.leaving = True
         for local_service in self.local_services.by_name.values():
             local_service.admission.refuse_all_waiting()
         await self.dispatcher.in_flight.give_up()
 
     def write_timeout(self) -> float:
-        """Returns how long answers still have to leave this process."""
+        """Returns the seconds left for callers to receive responses."""
         now = asyncio.get_running_loop().time()
         return self.executor.shutdown.write_timeout(now)
 
     async def close_listeners(self) -> None:
-        """Closes the HTTP listeners; answers that are cut count as calls."""
+        """Closes the HTTP listeners; counts aborted responses."""
         timeout = self.write_timeout()
         aborted_count = sum(
             await asyncio.gather(
@@ -348,12 +350,14 @@
         )
         if aborted_count:
             logs.log_event(
-                logs.Component.NODE, "answers not taken", answers=aborted_count
+                logs.Component.NODE,
+                "responses not received by their callers",
+                answers=aborted_count,
             )
         self.aborted_count += aborted_count
 
     async def cancel_tasks(self) -> None:
-        """Ends whatever this node does by itself."""
+        """Cancels the background tasks."""
         if self.leave_task is not None:
             self.tasks.append(self.leave_task)
         for task in self.tasks:
@@ -361,17 +365,17 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def close_connections(self) -> None:
-        """Closes what this node has opened to others."""
+        """Closes the connections to peers and to the backend server."""
         await self.once.close()
         await self.peer_client.close()
         await self.backend.close()
 
 
 def limit_gc_pauses() -> None:
-    """Keeps the garbage collector from what lives as long as the process.
+    """Excludes objects created so far from garbage collection.
 
-    A collection stops every call; one that walks the modules and tables of
-    the start takes milliseconds and finds nothing.
+    A collection pauses every call.  Most objects created at the start live as
+    long as the process; traversing them takes milliseconds and frees nothing.
     """
     gc.collect()
     gc.freeze()
--- a/mangobay/cmdcontrol.py
+++ b/mangobay/cmdcontrol.py
@@ -9,19 +9,19 @@
 
 
 class ControlProgram(program.Program):
-    """The program `mangobay-control`."""
+    """The daemon `mangobay-control`."""
 
     name = "mangobay-control"
-    description = "A control host of mangobay."
+    description = "Runs a control host of mangobay."
     epilog = (
-        "exit codes: 0 stopped as asked; 1 cannot start or the disk failed;"
-        " 2 bad settings or command line"
+        "exit codes: 0 stopped; 1 cannot start or the disk failed;"
+        " 2 invalid settings or command line"
     )
     sections = settings.CONTROL_SECTIONS
     config_class = settings.Control
 
     def make_control(self, config: settings.Control) -> control.Control:
-        """Returns the control host that is run."""
+        """Returns the control host to run."""
         return control.Control(config)
 
     async def run(self, config: settings.Control) -> int:
@@ -47,13 +47,13 @@
 async def wait_for_disk_space(
     full_disk: disk.Disk, stop: asyncio.Event
 ) -> None:
-    """Returns once the disk takes writes, or the program is told to stop.
+    """Returns once the disk has space, or the daemon is told to stop.
 
-    A control host whose disk is full can promise nothing: it must neither vote
-    nor take entries.  Were its process to end, it would be started again and
-    again until there is room.  What it held in memory is dropped, and read
-    anew from the disk, as after a restart: how much of the refused write
-    arrived there is not known.
+    A control host whose disk is full must neither vote nor append entries.  If
+    its process exited, it would be restarted again and again until there is
+    space.  Instead the state in memory is discarded and read from the disk
+    again, as after a restart, since an unknown part of the failed write may
+    have reached the disk.
     """
     while not (stop.is_set() or await full_disk.offload(full_disk.has_space)):
         await asyncio.sleep(disk.FULL_POLL_SECONDS)
--- a/mangobay/cmdline.py
+++ b/mangobay/cmdline.py
@@ -26,14 +26,14 @@
     errors.ControlUnreachableError: commands.ExitCode.UNREACHABLE,
     errors.MangobayError: commands.ExitCode.FAILED,
 }
-"""The first class that fits counts."""
+"""Exit codes by error class; the first class that matches applies."""
 
 
 def parse_addresses(text: str) -> tuple[options.Address, ...]:
-    """Returns the addresses of a list with commas.
+    """Parses a comma-separated list of addresses.
 
     Raises:
-      argparse.ArgumentTypeError: one is no IP:PORT.
+      argparse.ArgumentTypeError: an item is not of the form IP:PORT.
     """
     try:
         return tuple(
@@ -66,7 +66,7 @@
 
 
 async def run_command(arguments: argparse.Namespace) -> commands.Result:
-    """Runs the command with a client where it needs one."""
+    """Runs the command, with a client if it needs one."""
     command = arguments.command
     if not command.asks_control:
         return await command.run(arguments, None)
--- a/mangobay/cmdnode.py
+++ b/mangobay/cmdnode.py
@@ -7,10 +7,10 @@
 
 
 class NodeProgram(nodeprogram.NodeProgram):
-    """A node with the product's own edges."""
+    """The daemon of a node with the `aiohttp` edges."""
 
     def make_node(self, config: settings.Node) -> node.Node:
-        """Returns the node that is run."""
+        """Returns the node to run."""
         return node.Node(config)
 
 
--- a/mangobay/control.py
+++ b/mangobay/control.py
@@ -1,4 +1,4 @@
-"""A control host: the parts of `mangobay-control` put together."""
+"""A control host: the components of `mangobay-control`."""
 
 import asyncio
 import functools
@@ -29,22 +29,26 @@
 
 ROLE = tls.CONTROL_ROLE
 MAX_DRAIN_SECONDS = 1.5
-"""Longest time for which a host that stops finishes what it has
-taken: operators' calls, and those that other control hosts pass on."""
+"""Longest time, in seconds, for which a stopping host finishes accepted calls.
+
+These are the calls of operators and those that other control hosts forward.
+"""
 
 MIN_REFUSE_SECONDS = 0.3
-"""Shortest time for which a host that stops refuses operators' calls: closed at
-once, connections would cut the calls that are on their way."""
+"""Shortest time, in seconds, for refusing operators' calls while stopping.
+
+Closing the connections at once would abort calls that are on their way.
+"""
 
 
 class OperatorListener(typing.Protocol):
-    """What is needed of `operatorapi.OperatorApi`."""
+    """The listener for operators, such as `operatorapi.OperatorApi`."""
 
     async def start(self) -> None:
         """Opens the socket."""
 
     async def drain(self, seconds: float) -> None:
-        """Refuses new calls; gives up those that last longer than a time."""
+        """Refuses new calls; aborts those that outlast the timeout."""
 
     async def close(self) -> None:
         """Closes the socket."""
@@ -54,12 +58,12 @@
     """One control host, from its settings.
 
     Attributes:
-      machine: the replicated state.
-      group: agrees on changes of it.
-      leases: the grants while this host leads.
-      peer_listener: answers nodes and control hosts.
-      operator_listener: answers operators.
-      forwarded_calls: operators' calls that other control hosts pass on.
+      machine: the replicated state machine.
+      group: the Raft group that replicates it.
+      leases: the leases of nodes, while this host leads.
+      peer_listener: for nodes and other control hosts.
+      operator_listener: for operators.
+      forwarded_calls: operators' calls forwarded by other control hosts.
     """
 
     def __init__(self, config: settings.Control):
@@ -76,11 +80,11 @@
         )
 
     async def start(self) -> None:
-        """Reads the data folder and opens the sockets.
+        """Reads the data directory and opens the sockets.
 
         Raises:
           errors.StartError: a port is in use, or a file cannot be used.
-          errors.StorageError: the data folder cannot be read or written.
+          errors.StorageError: the data directory cannot be read or written.
         """
         config = self.config
         self.log.open()
@@ -122,7 +126,7 @@
         await self.operator_listener.start()
 
     def make_operator_listener(self) -> "OperatorListener":
-        """Returns what answers operators."""
+        """Returns the listener for operators."""
         config = self.config
         return operatorapi.OperatorApi(
             config.listen.operator,
@@ -139,10 +143,10 @@
     async def handle_request(
         self, hello: messages.Hello, body: messages.EnvelopeBody
     ) -> messages.EnvelopeBody:
-        """Answers a node or a control host.
+        """Handles a request of a node or a control host.
 
         Raises:
-          errors.PeerProtocolError: the peer may not ask this.
+          errors.PeerProtocolError: the peer may not send this request.
         """
         match body:
             case messages.LeaseRenew() if (
@@ -169,10 +173,10 @@
         )
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Takes part in the group until `stop` is set; `start` came before.
+        """Runs until `stop` is set; call `start` first.
 
         Raises:
-          errors.StorageError: the disk failed; this host claims nothing more.
+          errors.StorageError: the disk failed; this host then makes no claims.
         """
         logs.log_event(logs.Component.CONTROL, "started", host=self.hello.host)
         tasks = [
@@ -202,7 +206,7 @@
             )
 
     async def drain(self) -> None:
-        """Finishes the operators' calls that were taken, within a bound."""
+        """Finishes the accepted operators' calls within MAX_DRAIN_SECONDS."""
         loop = asyncio.get_running_loop()
         drain_until = loop.time() + MAX_DRAIN_SECONDS
         await asyncio.gather(
@@ -212,7 +216,7 @@
         await self.forwarded_calls.drain(max(drain_until - loop.time(), 0))
 
     async def close(self) -> None:
-        """Closes the sockets and lets go of the data folder."""
+        """Closes the sockets and releases the data directory."""
         await self.operator_listener.close()
         await self.peer_listener.close()
         await self.peer_client.close()
--- a/mangobay/drainmanager.py
+++ b/mangobay/drainmanager.py
@@ -1,4 +1,4 @@
-"""Work that a process takes until it is told to stop."""
+"""Accepts work until the process stops, then drains it."""
 
 import asyncio
 import collections.abc
@@ -10,11 +10,11 @@
 
 
 class DrainManager:
-    """Carries work; once drained, it takes no more.
+    """Runs work, and refuses it once draining.
 
     Attributes:
-      draining: no more work is taken.
-      running_tasks: tasks of the work in flight.
+      draining: whether new work is refused.
+      running_tasks: the tasks in flight.
     """
 
     def __init__(self):
@@ -27,11 +27,12 @@
             [], collections.abc.Coroutine[typing.Any, typing.Any, Result]
         ],
     ) -> Result:
-        """Returns the result of work, which ends with its caller.
+        """Runs a coroutine and returns its result; cancelled with its caller.
 
         Raises:
-          errors.LeavingError: the work was not begun.
-          errors.CutShortError: it was given up; what it did is not known.
+          errors.ShuttingDownError: the work was not started.
+          errors.AbortedByShutdownError: the work was aborted; its effect is
+            unknown.
         """
         if self.draining:
             raise errors.ShuttingDownError("this host stops; ask another one")
@@ -48,14 +49,14 @@
             ) from None
 
     async def drain(self, timeout: float) -> None:
-        """Takes no more work, and gives up what lasts longer than a time."""
+        """Refuses new work; aborts work that outlasts the timeout."""
         self.draining = True
         if self.running_tasks:
             await asyncio.wait(set(self.running_tasks), timeout=timeout)
         if self.running_tasks:
             logs.log_event(
                 logs.Component.CONTROL,
-                "calls cut",
+                "calls aborted",
                 calls=len(self.running_tasks),
             )
         for task in self.running_tasks:
--- a/mangobay/node.py
+++ b/mangobay/node.py
@@ -1,4 +1,4 @@
-"""The product's own node: HTTP edges of `aiohttp`, keys and leases."""
+"""A node with HTTP edges on `aiohttp`, idempotency keys and leases."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
     """One mangobay-node; attributes as in `basenode.BaseNode`."""
 
     def make_backend(self) -> None:
-        """Makes the connections to the backend server here."""
+        """Creates the client of the local backend server, and the executor."""
         config = self.config
         self.backend = aiohttpbackend.Backend(
             config.backend.connections,
@@ -29,7 +29,7 @@
         )
 
     def make_edges(self) -> None:
-        """Makes the two HTTP listeners."""
+        """Creates the edges and the two HTTP listeners."""
         config = self.config
         sample = config.trace.sample if config.trace.file else 0.0
         dependencies = (
@@ -56,7 +56,7 @@
         self.listeners = self.caller_listeners()
 
     def make_listener(self, address, handler) -> httpserver.Listener:
-        """Returns an HTTP listener within the settings' limits."""
+        """Returns an HTTP listener with the limits of the settings."""
         limits = self.config.limits
         return httpserver.Listener(
             address,
@@ -66,7 +66,7 @@
         )
 
     def readiness(self) -> localapi.Readiness:
-        """Returns whether callers should be sent here."""
+        """Returns whether the node is ready, and what is missing."""
         missing = []
         if not self.control.lease.is_valid():
             missing.append("lease")
@@ -75,7 +75,7 @@
         return localapi.Readiness(tuple(missing))
 
     async def start(self) -> None:
-        """Opens the listeners and starts the parts.
+        """Opens the listeners and starts the background tasks.
 
         Raises:
           errors.StartError: an address cannot be used.
@@ -96,7 +96,7 @@
         logs.log_event(logs.Component.NODE, "started", host=self.process.host)
 
     async def leave(self) -> None:
-        """Takes no new work, finishes what is in flight, hands keys over."""
+        """Refuses new work, finishes the work in flight, hands keys over."""
         grace = self.config.leaving.grace
         logs.log_event(logs.Component.NODE, "leaving", grace=grace)
         self.executor.leaving = True
@@ -122,12 +122,13 @@
         self.stopped.set()
 
     async def hand_over_keys(self) -> bool:
-        """Hands keys over; returns False where nobody can take them.
+        """Hands keys over; returns False if no host can take them.
 
-        With the control group gone no view ever names a successor, and a
-        planned stop of everything would wait out the whole grace.  A lease
-        outlasts an election, so a lease that ended means that control is out
-        of reach; what this node knows is with the holders of its copies.
+        Without the control group no view names a successor, and a planned stop
+        of the whole system would wait for the full grace period.  A lease
+        outlasts an election, so an expired lease means that control is
+        unreachable.  The records of this node are with the holders of its
+        copies.
         """
         handover_task = asyncio.create_task(self.once.finish_handover())
         try:
@@ -144,18 +145,19 @@
             handover_task.cancel()
 
     async def wait_until_idle(self) -> None:
-        """Returns once nothing is in flight here."""
+        """Returns once no call or request is in flight."""
         while self.is_busy():
             await asyncio.sleep(basenode.IDLE_POLL_SECONDS)
 
     def caller_listeners(self) -> list[httpserver.Listener]:
-        """Returns the listeners on which calls come in."""
+        """Returns the listeners that accept calls."""
         return [self.outside_listener, self.local_listener]
 
     async def wait_until_responses_sent(self) -> None:
-        """Returns once every answer has left this process.
+        """Returns once all responses are written.
 
-        Keys are handed over before: a caller that reads slowly holds nobody.
+        Keys are handed over before that, so a caller that reads slowly does not
+        delay the handover.
         """
         listeners = (*self.caller_listeners(), self.peer_listener)
         while any(listener.pending_responses for listener in listeners):
--- a/mangobay/nodeprogram.py
+++ b/mangobay/nodeprogram.py
@@ -1,23 +1,23 @@
-"""What the programs of all kinds of node share."""
+"""The base class of node daemons."""
 
 from mangobay import basenode, program
 from mangobay.generated import settings
 
 
 class NodeProgram(program.Program):
-    """The program `mangobay-node`; subclasses make the node."""
+    """The daemon `mangobay-node`; subclasses create the node."""
 
     name = "mangobay-node"
-    description = "The node beside a backend server."
+    description = "Runs the node of a backend server."
     epilog = (
-        "exit codes: 0 left as asked, nothing cut; 1 cannot start, or calls"
-        " were cut; 2 bad settings or command line"
+        "exit codes: 0 stopped, nothing aborted; 1 cannot start, or calls were"
+        " aborted; 2 invalid settings or command line"
     )
     sections = settings.NODE_SECTIONS
     config_class = settings.Node
 
     def make_node(self, config: settings.Node) -> basenode.BaseNode:
-        """Returns the node that is run."""
+        """Returns the node to run."""
         raise NotImplementedError
 
     async def run(self, config: settings.Node) -> int:
--- a/mangobay/program.py
+++ b/mangobay/program.py
@@ -1,4 +1,4 @@
-"""What the entry points of the two daemons share."""
+"""The base class of the two daemons' entry points."""
 
 import argparse
 import asyncio
@@ -10,11 +10,11 @@
 from mangobay import errors, logs, settings
 
 HANDLED_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
-"""Signals that daemons handle or ignore."""
+"""Signals that the daemons handle or ignore."""
 
 
 class ExitCode(enum.IntEnum):
-    """What the exit codes mean."""
+    """The exit codes of the daemons."""
 
     OK = 0
     FAILED = 1
@@ -22,14 +22,14 @@
 
 
 class Program:
-    """A daemon; subclasses say its name, settings and work.
+    """A daemon; subclasses define its name, settings and work.
 
     Attributes:
-      name: as it is started.
-      description: what it is.
-      epilog: what its exit codes mean.
-      sections: known sections of its settings.
-      config_class: class of its settings.
+      name: name of the command.
+      description: description in the help text.
+      epilog: meaning of the exit codes, in the help text.
+      sections: the known sections of the settings.
+      config_class: class of the settings.
     """
 
     name = ""
@@ -42,8 +42,8 @@
         """Runs until it is told to stop; returns the exit code.
 
         Raises:
-          errors.StartError: it cannot start.
-          errors.StorageError: the data folder failed.
+          errors.StartError: the daemon cannot start.
+          errors.StorageError: the data directory failed.
         """
         raise NotImplementedError
 
@@ -56,15 +56,15 @@
             "--settings", required=True, metavar="FILE", help="INI file"
         )
         parser.add_argument(
-            "--check", action="store_true", help="only check the settings"
+            "--check", action="store_true", help="check the settings and exit"
         )
         return parser
 
     def main(self, argv: list[str] | None = None) -> int:
-        """Runs the program; returns the exit code.
+        """Runs the daemon; returns the exit code.
 
-        SIGHUP is ignored unless the program handles it: unhandled, it would
-        end the process.
+        SIGHUP is ignored until the daemon handles it: by default it would
+        terminate the process.
         """
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         arguments = self.make_parser().parse_args(argv)
@@ -76,7 +76,7 @@
             print(error, file=sys.stderr)
             return ExitCode.BAD_SETTINGS
         if arguments.check:
-            print(f"{arguments.settings}: no fault found")
+            print(f"{arguments.settings}: no errors found")
             return ExitCode.OK
         try:
             logs.open_log(config.log.file)
@@ -88,14 +88,15 @@
             return self.report_failure(str(error))
 
     async def run_then_block_signals(self, config: typing.Any) -> int:
-        """Runs; then no signal disturbs the end of the process."""
+        """Runs until the end, then blocks the handled signals."""
         try:
             return await self.run(config)
         finally:
-            # The loop's end would bring back the default: to end the process.
+            # Closing the event loop restores the default handlers, which would
+            # terminate the process with another exit code.
             signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
     def report_failure(self, reason: str) -> ExitCode:
-        """Says in one line why the program ends."""
+        """Prints in one line why the daemon exits."""
         print(f"{self.name}: {reason}", file=sys.stderr)
         return ExitCode.FAILED
--- a/mangobay/routedcontrol.py
+++ b/mangobay/routedcontrol.py
@@ -1,4 +1,4 @@
-"""A control host whose operators send routes documents."""
+"""A control host whose operators publish routes documents."""
 
 import typing
 
@@ -21,7 +21,7 @@
 ]
 
 WRITE_TIMEOUT_SECONDS = 0.3
-"""For the last answers to be taken by their callers."""
+"""Seconds for callers to receive the last responses."""
 JSON_HEADER = messages.Header(name="Content-Type", value="application/json")
 
 
@@ -29,8 +29,8 @@
     """Several listeners that start and close together.
 
     Attributes:
-      listeners: that of operators first.
-      drain_manager: operators' calls in flight.
+      listeners: the listeners; the one for operators is first.
+      drain_manager: runs operators' calls.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
             await listener.start()
 
     async def drain(self, timeout: float) -> None:
-        """Refuses new calls; gives up those that last longer than a time."""
+        """Refuses new calls; aborts those that outlast the timeout."""
         for listener in self.listeners:
             listener.leaving = True
         await self.drain_manager.drain(timeout)
@@ -66,7 +66,7 @@
 def drainable_handler(
     drain_manager: drainmanager.DrainManager, handler: leanserver.Handler
 ) -> leanserver.Handler:
-    """Returns a handler that takes calls unless the host stops."""
+    """Returns a handler that refuses calls with 503 while the host stops."""
 
     async def handle(
         request: leanhttp.Request, connection: leanserver.Connection
@@ -82,14 +82,18 @@
 
 
 class RoutedControl(control.Control):
-    """One control host; attributes as in `control.Control`."""
+    """A control host that publishes routes documents.
+
+    Attributes:
+      make_handler: returns the handler of operators' calls.
+    """
 
     def __init__(self, config: settings.Control, make_handler: HandlerFactory):
         super().__init__(config)
         self.make_handler = make_handler
 
     def make_operator_listener(self) -> ListenerGroup:
-        """Returns what answers operators, and serves metrics."""
+        """Returns the listeners for operators and for metrics."""
         config = self.config
         limits = leanserver.Limits(
             max_body_bytes=config.limits.sheet_bytes,
