--- a/tests/processfakes.py
+++ b/tests/processfakes.py
@@ -16,7 +16,7 @@
 CONTROL_CHANGES = {"lease": {"ttl": 1.5, "margin": 0.5}}
 NODE_CHANGES = {"control": {"renew_interval": 0.3}}
 LEAVING_SECONDS = 2.0
-"""After it a host that leaves gets no new work."""
+"""Seconds after which a leaving host must not get new work."""
 POLL_SECONDS = 0.05
 
 
@@ -26,11 +26,11 @@
     async def send_signal(
         self, name: str, signal_number: signal.Signals
     ) -> None:
-        """Sends a signal to a process of the fleet."""
+        """Sends a signal to a process."""
         self.fleet.started[name].process.send_signal(signal_number)
 
     async def apply_sheet(self) -> None:
-        """Puts the sheet in force everywhere."""
+        """Applies the first sheet and waits until it is in force everywhere."""
         await self.apply(self.plan.sheet.read_bytes(), "1", WAIT_SECONDS)
 
     async def find_owner(self, key: str) -> hosts.NodeHost:
@@ -47,7 +47,7 @@
         return self.node(name)
 
     def node(self, name: str) -> hosts.NodeHost:
-        """Returns the host of a name."""
+        """Returns the host with the name."""
         return next(host for host in self.layout.nodes if host.name == name)
 
     def other_nodes(self, host: hosts.NodeHost) -> list[hosts.NodeHost]:
@@ -55,7 +55,7 @@
         return [other for other in self.layout.nodes if other is not host]
 
     async def book(self, host: hosts.NodeHost, key: str) -> str:
-        """Books through a node; returns the outcome that it tells."""
+        """Sends a booking through a node; returns its outcome."""
         url = f"http://{host.outside}/{SERVICE}/bookings"
         headers = {backend.KEY: key}
         async with self.session.post(url, headers=headers) as response:
@@ -63,7 +63,7 @@
             return response.headers[backend.OUTCOME]
 
     async def book_until_run(self, host: hosts.NodeHost, key: str) -> str:
-        """Repeats a booking while it is refused as not run."""
+        """Retries a booking until its outcome is other than `not run`."""
         async with asyncio.timeout(WAIT_SECONDS):
             while True:
                 outcome = await self.book(host, key)
@@ -76,13 +76,13 @@
         return [run for run in await self.runs() if run.key == key]
 
     async def wait_until_running(self, key: str) -> None:
-        """Returns once a key runs at some backend server."""
+        """Returns once a call with the key runs at a backend server."""
         async with asyncio.timeout(WAIT_SECONDS):
             while not await self.runs_of_key(key):
                 await asyncio.sleep(POLL_SECONDS)
 
     async def wait_until_removed(self, host: hosts.NodeHost) -> None:
-        """Returns once control no longer counts a host as a member."""
+        """Returns once the host is no longer a member."""
         async with asyncio.timeout(WAIT_SECONDS):
             while host.name in {
                 each.host for each in await self.client.hosts()
@@ -90,25 +90,25 @@
                 await asyncio.sleep(POLL_SECONDS)
 
     async def wait_for_exit(self, name: str) -> int:
-        """Returns the exit code of a process once it has ended by itself."""
+        """Waits until a process exits by itself; returns its exit code."""
         return await self.fleet.started.pop(name).process.wait()
 
     async def check_no_new_work(self, host: hosts.NodeHost) -> None:
-        """Asserts that a host that left gets no new work any more."""
+        """Asserts that a host that has left gets no new work."""
         await asyncio.sleep(LEAVING_SECONDS)
         before = len(await self.runs_of(host))
         await asyncio.sleep(LEAVING_SECONDS / 2)
         assert len(await self.runs_of(host)) == before
 
     def rewrite_control(self, host: hosts.ControlHost, changes: dict) -> None:
-        """Writes the settings of a control host with further changes."""
+        """Writes the settings of a control host with additional changes."""
         sections = hosts.control_settings(host, self.layout)
         for section, keys in changes.items():
             sections.setdefault(section, {}).update(keys)
         hosts.write(host.settings, sections, CONTROL_CHANGES)
 
     async def wait_until_leaving(self, host: hosts.NodeHost) -> None:
-        """Returns once control knows that a host leaves."""
+        """Returns once control knows that the host is leaving."""
         async with asyncio.timeout(WAIT_SECONDS):
             while host.name not in {
                 each.host for each in await self.client.hosts() if each.leaving
@@ -121,26 +121,26 @@
         return [item["version"] for item in history["items"]]
 
     async def wait_until_voter(self, host: hosts.ControlHost) -> None:
-        """Returns once a control host says that it votes."""
+        """Returns once a control host reports that it is a voter."""
         async with asyncio.timeout(WAIT_SECONDS):
             while not (await self.health(host))["votes"]:
                 await asyncio.sleep(POLL_SECONDS)
 
     async def health(self, host: hosts.ControlHost) -> dict:
-        """Returns what a control host tells of itself."""
+        """Returns the health report of a control host."""
         url = f"http://{host.operator}/health"
         async with self.session.get(url) as response:
             return await response.json()
 
     async def check_outcomes(self, load_: load.Load) -> None:
-        """Asserts that callers were told the truth and nothing ran twice."""
+        """Asserts that all outcomes are true and nothing ran twice."""
         runs = await self.runs()
         truth = verdict.truth_of(self.plan, load_.calls, runs)
         assert load_.calls
         assert truth == verdict.Truth([], [], [], [])
 
     async def check_all_answered(self, load_: load.Load) -> None:
-        """Asserts that all was answered in the end, true, once and uncut."""
+        """Asserts that every call ran once, with a known and true outcome."""
         await self.check_outcomes(load_)
         calls = load_.calls
         runs = await self.runs()
@@ -152,7 +152,7 @@
 def ambiguous_attempts(
     calls: list[load.Call], run_markers: set[str]
 ) -> list[load.Attempt]:
-    """Returns the attempts whose caller can't know whether they ran."""
+    """Returns the attempts whose caller cannot know whether they ran."""
     return [
         attempt
         for call in calls
@@ -168,12 +168,12 @@
     control_changes: dict | None = None,
     data_centres: int = 3,
 ):
-    """Gives a deployment that is not started yet; ends all its processes.
+    """Yields a cluster that is not started; ends its processes at exit.
 
     Args:
-      directory: of settings, data, logs and output.
-      control_changes: further settings of the control hosts.
-      data_centres: how many of them there are, each with one host a kind.
+      directory: directory of settings, data, logs and output.
+      control_changes: additional settings of the control hosts.
+      data_centres: number of data centres, each with one host of each kind.
     """
     plan = deployment.read(str(BOOKING_DIRECTORY))
     service = plan.services[SERVICE]
@@ -195,7 +195,7 @@
 
 @contextlib.asynccontextmanager
 async def running_cluster(directory: pathlib.Path):
-    """Gives a deployment that runs, with its sheet in force."""
+    """Yields a running cluster with its sheet in force."""
     async with process_cluster(directory) as cluster_:
         await cluster_.start()
         await cluster_.apply_sheet()
@@ -204,7 +204,7 @@
 
 @contextlib.asynccontextmanager
 async def under_load(cluster_: ProcessCluster, targets: list[hosts.NodeHost]):
-    """Gives callers that call until the block ends; all are answered then."""
+    """Yields callers that call until the block ends, and awaits their calls."""
     load_ = load.Load(
         cluster_.plan,
         [host.outside for host in targets],
--- a/tests/test_cmdnode.py
+++ b/tests/test_cmdnode.py
@@ -1,4 +1,4 @@
-"""The program mangobay-node as a process."""
+"""The daemon mangobay-node as a process."""
 
 import contextlib
 import os
@@ -31,7 +31,7 @@
 
 @contextlib.contextmanager
 def running_node(directory):
-    """Gives a process that runs, without control; kills it at the end."""
+    """Yields a running node without control; kills it at the end."""
     path = directory / "node.ini"
     path.write_text(nodes.SETTINGS.format(host="one"))
     process = subprocess.Popen(
@@ -39,7 +39,7 @@
     )
     try:
         while "started" not in (line := process.stderr.readline()):
-            assert line, "ended before it had started"
+            assert line, "exited before it had started"
         yield process
     finally:
         process.kill()
@@ -48,7 +48,7 @@
 
 
 class TestProcess:
-    """Starting and stopping, as an operator sees it."""
+    """Start and stop, as an operator sees them."""
 
     def test_all_errors_of_the_settings_are_reported(self, tmp_path):
         path = tmp_path / "node.ini"
@@ -88,26 +88,26 @@
         assert "Traceback" not in result.stderr
 
     def test_node_starts_and_stops_without_control(self, tmp_path):
-        """No control host is there yet, and an operator stops the node.
+        """Guards against nodes that need control at their start.
 
-        It must not fail at the start, since control may come later; and with
-        nothing in flight SIGTERM ends it at once, with exit code 0.
+        Control may start later than the node.  With nothing in flight, SIGTERM
+        ends the node with exit code 0.
         """
         with running_node(tmp_path) as process:
             process.send_signal(signal.SIGTERM)
             assert process.wait(WAIT_SECONDS) == 0
 
     def test_sighup_does_not_end_the_node(self, tmp_path):
-        """A log rotation ends the node, and cuts whatever it carries."""
+        """Guards against a log rotation that ends the node and its calls."""
         with running_node(tmp_path) as process:
             process.send_signal(signal.SIGHUP)
             while "next start" not in (line := process.stderr.readline()):
-                assert line, f"ended with {process.wait(WAIT_SECONDS)}"
+                assert line, f"exited with {process.wait(WAIT_SECONDS)}"
             process.send_signal(signal.SIGTERM)
             assert process.wait(WAIT_SECONDS) == 0
 
     def test_repeated_sigterm_does_not_change_the_exit_code(self, tmp_path):
-        """One that comes in the last moment ends the process as killed."""
+        """Guards against a SIGTERM during the exit, which reports a kill."""
         with running_node(tmp_path) as process:
             deadline = time.monotonic() + WAIT_SECONDS
             while process.poll() is None and time.monotonic() < deadline:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Whole control hosts on loopback, with the parts they are made of."""
+"""Control hosts on loopback with all their components."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 from mangobay.generated import settings as generated
 
 WAIT_SECONDS = 15.0
-"""Seconds after which a test gives up; nothing is measured by it."""
+"""Seconds after which a test fails."""
 
 SETTINGS = """
 [host]
@@ -55,7 +55,7 @@
 
 
 def free_addresses(count):
-    """Returns loopback addresses that nobody listens on."""
+    """Returns loopback addresses with free ports."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         for sock in sockets:
@@ -96,7 +96,7 @@
 
 
 async def wait_until(condition):
-    """Waits for a condition; fails when it does not come."""
+    """Waits until a condition holds; fails after WAIT_SECONDS."""
     async with asyncio.timeout(WAIT_SECONDS):
         while not condition():
             await asyncio.sleep(0.02)
@@ -124,14 +124,15 @@
 
 
 class TestControl:
-    """Three control hosts and a node's client."""
+    """Three control hosts and the control client of a node."""
 
     async def test_a_change_outlives_the_leader_and_a_restart(self, tmp_path):
-        """A sheet is accepted; then its leader stops, and later all do.
+        """Guards against losing an accepted sheet.
 
-        The node gets the sheet, keeps it while another leads, and gets its
-        lease there. After all hosts have restarted, the group still holds
-        the revision, and the same sheet resent gets the same answer.
+        Its leader stops, and later all control hosts restart.  The node keeps
+        the sheet and gets its lease from the new leader.  After the restart
+        the group still has the revision: the same sheet, sent again, gets the
+        same response.
         """
         addresses = free_addresses(3)
         paths = [write_settings(tmp_path, n, addresses) for n in range(3)]
@@ -194,7 +195,7 @@
 
 
 class FillingDisk(disk.Disk):
-    """A disk that refuses every write while it is full."""
+    """A disk that fails every write while `full` is set."""
 
     full = False
 
@@ -216,11 +217,11 @@
 
 
 class TestFullDisk:
-    """The disk of a control host takes no writes for a while."""
+    """Control hosts whose disk is full for a while."""
 
     @pytest.fixture
     def program(self, monkeypatch):
-        """A program whose disk fills, run in this process."""
+        """A daemon with a FillingDisk, run in this process."""
         monkeypatch.setattr(disk, "Disk", FillingDisk)
         monkeypatch.setattr(FillingDisk, "full", False)
         program = cmdcontrol.ControlProgram()
@@ -245,11 +246,11 @@
         return hasattr(host, "group") and host.group.leading.is_set()
 
     async def test_it_is_back_when_there_is_room(self, tmp_path, program):
-        """The disk fills under a leader; later something makes room.
+        """Guards against data loss when the disk of a leader fills.
 
-        The change sent meanwhile is not acknowledged.  The process stays, so
-        that nobody has to start it, and leads again with all that it had
-        acknowledged once the disk takes writes.
+        A change proposed meanwhile is not acknowledged.  The process keeps
+        running and leads again, with all acknowledged changes, once the disk
+        has space.
         """
         running = asyncio.create_task(program.run(self.load_config(tmp_path)))
         await wait_until(lambda: program.hosts and self.is_leading(program))
@@ -273,10 +274,10 @@
         assert await running == 0
 
     async def test_it_waits_for_room_at_its_start(self, tmp_path, program):
-        """The disk is full when the process starts, with nothing on it yet.
+        """Guards against restarts in a loop while the disk is full.
 
-        A process that ended would be started again and again; this one waits
-        and can still be told to stop.
+        The disk is full and empty of data when the process starts.  The
+        process waits, and can be told to stop.
         """
         FillingDisk.full = True
         running = asyncio.create_task(program.run(self.load_config(tmp_path)))
@@ -290,7 +291,7 @@
     """`mangobay-control` as a process."""
 
     async def start_program(self, path, *arguments):
-        """Starts the program."""
+        """Starts the daemon."""
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -303,7 +304,7 @@
         )
 
     async def wait_for_failure(self, path, code):
-        """Returns the one message of a process that cannot start."""
+        """Returns the lines that a process prints when it cannot start."""
         process = await self.start_program(path)
         async with asyncio.timeout(WAIT_SECONDS):
             _, stderr = await process.communicate()
@@ -322,7 +323,7 @@
         assert "margn" in lines[0]
 
     async def test_start_error_is_one_line_that_names_the_cause(self, tmp_path):
-        """The port is taken by another process, then the folder is no folder.
+        """Another process uses the port; then the data directory is a file.
 
         The operator sees one line that names it, and exit code 1.
         """
@@ -341,7 +342,7 @@
         assert "c0" in lines[0]
 
     async def start_and_wait(self, tmp_path):
-        """Returns a process that has started."""
+        """Starts a process and waits until it runs."""
         path = write_settings(tmp_path, 0, free_addresses(1))
         process = await self.start_program(path)
         async with asyncio.timeout(WAIT_SECONDS):
--- a/tests/test_loading.py
+++ b/tests/test_loading.py
@@ -1,4 +1,4 @@
-"""What each program loads before it can serve."""
+"""The modules that a daemon imports at its start."""
 
 import json
 import pathlib
@@ -17,7 +17,7 @@
 
 
 def loaded_modules(role):
-    """Returns the names of all modules that a program loads."""
+    """Returns the names of all modules that a daemon imports."""
     paths = json.dumps([str(ROOT), str(PLATFORM)])
     result = subprocess.run(
         [sys.executable, "-c", LIST_MODULES, role, paths],
@@ -29,10 +29,10 @@
 
 
 class TestNode:
-    """A node of a large fleet is restarted hundreds of times a day."""
+    """Nodes, which in a large fleet restart hundreds of times a day."""
 
     def test_node_imports_no_unused_modules(self):
-        """Guards against starts that take twice the processor time needed."""
+        """Guards against starts that use twice the processor time."""
         unused = {
             "aiohttp.web",
             "mangobay.aiohttpbackend",
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""What the daemons do with signals, from their first moment."""
+"""Signals during the start and the exit of the daemons."""
 
 import os
 import pathlib
@@ -10,7 +10,7 @@
 import test_control
 
 WAIT_SECONDS = 30.0
-"""Seconds after which a test gives up."""
+"""Seconds after which a test fails."""
 ROOT = pathlib.Path(__file__).parent.parent
 BLOCKING_MODULE_EXIT_CODE = 7
 BLOCKING_MODULE = """import sys
@@ -38,21 +38,21 @@
 
 @pytest.fixture
 def pipe(tmp_path):
-    """A named pipe; whoever reads it waits for the test."""
+    """A named pipe; its reader blocks until the test writes."""
     path = tmp_path / "pipe"
     os.mkfifo(path)
     return path
 
 
 def send_sighup(process, pipe, text):
-    """Sends SIGHUP to a process that reads a pipe, then lets it go on."""
+    """Sends SIGHUP to a process that reads a pipe, then writes the pipe."""
     with open(pipe, "w") as writer:
         process.send_signal(signal.SIGHUP)
         writer.write(text)
 
 
 def start_process(command, **environment):
-    """Starts a program whose standard error is read."""
+    """Starts a process with its standard error piped."""
     return subprocess.Popen(
         command,
         env={**os.environ, **environment},
@@ -62,7 +62,7 @@
 
 
 def wait_for_exit(process):
-    """Returns the exit code and what a process said."""
+    """Returns the exit code and the standard error of a process."""
     try:
         _, stderr = process.communicate(timeout=WAIT_SECONDS)
     finally:
@@ -72,7 +72,7 @@
 
 
 class TestSighup:
-    """SIGHUP while a daemon starts."""
+    """SIGHUP during the start of a daemon."""
 
     @pytest.mark.parametrize("module", ["cmdcontrol", "cmdnode"])
     def test_sighup_while_settings_are_read_is_ignored(self, pipe, module):
@@ -87,7 +87,7 @@
     def test_sighup_while_modules_are_imported_is_ignored(
         self, tmp_path, pipe, program
     ):
-        """The stand-in for a library waits while it is imported."""
+        """The fake of a library blocks while it is imported."""
         source = BLOCKING_MODULE.format(
             pipe=str(pipe), code=BLOCKING_MODULE_EXIT_CODE
         )
@@ -102,7 +102,7 @@
 
 
 class TestLateSignals:
-    """Signals while a daemon that has done its work ends."""
+    """Signals during the exit of a daemon."""
 
     @pytest.mark.parametrize(
         "signal_number", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP]
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""What callers of a control host see when it is told to stop."""
+"""Calls at a control host that is told to stop."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 from mangobay.generated import settings as generated
 
 GRACE_SECONDS = 6.0
-"""Seconds after which a process that was told to stop is killed."""
+"""Seconds after which a stopping process is killed."""
 ROUTES_CALL = b"POST / HTTP/1.1\r\nHost: here\r\nContent-Length: 0\r\n\r\n"
 STATUS_CALL = b"GET /v1/status HTTP/1.1\r\nHost: here\r\n\r\n"
 SHEET = test_control.SHEET.encode()
@@ -40,14 +40,14 @@
         self.task = asyncio.create_task(host.run(self.stop_event))
 
     async def connect(self, data):
-        """Returns a connection on which bytes were sent."""
+        """Returns a new connection on which the data was sent."""
         connecting = asyncio.open_connection(*self.address())
         caller = platformfakes.Caller(*await connecting)
         caller.writer.write(data)
         return caller
 
     async def send_request(self, data):
-        """Returns the answer to a call on a new connection."""
+        """Returns the response to a call on a new connection."""
         return await platformfakes.send_request(*self.address(), data)
 
     async def wait_until_refusing(self, data):
@@ -59,7 +59,7 @@
         await platformfakes.wait_until(check)
 
     async def wait_until_stopped(self):
-        """Returns once it has stopped, within the grace."""
+        """Waits until the host has stopped; fails after GRACE_SECONDS."""
         async with asyncio.timeout(GRACE_SECONDS):
             await self.task
 
@@ -86,12 +86,12 @@
 
 @pytest.fixture
 def long_drain_timeout(monkeypatch):
-    """A bound on the drain that a slow machine does not reach."""
+    """Sets a drain timeout that a slow machine does not reach."""
     monkeypatch.setattr(control, "MAX_DRAIN_SECONDS", test_control.WAIT_SECONDS)
 
 
 class SlowApi:
-    """Answers the first call when the test says so, others at once."""
+    """Responds to the first call once released, to others at once."""
 
     def __init__(self, publisher):
         self.group = publisher.group
@@ -109,11 +109,11 @@
 
 
 class TestRoutesCalls:
-    """Operators that send routes documents."""
+    """Operators' calls that publish routes documents."""
 
     @contextlib.asynccontextmanager
     async def call_in_flight(self, tmp_path):
-        """Gives a host, a caller whose call is in flight, and the API."""
+        """Yields a host, a caller with a call in flight, and the API."""
         apis = []
 
         def make_api(publisher):
@@ -193,11 +193,11 @@
 
 
 class TestSheetCalls:
-    """Operators that send sheets."""
+    """Operators' calls that send sheets."""
 
     @contextlib.asynccontextmanager
     async def sheet_in_flight(self, tmp_path):
-        """Gives a host, and a caller whose sheet is on its way."""
+        """Yields a host, a caller sending a sheet, and an open connection."""
         host = control.Control(load_config(tmp_path))
 
         def address():
@@ -248,7 +248,7 @@
 
 
 class TestForwardedCalls:
-    """Routes documents that other control hosts pass on to the leader."""
+    """Calls that other control hosts forward to the leader."""
 
     async def test_forwarded_call_in_flight_is_finished(
         self, tmp_path, monkeypatch, long_drain_timeout
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -1,4 +1,4 @@
-"""Where the worth of a played day went."""
+"""The tables of the worth of simulated days."""
 
 import json
 
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def write_report(tmp_path):
-    """Writes a report with changes; returns its path."""
+    """A function that writes a report with changes and returns its path."""
 
     def write(name, **changes):
         path = tmp_path / name
@@ -48,7 +48,7 @@
 
 
 class TestTable:
-    """What is printed."""
+    """The printed tables."""
 
     def test_one_day(self, write_report, capsys, snapshot):
         assert worth.main([write_report("day.json")]) == 0
