--- a/mangobay/control.py
+++ b/mangobay/control.py
@@ -47,7 +47,7 @@
     async def start(self) -> None:
         """Opens the socket."""
 
-    async def drain(self, seconds: float) -> None:
+    async def drain(self, timeout: float) -> None:
         """Refuses new calls; aborts those that outlast the timeout."""
 
     async def close(self) -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -252,7 +252,9 @@
         running and leads again, with all acknowledged changes, once the disk
         has space.
         """
-        running = asyncio.create_task(program.run(self.load_config(tmp_path)))
+        program_task = asyncio.create_task(
+            program.run(self.load_config(tmp_path))
+        )
         await wait_until(lambda: program.hosts and self.is_leading(program))
         change = messages.SheetChange(version="1", operator="ana")
         first = program.hosts[-1]
@@ -261,7 +263,7 @@
         with pytest.raises(errors.LeadershipLostError):
             await first.group.propose(messages.SheetChange(version="2"))
         await asyncio.sleep(3 * disk.FULL_POLL_SECONDS)
-        assert not running.done()
+        assert not program_task.done()
         FillingDisk.full = False
         await wait_until(
             lambda: program.hosts[-1] is not first and self.is_leading(program)
@@ -271,7 +273,7 @@
         )
         assert program.hosts[-1].machine.history[0].version == "1"
         os.kill(os.getpid(), signal.SIGTERM)
-        assert await running == 0
+        assert await program_task == 0
 
     async def test_it_waits_for_room_at_its_start(self, tmp_path, program):
         """Guards against restarts in a loop while the disk is full.
@@ -280,11 +282,13 @@
         process waits, and can be told to stop.
         """
         FillingDisk.full = True
-        running = asyncio.create_task(program.run(self.load_config(tmp_path)))
+        program_task = asyncio.create_task(
+            program.run(self.load_config(tmp_path))
+        )
         await asyncio.sleep(3 * disk.FULL_POLL_SECONDS)
-        assert not running.done()
+        assert not program_task.done()
         os.kill(os.getpid(), signal.SIGTERM)
-        assert await running == 0
+        assert await program_task == 0
 
 
 class TestProgram:
