--- a/mangobay/control.py
+++ b/mangobay/control.py
@@ -176,7 +176,8 @@
         """Runs until `stop` is set; call `start` first.
 
         Raises:
-          errors.StorageError: the disk failed; this host then makes no claims.
+          errors.StorageError: the disk failed; this host must neither vote nor
+            append entries.
         """
         logs.log_event(logs.Component.CONTROL, "started", host=self.hello.host)
         tasks = [
--- a/tests/processfakes.py
+++ b/tests/processfakes.py
@@ -140,7 +140,10 @@
         assert truth == verdict.Truth([], [], [], [])
 
     async def check_all_answered(self, load_: load.Load) -> None:
-        """Asserts that every call ran once, with a known and true outcome."""
+        """Asserts `check_outcomes`, and that every call got a whole response.
+
+        No attempt may be ambiguous either.
+        """
         await self.check_outcomes(load_)
         calls = load_.calls
         runs = await self.runs()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -340,7 +340,7 @@
             assert len(lines) == 1
             assert str(address) in lines[0]
         (tmp_path / "c0").rename(tmp_path / "old")
-        (tmp_path / "c0").write_text("no folder")
+        (tmp_path / "c0").write_text("not a directory")
         lines = await self.wait_for_failure(path, 1)
         assert len(lines) == 1
         assert "c0" in lines[0]
