--- a/tests/processfakes.py
+++ b/tests/processfakes.py
@@ -16,19 +16,21 @@
 CONTROL_CHANGES = {"lease": {"ttl": 1.5, "margin": 0.5}}
 NODE_CHANGES = {"control": {"renew_interval": 0.3}}
 LEAVING_SECONDS = 2.0
-"""After it a host that leaves gets no new work."""
+"""Seconds after which a leaving host must not get new work."""
 POLL_SECONDS = 0.05
 
 
 class ProcessCluster(cluster.Cluster):
     """Control hosts, and nodes with backend servers of one service."""
 
-    async def send_signal(self, name: str, number: signal.Signals) -> None:
-        """Sends a signal to a process of the fleet."""
-        self.fleet.started[name].process.send_signal(number)
+    async def send_signal(
+        self, name: str, signal_number: signal.Signals
+    ) -> None:
+        """Sends a signal to a process."""
+        self.fleet.started[name].process.send_signal(signal_number)
 
     async def apply_sheet(self) -> None:
-        """Puts the sheet in force everywhere."""
+        """Applies the first sheet and waits until it is in force everywhere."""
         await self.apply(self.plan.sheet.read_bytes(), "1", WAIT_SECONDS)
 
     async def find_owner(self, key: str) -> hosts.NodeHost:
@@ -45,7 +47,7 @@
         return self.node(name)
 
     def node(self, name: str) -> hosts.NodeHost:
-        """Returns the host of a name."""
+        """Returns the host with the name."""
         return next(host for host in self.layout.nodes if host.name == name)
 
     def other_nodes(self, host: hosts.NodeHost) -> list[hosts.NodeHost]:
@@ -53,7 +55,7 @@
         return [other for other in self.layout.nodes if other is not host]
 
     async def book(self, host: hosts.NodeHost, key: str) -> str:
-        """Books through a node; returns the outcome that it tells."""
+        """Sends a booking through a node; returns its outcome."""
         url = f"http://{host.outside}/{SERVICE}/bookings"
         headers = {backend.KEY: key}
         async with self.session.post(url, headers=headers) as response:
@@ -61,7 +63,7 @@
             return response.headers[backend.OUTCOME]
 
     async def book_until_run(self, host: hosts.NodeHost, key: str) -> str:
-        """Repeats a booking while it is refused as not run."""
+        """Retries a booking until its outcome is other than `not run`."""
         async with asyncio.timeout(WAIT_SECONDS):
             while True:
                 outcome = await self.book(host, key)
@@ -74,37 +76,39 @@
         return [run for run in await self.runs() if run.key == key]
 
     async def wait_until_running(self, key: str) -> None:
-        """Returns once a key runs at some backend server."""
+        """Returns once a call with the key runs at a backend server."""
         async with asyncio.timeout(WAIT_SECONDS):
             while not await self.runs_of_key(key):
                 await asyncio.sleep(POLL_SECONDS)
 
     async def wait_until_removed(self, host: hosts.NodeHost) -> None:
-        """Returns once control no longer counts a host as a member."""
+        """Returns once the host is no longer a member."""
         async with asyncio.timeout(WAIT_SECONDS):
-            while host.name in {h.host for h in await self.client.hosts()}:
+            while host.name in {
+                each.host for each in await self.client.hosts()
+            }:
                 await asyncio.sleep(POLL_SECONDS)
 
     async def wait_for_exit(self, name: str) -> int:
-        """Returns the exit code of a process once it has ended by itself."""
+        """Waits until a process exits by itself; returns its exit code."""
         return await self.fleet.started.pop(name).process.wait()
 
     async def check_no_new_work(self, host: hosts.NodeHost) -> None:
-        """Asserts that a host that left gets no new work any more."""
+        """Asserts that a host that has left gets no new work."""
         await asyncio.sleep(LEAVING_SECONDS)
         before = len(await self.runs_of(host))
         await asyncio.sleep(LEAVING_SECONDS / 2)
         assert len(await self.runs_of(host)) == before
 
     def rewrite_control(self, host: hosts.ControlHost, changes: dict) -> None:
-        """Writes the settings of a control host with further changes."""
+        """Writes the settings of a control host with additional changes."""
         sections = hosts.control_settings(host, self.layout)
         for section, keys in changes.items():
             sections.setdefault(section, {}).update(keys)
         hosts.write(host.settings, sections, CONTROL_CHANGES)
 
     async def wait_until_leaving(self, host: hosts.NodeHost) -> None:
-        """Returns once control knows that a host leaves."""
+        """Returns once control knows that the host is leaving."""
         async with asyncio.timeout(WAIT_SECONDS):
             while host.name not in {
                 each.host for each in await self.client.hosts() if each.leaving
@@ -117,59 +121,62 @@
         return [item["version"] for item in history["items"]]
 
     async def wait_until_voter(self, host: hosts.ControlHost) -> None:
-        """Returns once a control host says that it votes."""
+        """Returns once a control host reports that it is a voter."""
         async with asyncio.timeout(WAIT_SECONDS):
             while not (await self.health(host))["votes"]:
                 await asyncio.sleep(POLL_SECONDS)
 
     async def health(self, host: hosts.ControlHost) -> dict:
-        """Returns what a control host tells of itself."""
+        """Returns the health report of a control host."""
         url = f"http://{host.operator}/health"
         async with self.session.get(url) as response:
             return await response.json()
 
-    async def check_outcomes(self, running: load.Load) -> None:
-        """Asserts that callers were told the truth and nothing ran twice."""
+    async def check_outcomes(self, load_: load.Load) -> None:
+        """Asserts that all outcomes are true and nothing ran twice."""
         runs = await self.runs()
-        truth = verdict.truth_of(self.plan, running.calls, runs)
-        assert running.calls
+        truth = verdict.truth_of(self.plan, load_.calls, runs)
+        assert load_.calls
         assert truth == verdict.Truth([], [], [], [])
 
-    async def check_all_answered(self, running: load.Load) -> None:
-        """Asserts that all was answered in the end, true, once and uncut."""
-        await self.check_outcomes(running)
-        calls = running.calls
+    async def check_all_answered(self, load_: load.Load) -> None:
+        """Asserts `check_outcomes`, and that every call got a whole response.
+
+        No attempt may be ambiguous either.
+        """
+        await self.check_outcomes(load_)
+        calls = load_.calls
         runs = await self.runs()
-        cut = ambiguous_attempts(calls, {run.marker for run in runs})
-        assert not cut, cut
+        ambiguous = ambiguous_attempts(calls, {run.marker for run in runs})
+        assert not ambiguous, ambiguous
         assert all(call.attempts[-1].whole for call in calls)
 
 
 def ambiguous_attempts(
-    calls: list[load.Call], ran: set[str]
+    calls: list[load.Call], run_markers: set[str]
 ) -> list[load.Attempt]:
-    """Returns the attempts whose caller can't know whether they ran."""
+    """Returns the attempts whose caller cannot know whether they ran."""
     return [
         attempt
         for call in calls
         for attempt in call.attempts
         if attempt.outcome == load.UNKNOWN
-        or (not attempt.outcome and attempt.marker in ran)
+        or (not attempt.outcome and attempt.marker in run_markers)
     ]
 
 
 @contextlib.asynccontextmanager
 async def process_cluster(
-    folder: pathlib.Path,
+    directory: pathlib.Path,
     control_changes: dict | None = None,
     data_centres: int = 3,
 ):
-    """Gives a deployment that is not started yet; ends all its processes.
+    """Yields a cluster that is not started; ends its processes at exit.
 
     Args:
-      folder: of settings, data, logs and output.
-      control_changes: further settings of the control hosts.
-      data_centres: how many of them there are, each with one host a kind.
+      directory: directory of settings, data, logs and output.
+      control_changes: additional settings of the control hosts.
+      data_centres: number of data centres, each with one host of each kind.
     """
     plan = deployment.read(str(BOOKING_DIRECTORY))
     service = plan.services[SERVICE]
@@ -181,34 +188,37 @@
         },
     )
     async with (
-        launcher.Fleet(folder) as fleet,
-        ProcessCluster(plan, fleet, folder, 1.0) as made,
+        launcher.Fleet(directory) as fleet,
+        ProcessCluster(plan, fleet, directory, 1.0) as cluster_,
     ):
         changes = CONTROL_CHANGES | (control_changes or {})
-        hosts.write_all(made.layout, plan, NODE_CHANGES, changes)
-        yield made
+        hosts.write_all(cluster_.layout, plan, NODE_CHANGES, changes)
+        yield cluster_
 
 
 @contextlib.asynccontextmanager
-async def running_cluster(folder: pathlib.Path):
-    """Gives a deployment that runs, with its sheet in force."""
-    async with process_cluster(folder) as made:
-        await made.start()
-        await made.apply_sheet()
-        yield made
+async def running_cluster(directory: pathlib.Path):
+    """Yields a running cluster with its sheet in force."""
+    async with process_cluster(directory) as cluster_:
+        await cluster_.start()
+        await cluster_.apply_sheet()
+        yield cluster_
 
 
 @contextlib.asynccontextmanager
-async def under_load(made: ProcessCluster, targets: list[hosts.NodeHost]):
-    """Gives callers that call until the block ends; all are answered then."""
-    running = load.Load(
-        made.plan, [host.outside for host in targets], made.plan.rate, tries=6
+async def under_load(cluster_: ProcessCluster, targets: list[hosts.NodeHost]):
+    """Yields callers that call until the block ends, and awaits their calls."""
+    load_ = load.Load(
+        cluster_.plan,
+        [host.outside for host in targets],
+        cluster_.plan.rate,
+        tries=6,
     )
-    calling = asyncio.create_task(running.run(WAIT_SECONDS * 3))
+    load_task = asyncio.create_task(load_.run(WAIT_SECONDS * 3))
     try:
-        yield running
-        calling.cancel()
-        await running.finish()
+        yield load_
+        load_task.cancel()
+        await load_.finish()
     finally:
-        calling.cancel()
-        await running.close()
+        load_task.cancel()
+        await load_.close()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Whole control hosts on loopback, with the parts they are made of."""
+"""Control hosts on loopback with all their components."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 from mangobay.generated import settings as generated
 
 WAIT_SECONDS = 15.0
-"""Seconds after which a test gives up; nothing is measured by it."""
+"""Seconds after which a test fails."""
 
 SETTINGS = """
 [host]
@@ -55,7 +55,7 @@
 
 
 def free_addresses(count):
-    """Returns loopback addresses that nobody listens on."""
+    """Returns loopback addresses with free ports."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         for sock in sockets:
@@ -63,16 +63,16 @@
         return [options.Address(*sock.getsockname()) for sock in sockets]
 
 
-def write_settings(folder, number, addresses):
+def write_settings(directory, number, addresses):
     """Writes the settings of one host; returns their path."""
-    path = folder / f"c{number}.ini"
+    path = directory / f"c{number}.ini"
     path.write_text(
         SETTINGS.format(
             name=f"c{number}",
             number=number,
             peer=addresses[number],
             hosts=" ".join(map(str, addresses)),
-            folder=folder / f"c{number}",
+            folder=directory / f"c{number}",
         )
     )
     return str(path)
@@ -96,14 +96,17 @@
 
 
 async def wait_until(condition):
-    """Waits for a condition; fails when it does not come."""
+    """Waits until a condition holds; fails after WAIT_SECONDS."""
     async with asyncio.timeout(WAIT_SECONDS):
         while not condition():
             await asyncio.sleep(0.02)
 
 
 def find_leader(hosts):
-    return next((one for one in hosts if one.host.group.leading.is_set()), None)
+    return next(
+        (running for running in hosts if running.host.group.leading.is_set()),
+        None,
+    )
 
 
 async def apply_sheet(session, running, version):
@@ -112,27 +115,30 @@
     query = {"version": version, "operator": "ana"}
     async with asyncio.timeout(WAIT_SECONDS):
         while True:
-            async with session.post(url, params=query, data=SHEET) as answer:
-                if answer.status != 503:
-                    return answer.status, await answer.json(content_type=None)
+            async with session.post(url, params=query, data=SHEET) as response:
+                if response.status != 503:
+                    return response.status, await response.json(
+                        content_type=None
+                    )
             await asyncio.sleep(0.05)
 
 
 class TestControl:
-    """Three control hosts and a node's client."""
+    """Three control hosts and the control client of a node."""
 
     async def test_a_change_outlives_the_leader_and_a_restart(self, tmp_path):
-        """A sheet is accepted; then its leader stops, and later all do.
+        """Guards against losing an accepted sheet.
 
-        The node gets the sheet, keeps it while another leads, and gets its
-        lease there. After all hosts have restarted, the group still holds
-        the revision, and the same sheet resent gets the same answer.
+        Its leader stops, and later all control hosts restart.  The node keeps
+        the sheet and gets its lease from the new leader.  After the restart
+        the group still has the revision: the same sheet, sent again, gets the
+        same response.
         """
         addresses = free_addresses(3)
         paths = [write_settings(tmp_path, n, addresses) for n in range(3)]
         hosts = [RunningHost() for _ in paths]
-        for one, path in zip(hosts, paths, strict=True):
-            await one.start(path)
+        for running, path in zip(hosts, paths, strict=True):
+            await running.start(path)
         hello = messages.Hello(host="a", incarnation="1", role="node")
         transport = peers.PeerClient(hello)
         client = controlclient.ControlClient(
@@ -152,7 +158,7 @@
             random.Random(1),
         )
         client.serves = [messages.ServedService(name="quotes", slots=4)]
-        renewing = asyncio.create_task(client.run())
+        client_task = asyncio.create_task(client.run())
         async with aiohttp.ClientSession() as session:
             await wait_until(
                 lambda: find_leader(hosts) and client.lease.is_valid()
@@ -165,31 +171,31 @@
             url = f"http://{first.host.operator_listener.address}/v1/revisions"
             async with session.get(
                 f"{url}/{revision}/in-force", params={"wait": "5"}
-            ) as answer:
-                assert (await answer.json())["count"] == 1
+            ) as response:
+                assert (await response.json())["count"] == 1
 
             await first.stop()
-            rest = [one for one in hosts if one is not first]
-            await wait_until(lambda: find_leader(rest))
-            old_end = client.lease.expires_at
-            await wait_until(lambda: client.lease.expires_at > old_end + 0.5)
+            remaining = [running for running in hosts if running is not first]
+            await wait_until(lambda: find_leader(remaining))
+            old_expiry = client.lease.expires_at
+            await wait_until(lambda: client.lease.expires_at > old_expiry + 0.5)
             assert client.tables.value.revision == revision
 
-            for one in rest:
-                await one.stop()
-            for one, path in zip(hosts, paths, strict=True):
-                await one.start(path)
+            for running in remaining:
+                await running.stop()
+            for running, path in zip(hosts, paths, strict=True):
+                await running.start(path)
             await wait_until(lambda: find_leader(hosts))
-            _, again = await apply_sheet(session, find_leader(hosts), "1")
-            assert again == accepted | {"repeated": True}
-        renewing.cancel()
+            _, repeated = await apply_sheet(session, find_leader(hosts), "1")
+            assert repeated == accepted | {"repeated": True}
+        client_task.cancel()
         await transport.close()
-        for one in hosts:
-            await one.stop()
+        for running in hosts:
+            await running.stop()
 
 
 class FillingDisk(disk.Disk):
-    """A disk that refuses every write while it is full."""
+    """A disk that fails every write while `full` is set."""
 
     full = False
 
@@ -211,23 +217,23 @@
 
 
 class TestFullDisk:
-    """The disk of a control host takes no writes for a while."""
+    """Control hosts whose disk is full for a while."""
 
     @pytest.fixture
     def program(self, monkeypatch):
-        """A program whose disk fills, run in this process."""
+        """A daemon with a FillingDisk, run in this process."""
         monkeypatch.setattr(disk, "Disk", FillingDisk)
         monkeypatch.setattr(FillingDisk, "full", False)
-        made = cmdcontrol.ControlProgram()
-        made.hosts = []
-        make = made.make_control
+        program = cmdcontrol.ControlProgram()
+        program.hosts = []
+        make_control = program.make_control
 
-        def remember(config):
-            made.hosts.append(make(config))
-            return made.hosts[-1]
+        def make_and_record(config):
+            program.hosts.append(make_control(config))
+            return program.hosts[-1]
 
-        monkeypatch.setattr(made, "make_control", remember)
-        return made
+        monkeypatch.setattr(program, "make_control", make_and_record)
+        return program
 
     def load_config(self, tmp_path):
         path = write_settings(tmp_path, 0, free_addresses(1))
@@ -240,13 +246,15 @@
         return hasattr(host, "group") and host.group.leading.is_set()
 
     async def test_it_is_back_when_there_is_room(self, tmp_path, program):
-        """The disk fills under a leader; later something makes room.
+        """Guards against data loss when the disk of a leader fills.
 
-        The change sent meanwhile is not acknowledged.  The process stays, so
-        that nobody has to start it, and leads again with all that it had
-        acknowledged once the disk takes writes.
+        A change proposed meanwhile is not acknowledged.  The process keeps
+        running and leads again, with all acknowledged changes, once the disk
+        has space.
         """
-        running = asyncio.create_task(program.run(self.load_config(tmp_path)))
+        program_task = asyncio.create_task(
+            program.run(self.load_config(tmp_path))
+        )
         await wait_until(lambda: program.hosts and self.is_leading(program))
         change = messages.SheetChange(version="1", operator="ana")
         first = program.hosts[-1]
@@ -255,7 +263,7 @@
         with pytest.raises(errors.LeadershipLostError):
             await first.group.propose(messages.SheetChange(version="2"))
         await asyncio.sleep(3 * disk.FULL_POLL_SECONDS)
-        assert not running.done()
+        assert not program_task.done()
         FillingDisk.full = False
         await wait_until(
             lambda: program.hosts[-1] is not first and self.is_leading(program)
@@ -265,27 +273,29 @@
         )
         assert program.hosts[-1].machine.history[0].version == "1"
         os.kill(os.getpid(), signal.SIGTERM)
-        assert await running == 0
+        assert await program_task == 0
 
     async def test_it_waits_for_room_at_its_start(self, tmp_path, program):
-        """The disk is full when the process starts, with nothing on it yet.
+        """Guards against restarts in a loop while the disk is full.
 
-        A process that ended would be started again and again; this one waits
-        and can still be told to stop.
+        The disk is full and empty of data when the process starts.  The
+        process waits, and can be told to stop.
         """
         FillingDisk.full = True
-        running = asyncio.create_task(program.run(self.load_config(tmp_path)))
+        program_task = asyncio.create_task(
+            program.run(self.load_config(tmp_path))
+        )
         await asyncio.sleep(3 * disk.FULL_POLL_SECONDS)
-        assert not running.done()
+        assert not program_task.done()
         os.kill(os.getpid(), signal.SIGTERM)
-        assert await running == 0
+        assert await program_task == 0
 
 
 class TestProgram:
     """`mangobay-control` as a process."""
 
     async def start_program(self, path, *arguments):
-        """Starts the program."""
+        """Starts the daemon."""
         return await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -298,43 +308,45 @@
         )
 
     async def wait_for_failure(self, path, code):
-        """Returns the one message of a process that cannot start."""
+        """Returns the lines that a process prints when it cannot start."""
         process = await self.start_program(path)
         async with asyncio.timeout(WAIT_SECONDS):
-            _, told = await process.communicate()
+            _, stderr = await process.communicate()
         assert process.returncode == code
-        assert b"Traceback" not in told
-        lines = told.decode().splitlines()
+        assert b"Traceback" not in stderr
+        lines = stderr.decode().splitlines()
         return [line for line in lines if not line.startswith("{")]
 
-    async def test_bad_settings_stop_it_before_any_socket_opens(self, tmp_path):
+    async def test_invalid_setting_ends_it_before_any_socket_opens(
+        self, tmp_path
+    ):
         path = write_settings(tmp_path, 0, free_addresses(1))
         with open(path, "a") as file:
             file.write("margn = 3\n")
         lines = await self.wait_for_failure(path, 2)
         assert "margn" in lines[0]
 
-    async def test_what_it_cannot_start_with_is_one_clear_line(self, tmp_path):
-        """The port is taken by another process, then the folder is no folder.
+    async def test_start_error_is_one_line_that_names_the_cause(self, tmp_path):
+        """Another process uses the port; then the data directory is a file.
 
         The operator sees one line that names it, and exit code 1.
         """
-        with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))
-            taken.listen()
-            address = options.Address(*taken.getsockname())
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen()
+            address = options.Address(*listener.getsockname())
             path = write_settings(tmp_path, 0, [address])
             lines = await self.wait_for_failure(path, 1)
             assert len(lines) == 1
             assert str(address) in lines[0]
         (tmp_path / "c0").rename(tmp_path / "old")
-        (tmp_path / "c0").write_text("no folder")
+        (tmp_path / "c0").write_text("not a directory")
         lines = await self.wait_for_failure(path, 1)
         assert len(lines) == 1
         assert "c0" in lines[0]
 
     async def start_and_wait(self, tmp_path):
-        """Returns a process that has started."""
+        """Starts a process and waits until it runs."""
         path = write_settings(tmp_path, 0, free_addresses(1))
         process = await self.start_program(path)
         async with asyncio.timeout(WAIT_SECONDS):
@@ -342,7 +354,7 @@
                 pass
         return process
 
-    async def test_sighup_does_not_end_it(self, tmp_path):
+    async def test_sighup_is_ignored(self, tmp_path):
         process = await self.start_and_wait(tmp_path)
         process.send_signal(signal.SIGHUP)
         process.terminate()
@@ -354,6 +366,6 @@
         process = await self.start_and_wait(tmp_path)
         process.terminate()
         async with asyncio.timeout(WAIT_SECONDS):
-            _, told = await process.communicate()
+            _, stderr = await process.communicate()
         assert process.returncode == 0
-        assert b"Traceback" not in told
+        assert b"Traceback" not in stderr
--- a/tests/test_loading.py
+++ b/tests/test_loading.py
@@ -1,4 +1,4 @@
-"""What each program loads before it can serve."""
+"""The modules that a daemon imports at its start."""
 
 import json
 import pathlib
@@ -17,22 +17,22 @@
 
 
 def loaded_modules(role):
-    """Returns the names of all modules that a program loads."""
+    """Returns the names of all modules that a daemon imports."""
     paths = json.dumps([str(ROOT), str(PLATFORM)])
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", LIST_MODULES, role, paths],
         capture_output=True,
         check=True,
         text=True,
     )
-    return set(json.loads(done.stdout))
+    return set(json.loads(result.stdout))
 
 
 class TestNode:
-    """A node of a large fleet is restarted hundreds of times a day."""
+    """Nodes, which in a large fleet restart hundreds of times a day."""
 
-    def test_a_node_loads_nothing_that_only_others_use(self):
-        """Guards against starts that take twice the processor time needed."""
+    def test_node_imports_no_unused_modules(self):
+        """Guards against starts that use twice the processor time."""
         unused = {
             "aiohttp.web",
             "mangobay.aiohttpbackend",
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""What the daemons do with signals, from their first moment."""
+"""Signals during the start and the exit of the daemons."""
 
 import os
 import pathlib
@@ -10,7 +10,7 @@
 import test_control
 
 WAIT_SECONDS = 30.0
-"""Seconds after which a test gives up."""
+"""Seconds after which a test fails."""
 ROOT = pathlib.Path(__file__).parent.parent
 BLOCKING_MODULE_EXIT_CODE = 7
 BLOCKING_MODULE = """import sys
@@ -38,21 +38,21 @@
 
 @pytest.fixture
 def pipe(tmp_path):
-    """A named pipe; whoever reads it waits for the test."""
+    """A named pipe; its reader blocks until the test writes."""
     path = tmp_path / "pipe"
     os.mkfifo(path)
     return path
 
 
 def send_sighup(process, pipe, text):
-    """Sends SIGHUP to a process that reads a pipe, then lets it go on."""
-    with open(pipe, "w") as writing:
+    """Sends SIGHUP to a process that reads a pipe, then writes the pipe."""
+    with open(pipe, "w") as writer:
         process.send_signal(signal.SIGHUP)
-        writing.write(text)
+        writer.write(text)
 
 
 def start_process(command, **environment):
-    """Starts a program whose standard error is read."""
+    """Starts a process with its standard error piped."""
     return subprocess.Popen(
         command,
         env={**os.environ, **environment},
@@ -62,57 +62,62 @@
 
 
 def wait_for_exit(process):
-    """Returns the exit code and what a process said."""
+    """Returns the exit code and the standard error of a process."""
     try:
-        _, told = process.communicate(timeout=WAIT_SECONDS)
+        _, stderr = process.communicate(timeout=WAIT_SECONDS)
     finally:
         process.kill()
         process.wait()
-    return process.returncode, told
+    return process.returncode, stderr
 
 
-class TestHangup:
-    """SIGHUP while a daemon starts."""
+class TestSighup:
+    """SIGHUP during the start of a daemon."""
 
     @pytest.mark.parametrize("module", ["cmdcontrol", "cmdnode"])
-    def test_it_does_not_end_a_daemon_that_reads_its_settings(
-        self, pipe, module
-    ):
+    def test_sighup_while_settings_are_read_is_ignored(self, pipe, module):
         command = [sys.executable, "-m", f"mangobay.{module}"]
         process = start_process([*command, "--settings", str(pipe), "--check"])
         send_sighup(process, pipe, "[nonsense]\n")
-        code, told = wait_for_exit(process)
-        assert code == 2
-        assert "nonsense" in told
+        exit_code, stderr = wait_for_exit(process)
+        assert exit_code == 2
+        assert "nonsense" in stderr
 
     @pytest.mark.parametrize("program", ["control", "node"])
-    def test_it_does_not_end_a_program_that_loads_its_modules(
+    def test_sighup_while_modules_are_imported_is_ignored(
         self, tmp_path, pipe, program
     ):
-        """The stand-in for a library waits while it is imported."""
-        standin = BLOCKING_MODULE.format(
+        """The fake of a library blocks while it is imported."""
+        source = BLOCKING_MODULE.format(
             pipe=str(pipe), code=BLOCKING_MODULE_EXIT_CODE
         )
-        (tmp_path / "capnp.py").write_text(standin)
+        (tmp_path / "capnp.py").write_text(source)
         process = start_process(
             [sys.executable, ROOT / "platform" / "run.py", program],
             PYTHONPATH=str(tmp_path),
         )
         send_sighup(process, pipe, "")
-        code, _ = wait_for_exit(process)
-        assert code == BLOCKING_MODULE_EXIT_CODE
+        exit_code, _ = wait_for_exit(process)
+        assert exit_code == BLOCKING_MODULE_EXIT_CODE
 
 
 class TestLateSignals:
-    """Signals while a daemon that has done its work ends."""
+    """Signals during the exit of a daemon."""
 
     @pytest.mark.parametrize(
-        "number", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP]
+        "signal_number", [signal.SIGTERM, signal.SIGINT, signal.SIGHUP]
     )
-    def test_they_do_not_change_its_exit_code(self, tmp_path, number):
+    def test_late_signal_does_not_change_the_exit_code(
+        self, tmp_path, signal_number
+    ):
         path = test_control.write_settings(
             tmp_path, 0, test_control.free_addresses(1)
         )
-        command = [sys.executable, "-c", LATE_SIGNAL_PROGRAM, str(int(number))]
+        command = [
+            sys.executable,
+            "-c",
+            LATE_SIGNAL_PROGRAM,
+            str(int(signal_number)),
+        ]
         process = start_process([*command, "--settings", path])
         assert wait_for_exit(process) == (0, "")
