--- a/mangobay/basenode.py
+++ b/mangobay/basenode.py
@@ -239,7 +239,7 @@
             case messages.CopyPut() | messages.CopyFetch():
                 return await self.once.handle(body)
         raise errors.PeerProtocolError(
-            f"a node does not handle {type(body).__name__} of {hello.host}"
+            f"a node does not answer {type(body).__name__} of {hello.host}"
         )
 
     async def run(self) -> int:
