--- a/mangobay/commands.py
+++ b/mangobay/commands.py
@@ -96,8 +96,8 @@
         parser = parsers.add_parser(
             self.name, help=self.help, description=self.help, epilog=EXIT_HELP
         )
-        for name, details in self.arguments.items():
-            parser.add_argument(name, **details)
+        for name, keywords in self.arguments.items():
+            parser.add_argument(name, **keywords)
         parser.set_defaults(command=self)
 
     async def run(
@@ -142,16 +142,16 @@
 
     async def run(self, arguments, client):
         """Checks the file."""
-        checked = sheet.parse(read_sheet(arguments.sheet), arguments.sheet)
-        services = {operation.service for operation in checked.operations}
+        parsed_sheet = sheet.parse(read_sheet(arguments.sheet), arguments.sheet)
+        services = {operation.service for operation in parsed_sheet.operations}
         data = {
-            "operations": len(checked.operations),
+            "operations": len(parsed_sheet.operations),
             "services": len(services),
-            "digest": checked.digest.hex(),
+            "digest": parsed_sheet.digest.hex(),
         }
         line = (
-            f"{arguments.sheet}: {len(checked.operations)} operations of"
-            f" {len(services)} services, digest {checked.digest.hex()[:12]}"
+            f"{arguments.sheet}: {len(parsed_sheet.operations)} operations of"
+            f" {len(services)} services, digest {parsed_sheet.digest.hex()[:12]}"
         )
         return Result(data, [line])
 
@@ -180,31 +180,35 @@
         """Checks the sheet here, sends it, and waits when asked to."""
         data = read_sheet(arguments.sheet)
         sheet.parse(data, arguments.sheet)
-        accepted = await client.apply(
+        applied = await client.apply(
             data,
             ids.SheetVersion(arguments.version),
             arguments.operator or getpass.getuser(),
         )
-        again = " (accepted before)" if accepted.repeated else ""
+        repeat_note = " (accepted before)" if applied.repeated else ""
         line = (
-            f"revision {accepted.revision}{again}: {accepted.changed} rows"
-            f" changed, {accepted.removed} removed"
+            f"revision {applied.revision}{repeat_note}: {applied.changed} rows"
+            f" changed, {applied.removed} removed"
         )
         if arguments.wait is None:
-            return Result(dataclasses.asdict(accepted), [line])
+            return Result(dataclasses.asdict(applied), [line])
         return await self.wait_until_in_force(
-            arguments.wait, accepted, line, client
+            arguments.wait, applied, line, client
         )
 
     async def wait_until_in_force(
-        self, seconds, accepted, line, client
+        self, seconds, applied, line, client
     ) -> Result:
         """Waits until the revision is in force everywhere."""
-        state = await client.in_force(accepted.revision, seconds)
-        facts = dataclasses.asdict(accepted)
-        facts["in_force"] = dataclasses.asdict(state)
-        code = ExitCode.OK if state.is_complete else ExitCode.NOT_IN_FORCE
-        return Result(facts, [line, *display.format_in_force(state)], code)
+        rollout = await client.in_force(applied.revision, seconds)
+        data = dataclasses.asdict(applied)
+        data["in_force"] = dataclasses.asdict(rollout)
+        exit_code = (
+            ExitCode.OK if rollout.is_complete else ExitCode.NOT_IN_FORCE
+        )
+        return Result(
+            data, [line, *display.format_in_force(rollout)], exit_code
+        )
 
 
 class ShowStatus(Command):
@@ -236,23 +240,23 @@
     async def run(self, arguments, client):
         """Asks for the history."""
         history = await client.history()
-        changes = [
-            change
-            for change in history.sheets
-            if arguments.since <= change.accepted_ms < arguments.until
+        sheets = [
+            accepted
+            for accepted in history.sheets
+            if arguments.since <= accepted.accepted_ms < arguments.until
         ]
         lines = display.format_table(
             ("revision", "accepted", "version", "operator", "rows"),
             [
                 (
-                    change.revision,
-                    display.format_time(change.accepted_ms),
-                    change.version,
-                    change.operator,
-                    f"{change.changed_rows} changed,"
-                    f" {change.removed_rows} removed",
+                    accepted.revision,
+                    display.format_time(accepted.accepted_ms),
+                    accepted.version,
+                    accepted.operator,
+                    f"{accepted.changed_rows} changed,"
+                    f" {accepted.removed_rows} removed",
                 )
-                for change in changes
+                for accepted in sheets
             ],
         )
         if history.omitted_count:
@@ -260,7 +264,9 @@
                 0,
                 f"{history.omitted_count} older sheets are not named any more",
             )
-        return Result([dataclasses.asdict(item) for item in changes], lines)
+        return Result(
+            [dataclasses.asdict(accepted) for accepted in sheets], lines
+        )
 
 
 class ShowHosts(Command):
@@ -308,9 +314,9 @@
         data = {
             name: [
                 {**dataclasses.asdict(option), "kind": option.kind.value}
-                for option in known
+                for option in section_options
             ]
-            for name, (_, known) in sections.items()
+            for name, (_, section_options) in sections.items()
         }
         return Result(data, [settings.describe(sections).rstrip()])
 
--- a/mangobay/connectionlimits.py
+++ b/mangobay/connectionlimits.py
@@ -52,11 +52,11 @@
           OSError: the address is in use or not of this host.
         """
 
-        def connection() -> asyncio.BaseProtocol:
+        def make_connection() -> asyncio.BaseProtocol:
             return self.accept(server)
 
         loop = asyncio.get_running_loop()
-        return await loop.create_server(connection, ip, port)
+        return await loop.create_server(make_connection, ip, port)
 
     def accept(self, server: web.Server) -> asyncio.BaseProtocol:
         """Returns the protocol of a new connection."""
--- a/mangobay/controlmetrics.py
+++ b/mangobay/controlmetrics.py
@@ -31,11 +31,11 @@
     def __init__(
         self,
         group: "operatorapi.Group",
-        config: statemachine.ConfigStateMachine,
+        state_machine: statemachine.ConfigStateMachine,
         lease_table: leases.LeaseTable,
     ):
         self.group = group
-        self.machine = config
+        self.machine = state_machine
         self.leases = lease_table
 
     def collect(self) -> typing.Iterator[metrics_core.Metric]:
@@ -57,8 +57,8 @@
     def gauge_values(self) -> dict[str, float]:
         """Returns the value of each gauge by name."""
         revision = self.machine.revision
-        held = self.leases.notifier.events_by_host.values()
-        known = self.leases.view_activity
+        waiting_renewals = self.leases.notifier.events_by_host.values()
+        view_activity = self.leases.view_activity
         return {
             "leads": int(self.group.leading.is_set()),
             "term": self.group.term,
@@ -70,9 +70,9 @@
             "stragglers": len(
                 self.leases.revision_reports.rollout_status(revision).stragglers
             ),
-            "inactive_views": len(known.newest_versions)
-            - len(known.active_services),
-            "held_renewals": sum(map(len, held)),
+            "inactive_views": len(view_activity.newest_versions)
+            - len(view_activity.active_services),
+            "held_renewals": sum(map(len, waiting_renewals)),
         }
 
     def invariant_counter(
@@ -82,6 +82,6 @@
         metric = metrics_core.CounterMetricFamily(
             METRIC_PREFIX + name, text, labels=["promise"]
         )
-        for promise in invariants.Invariant:
-            metric.add_metric([promise.value], counts[promise])
+        for invariant in invariants.Invariant:
+            metric.add_metric([invariant.value], counts[invariant])
         return metric
--- a/mangobay/display.py
+++ b/mangobay/display.py
@@ -24,11 +24,11 @@
     ).isoformat(timespec="milliseconds")
 
 
-def format_in_force(state: operatorclient.InForce) -> list[str]:
+def format_in_force(rollout: operatorclient.RolloutStatus) -> list[str]:
     """Returns how far a revision has come, and who lags."""
-    lines = [f"in force on {state.count} of {state.of} hosts"]
-    if state.stragglers:
-        lines.append(f"not yet on {', '.join(state.stragglers)}")
+    lines = [f"in force on {rollout.count} of {rollout.of} hosts"]
+    if rollout.stragglers:
+        lines.append(f"not yet on {', '.join(rollout.stragglers)}")
     return lines
 
 
--- a/mangobay/filecommands.py
+++ b/mangobay/filecommands.py
@@ -23,9 +23,11 @@
 
     async def run(self, arguments, client):
         """Reads the logs and sums them up."""
-        reading = report.read_logs(arguments.files)
-        told = report.summarize(reading, arguments.since, arguments.until)
-        return commands.Result(encode_report(told), format_report(told))
+        parsed_logs = report.read_logs(arguments.files)
+        summary = report.summarize(
+            parsed_logs, arguments.since, arguments.until
+        )
+        return commands.Result(encode_report(summary), format_report(summary))
 
 
 class ShowTrace(commands.Command):
@@ -58,16 +60,16 @@
             for span in spans
         ]
         lines = spantree.format_trees(spans) or ["no such span"]
-        code = commands.ExitCode.OK if spans else commands.ExitCode.FAILED
-        return commands.Result(data, lines, code)
+        exit_code = commands.ExitCode.OK if spans else commands.ExitCode.FAILED
+        return commands.Result(data, lines, exit_code)
 
 
-def encode_report(told: report.Report) -> dict:
+def encode_report(summary: report.Report) -> dict:
     """Returns the report as plain values."""
     return {
-        "since_ms": told.since_ms,
-        "until_ms": told.until_ms,
-        "hosts": told.hosts,
+        "since_ms": summary.since_ms,
+        "until_ms": summary.until_ms,
+        "hosts": summary.hosts,
         "totals": [
             {
                 **group._asdict(),
@@ -76,19 +78,19 @@
                 "first_ms": total.first_ms,
                 "last_ms": total.last_ms,
             }
-            for group, total in sorted(told.totals.items())
+            for group, total in sorted(summary.totals.items())
         ],
-        "gaps": [dataclasses.asdict(gap) for gap in told.gaps],
-        "unreadable": told.unreadable_lines,
+        "gaps": [dataclasses.asdict(gap) for gap in summary.gaps],
+        "unreadable": summary.unreadable_lines,
     }
 
 
-def format_report(told: report.Report) -> list[str]:
+def format_report(summary: report.Report) -> list[str]:
     """Returns the report for people."""
     lines = [
-        f"recorded from {display.format_time(told.since_ms)}"
-        f" to {display.format_time(told.until_ms)}"
-        f" by {len(told.hosts)} hosts: {', '.join(told.hosts)}",
+        f"recorded from {display.format_time(summary.since_ms)}"
+        f" to {display.format_time(summary.until_ms)}"
+        f" by {len(summary.hosts)} hosts: {', '.join(summary.hosts)}",
     ]
     for outside, title in (
         (True, "calls of callers outside"),
@@ -96,12 +98,12 @@
     ):
         totals = {
             group: total
-            for group, total in sorted(told.totals.items())
+            for group, total in sorted(summary.totals.items())
             if group.outside is outside
         }
         if totals:
             lines += ["", title, *format_totals(totals)]
-    return [*lines, "", *format_gaps(told)]
+    return [*lines, "", *format_gaps(summary)]
 
 
 def format_totals(
@@ -144,20 +146,20 @@
     return "-" if milliseconds is None else display.format_time(milliseconds)
 
 
-def format_gaps(told: report.Report) -> list[str]:
+def format_gaps(summary: report.Report) -> list[str]:
     """Returns what nobody recorded."""
     lines = []
-    if told.gaps:
+    if summary.gaps:
         lines.append("not recorded, so nothing is known of calls that entered")
         rows = [
             (gap.host, *map(display.format_time, (gap.since_ms, gap.until_ms)))
-            for gap in told.gaps
+            for gap in summary.gaps
         ]
         lines += display.format_table(("host", "from", "to"), rows)
     else:
         lines.append("no gap in the record of these hosts")
-    if told.unreadable_lines:
-        lines.append(f"{told.unreadable_lines} lines could not be read")
+    if summary.unreadable_lines:
+        lines.append(f"{summary.unreadable_lines} lines could not be read")
     return lines
 
 
--- a/mangobay/filetracer.py
+++ b/mangobay/filetracer.py
@@ -74,7 +74,7 @@
     def record_attempt(self, attempt: traces.Attempt) -> None:
         """Records one attempt that has ended."""
         call, reply = attempt.call, attempt.reply
-        end = time.time_ns()
+        end_ns = time.time_ns()
         seconds = asyncio.get_running_loop().time() - attempt.started_at
         self.id_generator.next_span_id = int(call.call_id, 16)
         span = self.tracer.start_span(
@@ -95,9 +95,9 @@
                 "mangobay.depth": call.depth,
                 "mangobay.status": reply.status,
             },
-            start_time=end - int(seconds * NANOSECONDS_PER_SECOND),
+            start_time=end_ns - int(seconds * NANOSECONDS_PER_SECOND),
         )
-        span.end(end)
+        span.end(end_ns)
 
     def close(self) -> None:
         """Writes what is still unwritten."""
@@ -110,10 +110,10 @@
     A first hop without a caller's span is the root: a parent id must not be
     zero, so its own trace id is given with a span that nobody recorded.
     """
-    parent = int(request.trace.parent_span or "1", 16)
+    parent_id = int(request.trace.parent_span or "1", 16)
     span_context = trace.SpanContext(
         trace_id=int(request.trace.trace_id, 16),
-        span_id=parent,
+        span_id=parent_id,
         is_remote=True,
         trace_flags=trace.TraceFlags(trace.TraceFlags.SAMPLED),
     )
--- a/mangobay/metrics.py
+++ b/mangobay/metrics.py
@@ -44,8 +44,8 @@
 
     def record_call(self, reply: messages.Reply, seconds: float) -> None:
         """Counts one call."""
-        place = reply.reason * len(messages.Outcome) + reply.outcome
-        self.outcome_counts[place] += 1
+        index = reply.reason * len(messages.Outcome) + reply.outcome
+        self.outcome_counts[index] += 1
         if reply.outcome is messages.Outcome.ANSWERED:
             microseconds = int(seconds * 1e6)
             shift = max(microseconds.bit_length() - SIGNIFICANT_BITS, 0)
@@ -96,10 +96,10 @@
     ) -> None:
         """Counts one call that entered here."""
         key = OperationKey(operation.service, operation.name)
-        ends = self.by_operation.get(key)
-        if ends is None:
-            ends = self.by_operation[key] = OperationMetrics()
-        ends.record_call(reply, seconds)
+        operation_metrics = self.by_operation.get(key)
+        if operation_metrics is None:
+            operation_metrics = self.by_operation[key] = OperationMetrics()
+        operation_metrics.record_call(reply, seconds)
 
     def render(self) -> bytes:
         """Returns everything in the text format."""
--- a/mangobay/metricstext.py
+++ b/mangobay/metricstext.py
@@ -16,9 +16,11 @@
 
 def render(node_metrics: metrics.Metrics) -> bytes:
     """Returns everything in the text format."""
-    made = prometheus_client.CollectorRegistry(auto_describe=False)
-    made.register(NodeCollector(node_metrics))
-    return prometheus_client.generate_latest(made)
+    collector_registry = prometheus_client.CollectorRegistry(
+        auto_describe=False
+    )
+    collector_registry.register(NodeCollector(node_metrics))
+    return prometheus_client.generate_latest(collector_registry)
 
 
 class NodeCollector(registry.Collector):
@@ -48,13 +50,13 @@
             "Calls that entered at this node, by how they ended.",
             labels=("service", "operation", "outcome", "reason"),
         )
-        outcomes = len(messages.Outcome)
-        for key, ends in self.metrics.by_operation.items():
-            for place, count in enumerate(ends.outcome_counts):
+        outcome_count = len(messages.Outcome)
+        for key, operation_metrics in self.metrics.by_operation.items():
+            for index, count in enumerate(operation_metrics.outcome_counts):
                 if not count:
                     continue
-                outcome = messages.Outcome(place % outcomes).name.lower()
-                reason = messages.Reason(place // outcomes).name.lower()
+                outcome = messages.Outcome(index % outcome_count).name.lower()
+                reason = messages.Reason(index // outcome_count).name.lower()
                 family.add_metric((*key, outcome, reason), count)
         return family
 
@@ -65,10 +67,10 @@
             "Time of answered calls since the start, by quantile.",
             labels=("service", "operation", "quantile"),
         )
-        for key, ends in self.metrics.by_operation.items():
-            latency = ends.latency_histogram
+        for key, operation_metrics in self.metrics.by_operation.items():
+            latencies = operation_metrics.latency_histogram
             for quantile in QUANTILES:
-                value = latency.get_value_at_percentile(quantile * 100)
+                value = latencies.get_value_at_percentile(quantile * 100)
                 family.add_metric((*key, str(quantile)), value / 1e6)
         return family
 
@@ -79,14 +81,16 @@
             "Time of answered calls since the start.",
             labels=("service", "operation"),
         )
-        for key, ends in self.metrics.by_operation.items():
-            buckets, total = cumulative_buckets(ends.latency_histogram)
+        for key, operation_metrics in self.metrics.by_operation.items():
+            buckets, total = cumulative_buckets(
+                operation_metrics.latency_histogram
+            )
             family.add_metric(key, buckets, total)
         return family
 
     def invariant_families(self):
         """Yields how often promises were checked, and found broken."""
-        shown = (
+        counters = (
             ("checks", "Checks of a promise.", invariants.check_counts),
             (
                 "broken",
@@ -94,30 +98,30 @@
                 invariants.violation_counts,
             ),
         )
-        for name, text, counts in shown:
+        for name, text, counts in counters:
             family = core.CounterMetricFamily(
                 f"mangobay_promise_{name}", text, labels=("promise",)
             )
-            for promise in invariants.Invariant:
-                label = promise.name.lower()
-                family.add_metric((label,), counts[promise])
+            for invariant in invariants.Invariant:
+                label = invariant.name.lower()
+                family.add_metric((label,), counts[invariant])
             yield family
 
 
 def cumulative_buckets(
-    latency: histogram.HdrHistogram,
+    latencies: histogram.HdrHistogram,
 ) -> tuple[list[tuple[str, int]], float]:
     """Returns the count at or below each bound, and the sum in seconds."""
     counts = [0] * len(BUCKET_BOUNDS)
     total = 0.0
-    for item in latency.get_recorded_iterator():
+    for item in latencies.get_recorded_iterator():
         seconds = item.value_iterated_to / 1e6
         total += seconds * item.count_at_value_iterated_to
-        for place, bound in enumerate(BUCKET_BOUNDS):
+        for index, bound in enumerate(BUCKET_BOUNDS):
             if seconds <= bound:
-                counts[place] += item.count_at_value_iterated_to
-    shown = [
+                counts[index] += item.count_at_value_iterated_to
+    buckets = [
         (str(bound), count)
         for bound, count in zip(BUCKET_BOUNDS, counts, strict=True)
     ]
-    return [*shown, ("+Inf", latency.get_total_count())], total
+    return [*buckets, ("+Inf", latencies.get_total_count())], total
--- a/mangobay/nodegauges.py
+++ b/mangobay/nodegauges.py
@@ -10,7 +10,7 @@
 
 def make_gauges(node: "basenode.BaseNode") -> list[metrics.Gauge]:
     """Returns the numbers of a node that the metrics read when asked."""
-    places = node.local_services.by_name
+    services = node.local_services.by_name
     return [
         metrics.Gauge(
             name="lease",
@@ -30,13 +30,16 @@
         metrics.Gauge(
             name="limit",
             help="Calls that may run at the backend server here.",
-            read_value=lambda: sum(p.admission.limit for p in places.values()),
+            read_value=lambda: sum(
+                service.admission.limit for service in services.values()
+            ),
         ),
         metrics.Gauge(
             name="threshold",
             help="Highest level below which calls are refused here.",
             read_value=lambda: max(
-                (p.admission.threshold for p in places.values()), default=0
+                (service.admission.threshold for service in services.values()),
+                default=0,
             ),
         ),
         metrics.Gauge(
--- a/mangobay/operatorapi.py
+++ b/mangobay/operatorapi.py
@@ -77,19 +77,19 @@
         self,
         address: options.Address,
         group: Group,
-        config: statemachine.ConfigStateMachine,
+        state_machine: statemachine.ConfigStateMachine,
         lease_table: leases.LeaseTable,
         sheet_bytes: int,
         limits: connectionlimits.Limits = DEFAULT_LIMITS,
     ):
         self.address = address
         self.group = group
-        self.machine = config
+        self.machine = state_machine
         self.leases = lease_table
-        self.acceptance = sheetacceptance.SheetAcceptor(config, group)
+        self.acceptance = sheetacceptance.SheetAcceptor(state_machine, group)
         self.registry = prometheus_client.CollectorRegistry()
         self.registry.register(
-            controlmetrics.ControlCollector(group, config, lease_table)
+            controlmetrics.ControlCollector(group, state_machine, lease_table)
         )
         self.limits = limits
         self.connection_limiter = connectionlimits.ConnectionLimiter(limits)
@@ -161,17 +161,17 @@
         operator = required_parameter(request, "operator")
         async with asyncio.timeout(self.limits.request_timeout):
             data = await request.read()
-        checked = await asyncio.to_thread(sheet.parse, data, "sheet")
-        accepted = await self.acceptance.accept(checked, version, operator)
+        parsed_sheet = await asyncio.to_thread(sheet.parse, data, "sheet")
+        result = await self.acceptance.accept(parsed_sheet, version, operator)
         logs.log_event(
             logs.Component.CONTROL,
             "sheet accepted",
             version=version,
             operator=operator,
-            revision=accepted.revision,
-            repeated=accepted.repeated,
+            revision=result.revision,
+            repeated=result.repeated,
         )
-        return web.json_response(dataclasses.asdict(accepted))
+        return web.json_response(dataclasses.asdict(result))
 
     async def get_status(self, request: web.Request) -> web.Response:
         """Tells of the control group and of every host."""
@@ -231,16 +231,18 @@
     async def get_in_force(self, request: web.Request) -> web.Response:
         """Tells how far a revision has come, after a wait."""
         revision = parse_number(request.match_info["revision"], int, "revision")
-        wait = parse_number(request.query.get("wait", "0"), float, "wait")
+        wait_seconds = parse_number(
+            request.query.get("wait", "0"), float, "wait"
+        )
         await self.confirm_leadership()
         if revision > self.machine.revision:
             raise errors.NotFoundError(f"no revision {revision} was accepted")
-        reached = await self.leases.revision_reports.wait_until_in_force(
-            ids.Revision(revision), min(max(wait, 0), MAX_WAIT_SECONDS)
+        rollout = await self.leases.revision_reports.wait_until_in_force(
+            ids.Revision(revision), min(max(wait_seconds, 0), MAX_WAIT_SECONDS)
         )
         # What hosts reported to a leader deposed meanwhile may be old.
         await self.confirm_leadership()
-        return web.json_response(encode_in_force(reached))
+        return web.json_response(encode_in_force(rollout))
 
     async def get_health(self, request: web.Request) -> web.Response:
         """Tells that this process answers, and what it takes itself for."""
@@ -257,8 +259,8 @@
     async def get_metrics(self, request: web.Request) -> web.Response:
         """Tells the metrics in the Prometheus text format."""
         text = prometheus_client.generate_latest(self.registry)
-        kind = prometheus_client.CONTENT_TYPE_LATEST
-        return web.Response(body=text, headers={"Content-Type": kind})
+        content_type = prometheus_client.CONTENT_TYPE_LATEST
+        return web.Response(body=text, headers={"Content-Type": content_type})
 
     async def confirm_leadership(self) -> None:
         """Makes sure that this host leads and holds everything committed.
@@ -276,9 +278,9 @@
             for host in sorted(self.machine.members)
         ]
 
-    def encode_host(self, record: messages.MemberRecord) -> dict:
+    def encode_host(self, member_record: messages.MemberRecord) -> dict:
         """Returns a host as the API tells it."""
-        member = record.member
+        member = member_record.member
         return {
             "host": member.host,
             "incarnation": member.incarnation,
@@ -290,16 +292,16 @@
             ),
             "leaving": member.leaving,
             "draining": member.host in self.machine.draining,
-            "serves": [served.name for served in record.serves],
+            "serves": [served.name for served in member_record.serves],
         }
 
 
-def encode_in_force(reached: inforce.RolloutStatus) -> dict:
+def encode_in_force(rollout: inforce.RolloutStatus) -> dict:
     """Returns how far a revision has come as the API tells it."""
     return {
-        "count": reached.host_count - len(reached.stragglers),
-        "of": reached.host_count,
-        "stragglers": reached.stragglers,
+        "count": rollout.host_count - len(rollout.stragglers),
+        "of": rollout.host_count,
+        "stragglers": rollout.stragglers,
     }
 
 
@@ -317,14 +319,14 @@
     return value
 
 
-def parse_number(text: str, make: type, name: str) -> typing.Any:
+def parse_number(text: str, convert: type, name: str) -> typing.Any:
     """Returns the number that a parameter holds.
 
     Raises:
       errors.BadRequestError: it is none.
     """
     try:
-        return make(text)
+        return convert(text)
     except ValueError:
         raise errors.BadRequestError(
             f"{name} {text!r} is not a number"
--- a/mangobay/operatorclient.py
+++ b/mangobay/operatorclient.py
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
+class RolloutStatus:
     """How far a revision has come.
 
     Attributes:
@@ -92,7 +92,7 @@
     commit: ids.LogIndex
     revision: ids.Revision
     hosts: list[Host]
-    in_force: InForce
+    in_force: RolloutStatus
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -129,13 +129,13 @@
     omitted_count: int
 
 
-def decode_record(cls: type[Record], data: dict, **parts) -> Record:
+def decode_record(cls: type[Record], data: dict, **nested) -> Record:
     """Returns a record out of a JSON object; unknown members are ignored.
 
     Args:
       cls: the record's class.
       data: the JSON object.
-      **parts: members that are records themselves.
+      **nested: members that are records themselves.
 
     Raises:
       errors.OperatorProtocolError: a member is missing.
@@ -144,7 +144,7 @@
     try:
         return cls(
             **{
-                name: parts[name] if name in parts else data[name]
+                name: nested[name] if name in nested else data[name]
                 for name in names
             }
         )
@@ -220,27 +220,27 @@
           errors.ControlUnreachableError: no control host could answer.
         """
         query = {"version": version, "operator": operator}
-        answer = await self.send_request("POST", "/v1/sheets", query, data)
-        return decode_record(ApplyResult, answer)
+        document = await self.send_request("POST", "/v1/sheets", query, data)
+        return decode_record(ApplyResult, document)
 
     async def status(self) -> Status:
         """Returns the state of the control group and of every host."""
-        answer = await self.send_request("GET", "/v1/status")
+        document = await self.send_request("GET", "/v1/status")
         return decode_record(
             Status,
-            answer,
-            hosts=decode_hosts(answer),
-            in_force=decode_record(InForce, answer.get("in_force", {})),
+            document,
+            hosts=decode_hosts(document),
+            in_force=decode_record(RolloutStatus, document.get("in_force", {})),
         )
 
     async def history(self) -> History:
         """Returns the newest accepted sheets."""
-        answer = await self.send_request("GET", "/v1/history")
-        changes = [
+        document = await self.send_request("GET", "/v1/history")
+        sheets = [
             decode_record(AcceptedSheet, item)
-            for item in answer.get("items", [])
+            for item in document.get("items", [])
         ]
-        return History(changes, answer.get("cut", 0))
+        return History(sheets, document.get("cut", 0))
 
     async def hosts(self) -> list[Host]:
         """Returns every known host."""
@@ -256,16 +256,16 @@
 
     async def in_force(
         self, revision: ids.Revision, wait_seconds: float
-    ) -> InForce:
+    ) -> RolloutStatus:
         """Returns how far a revision has come, after at most `wait` seconds."""
         path = f"/v1/revisions/{revision}/in-force"
-        answer = await self.send_request(
+        document = await self.send_request(
             "GET",
             path,
             {"wait": f"{wait_seconds:g}"},
             wait_seconds=wait_seconds,
         )
-        return decode_record(InForce, answer)
+        return decode_record(RolloutStatus, document)
 
     async def send_request(
         self,
@@ -281,17 +281,17 @@
           errors.MangobayError: what the answer says, or that none came.
         """
         loop = asyncio.get_running_loop()
-        give_up = loop.time() + self.timeout_seconds + wait_seconds
+        give_up_at = loop.time() + self.timeout_seconds + wait_seconds
         request = Request(method, path, query or {}, body, wait_seconds)
         while True:
-            trouble: dict[options.Address, str] = {}
+            failures: dict[options.Address, str] = {}
             for address in self.ordered_addresses():
                 try:
                     return await self.send_to(address, request)
                 except NoResponseError as error:
-                    trouble[address] = str(error)
-            if loop.time() >= give_up:
-                raise errors.ControlUnreachableError(trouble)
+                    failures[address] = str(error)
+            if loop.time() >= give_up_at:
+                raise errors.ControlUnreachableError(failures)
             await asyncio.sleep(ROUND_DELAY_SECONDS)
 
     async def send_to(self, address: options.Address, request: Request) -> dict:
@@ -318,21 +318,24 @@
         except TimeoutError:
             raise NoResponseError("did not answer in time") from None
         except aiohttp.ClientConnectorError as error:
-            why = os.strerror(error.errno) if error.errno else "cannot connect"
-            raise NoResponseError(why) from None
+            reason = (
+                os.strerror(error.errno) if error.errno else "cannot connect"
+            )
+            raise NoResponseError(reason) from None
         except aiohttp.ClientError as error:
             raise NoResponseError(str(error)) from None
 
     def ordered_addresses(self) -> list[options.Address]:
         """Returns the addresses, the one that answered last first."""
         return sorted(
-            self.addresses, key=lambda item: item != self.preferred_address
+            self.addresses,
+            key=lambda address: address != self.preferred_address,
         )
 
 
-def decode_hosts(answer: dict) -> list[Host]:
+def decode_hosts(document: dict) -> list[Host]:
     """Returns the hosts in an answer."""
-    return [decode_record(Host, item) for item in answer.get("hosts", [])]
+    return [decode_record(Host, item) for item in document.get("hosts", [])]
 
 
 async def decode_response(
@@ -344,26 +347,28 @@
       errors.MangobayError: the typed error that the answer stands for.
     """
     try:
-        answer = await response.json(content_type=None)
+        document = await response.json(content_type=None)
     except ValueError:
-        answer = None
-    if not isinstance(answer, dict):
+        document = None
+    if not isinstance(document, dict):
         raise errors.OperatorProtocolError(
             f"the control host's answer {response.status} is no JSON object"
         )
     match response.status:
         case 200 | 202:
-            return answer
-        case 409 if "winner" in answer:
+            return document
+        case 409 if "winner" in document:
             raise errors.ConflictError(
-                query.get("version", ""), answer["winner"]
+                query.get("version", ""), document["winner"]
             )
-        case 422 if "findings" in answer:
+        case 422 if "findings" in document:
             raise errors.SheetError(
                 [
                     decode_record(findings.Finding, item)
-                    for item in answer["findings"]
+                    for item in document["findings"]
                 ]
             )
-    detail = answer.get("detail") or answer.get("title") or "no reason given"
+    detail = (
+        document.get("detail") or document.get("title") or "no reason given"
+    )
     raise errors.OperatorRefusedError(response.status, detail)
--- a/mangobay/operatorproblems.py
+++ b/mangobay/operatorproblems.py
@@ -56,7 +56,7 @@
     except web.HTTPException as error:
         return problem_response(ProblemType(error.status, error.reason), "")
     except (errors.MangobayError, TimeoutError) as error:
-        kind = next(
+        problem_type = next(
             (
                 PROBLEM_TYPES[cls]
                 for cls in PROBLEM_TYPES
@@ -64,7 +64,9 @@
             ),
             INTERNAL_ERROR,
         )
-        return problem_response(kind, str(error), **extension_members(error))
+        return problem_response(
+            problem_type, str(error), **extension_members(error)
+        )
     except Exception as error:  # noqa: BLE001
         logs.log_event(
             logs.Component.OPERATOR, "request failed", error=repr(error)
@@ -77,18 +79,24 @@
     match error:
         case errors.ConflictError(winner=winner):
             return {"winner": winner}
-        case errors.SheetError(findings=found):
-            return {"findings": [dataclasses.asdict(item) for item in found]}
+        case errors.SheetError(findings=findings):
+            return {
+                "findings": [
+                    dataclasses.asdict(finding) for finding in findings
+                ]
+            }
         case errors.NotLeaderError(leader=leader, address=address):
             return {"leader": leader, "leader_peer_address": address}
     return {}
 
 
-def problem_response(kind: ProblemType, detail: str, **members) -> web.Response:
+def problem_response(
+    problem_type: ProblemType, detail: str, **members
+) -> web.Response:
     """Returns the answer that tells a problem."""
-    body = {"status": kind.status, "title": kind.title}
+    body = {"status": problem_type.status, "title": problem_type.title}
     if detail:
         body["detail"] = detail
     return web.json_response(
-        body | members, status=kind.status, content_type=CONTENT_TYPE
+        body | members, status=problem_type.status, content_type=CONTENT_TYPE
     )
--- a/mangobay/report.py
+++ b/mangobay/report.py
@@ -77,14 +77,16 @@
     first_ms: int | None = None
     last_ms: int | None = None
 
-    def add(self, entry: outcomelog.CallCount, interval: Interval) -> None:
+    def add(self, call_count: outcomelog.CallCount, interval: Interval) -> None:
         """Adds the calls of one entry."""
-        self.outcomes[entry.outcome] += entry.count
-        if entry.outcome == ANSWERED:
+        self.outcomes[call_count.outcome] += call_count.count
+        if call_count.outcome == ANSWERED:
             return
-        self.reasons[f"{entry.outcome}: {entry.reason}"] += entry.count
-        first = interval.since_ms if self.first_ms is None else self.first_ms
-        self.first_ms = min(first, interval.since_ms)
+        self.reasons[f"{call_count.outcome}: {call_count.reason}"] += (
+            call_count.count
+        )
+        earliest = interval.since_ms if self.first_ms is None else self.first_ms
+        self.first_ms = min(earliest, interval.since_ms)
         self.last_ms = max(self.last_ms or 0, interval.until_ms)
 
 
@@ -124,28 +126,28 @@
     Raises:
       errors.LogFileError: a file cannot be read.
     """
-    reading = ParsedLogs()
+    parsed_logs = ParsedLogs()
     for path in paths:
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
-                read_lines(file, reading)
+                read_lines(file, parsed_logs)
         except OSError as error:
             raise errors.LogFileError(path, error.strerror or "") from None
-    return reading
+    return parsed_logs
 
 
 def read_lines(
-    lines: collections.abc.Iterable[str], reading: ParsedLogs
+    lines: collections.abc.Iterable[str], parsed_logs: ParsedLogs
 ) -> None:
     """Adds the intervals in the lines to the reading."""
     for line in lines:
         try:
             interval = parse_interval(line)
         except (ValueError, KeyError, TypeError, AttributeError):
-            reading.unreadable_lines += 1
+            parsed_logs.unreadable_lines += 1
             continue
         if interval is not None:
-            reading.intervals.append(interval)
+            parsed_logs.intervals.append(interval)
 
 
 def parse_interval(line: str) -> Interval | None:
@@ -162,7 +164,7 @@
     )
 
 
-def summarize(reading: ParsedLogs, since_ms: int, until_ms: int) -> Report:
+def summarize(parsed_logs: ParsedLogs, since_ms: int, until_ms: int) -> Report:
     """Returns the report of a period.
 
     An interval counts whole when it touches the period: nothing says where
@@ -172,35 +174,38 @@
       errors.NothingRecordedError: no interval touches the period.
     """
     # The same file given twice must not count twice.
-    distinct = dict.fromkeys(reading.intervals)
-    inside = [
+    distinct = dict.fromkeys(parsed_logs.intervals)
+    selected = [
         interval
         for interval in distinct
         if interval.since_ms < until_ms and interval.until_ms > since_ms
     ]
-    if not inside:
+    if not selected:
         raise errors.NoRecordsError
     totals: dict[CallGroup, GroupTotal] = collections.defaultdict(GroupTotal)
-    for interval in inside:
-        for entry in interval.calls:
+    for interval in selected:
+        for call_count in interval.calls:
             group = CallGroup(
-                entry.outside, entry.service, entry.operation, entry.importance
+                call_count.outside,
+                call_count.service,
+                call_count.operation,
+                call_count.importance,
             )
-            totals[group].add(entry, interval)
-    start = min(interval.since_ms for interval in inside)
-    end = max(interval.until_ms for interval in inside)
+            totals[group].add(call_count, interval)
+    start_ms = min(interval.since_ms for interval in selected)
+    end_ms = max(interval.until_ms for interval in selected)
     return Report(
-        since_ms=start,
-        until_ms=end,
-        hosts=sorted({interval.host for interval in inside}),
+        since_ms=start_ms,
+        until_ms=end_ms,
+        hosts=sorted({interval.host for interval in selected}),
         totals=dict(totals),
-        gaps=find_gaps(distinct, start, end),
-        unreadable_lines=reading.unreadable_lines,
+        gaps=find_gaps(distinct, start_ms, end_ms),
+        unreadable_lines=parsed_logs.unreadable_lines,
     )
 
 
 def find_gaps(
-    intervals: collections.abc.Iterable[Interval], start: int, end: int
+    intervals: collections.abc.Iterable[Interval], start_ms: int, end_ms: int
 ) -> list[Gap]:
     """Returns the times between start and end that a node left unrecorded.
 
@@ -211,14 +216,23 @@
     by_host = collections.defaultdict(list)
     for interval in intervals:
         by_host[interval.host].append(interval)
-    found = []
+    gaps = []
     for host in sorted(by_host):
-        lines = sorted(
-            by_host[host], key=lambda line: (line.since_ms, line.until_ms)
+        host_intervals = sorted(
+            by_host[host],
+            key=lambda interval: (interval.since_ms, interval.until_ms),
         )
-        starts = [line.since_ms for line in lines[1:]] + [end]
-        for line, following in zip(lines, starts, strict=True):
-            gap = Gap(host, max(line.until_ms, start), min(following, end))
-            if not line.is_final and gap.since_ms < gap.until_ms:
-                found.append(gap)
-    return found
+        next_starts = [interval.since_ms for interval in host_intervals[1:]] + [
+            end_ms
+        ]
+        for interval, next_start_ms in zip(
+            host_intervals, next_starts, strict=True
+        ):
+            gap = Gap(
+                host,
+                max(interval.until_ms, start_ms),
+                min(next_start_ms, end_ms),
+            )
+            if not interval.is_final and gap.since_ms < gap.until_ms:
+                gaps.append(gap)
+    return gaps
--- a/mangobay/spantree.py
+++ b/mangobay/spantree.py
@@ -48,7 +48,7 @@
     """
     try:
         document = json.loads(line)
-        facts = document["attributes"]
+        attributes = document["attributes"]
         start = datetime.datetime.fromisoformat(document["start_time"])
         end = datetime.datetime.fromisoformat(document["end_time"])
         return Span(
@@ -59,13 +59,13 @@
             start=start,
             milliseconds=(end - start).total_seconds() * 1000,
             sender=document["resource"]["attributes"]["host.name"],
-            host=facts[f"{ATTRIBUTE_PREFIX}host"],
-            data_centre=facts[f"{ATTRIBUTE_PREFIX}data_centre"],
-            outcome=facts[f"{ATTRIBUTE_PREFIX}outcome"],
-            reason=facts[f"{ATTRIBUTE_PREFIX}reason"],
-            status=facts[f"{ATTRIBUTE_PREFIX}status"],
-            tries_given=facts[f"{ATTRIBUTE_PREFIX}tries_given"],
-            tries_left=facts[f"{ATTRIBUTE_PREFIX}tries_left"],
+            host=attributes[f"{ATTRIBUTE_PREFIX}host"],
+            data_centre=attributes[f"{ATTRIBUTE_PREFIX}data_centre"],
+            outcome=attributes[f"{ATTRIBUTE_PREFIX}outcome"],
+            reason=attributes[f"{ATTRIBUTE_PREFIX}reason"],
+            status=attributes[f"{ATTRIBUTE_PREFIX}status"],
+            tries_given=attributes[f"{ATTRIBUTE_PREFIX}tries_given"],
+            tries_left=attributes[f"{ATTRIBUTE_PREFIX}tries_left"],
         )
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"no span: {error}") from None
@@ -77,7 +77,7 @@
     Raises:
       errors.LogFileError: a file cannot be read.
     """
-    found = []
+    spans = []
     for path in paths:
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
@@ -86,10 +86,10 @@
             raise errors.LogFileError(path, error.strerror or "") from None
         for line in lines:
             try:
-                found.append(parse_span(line))
+                spans.append(parse_span(line))
             except ValueError:
                 continue
-    return found
+    return spans
 
 
 def format_trees(spans: collections.abc.Iterable[Span]) -> list[str]:
@@ -98,37 +98,41 @@
     for span in sorted(spans, key=lambda span: span.start):
         by_trace[span.trace].append(span)
     lines = []
-    for trace, members in by_trace.items():
-        known = {span.span for span in members}
-        below = collections.defaultdict(list)
-        for span in members:
-            below[span.parent if span.parent in known else ""].append(span)
+    for trace, trace_spans in by_trace.items():
+        span_ids = {span.span for span in trace_spans}
+        children_by_parent = collections.defaultdict(list)
+        for span in trace_spans:
+            children_by_parent[
+                span.parent if span.parent in span_ids else ""
+            ].append(span)
         lines.append(f"trace {trace}")
-        lines += format_children(below, "", "")
+        lines += format_children(children_by_parent, "", "")
     return lines
 
 
 def format_children(
-    below: collections.abc.Mapping[str, list[Span]], parent: str, indent: str
+    children_by_parent: collections.abc.Mapping[str, list[Span]],
+    parent: str,
+    indent: str,
 ) -> list[str]:
     """Returns the lines of what is below a span."""
     lines = []
-    children = below.get(parent, [])
-    for place, span in enumerate(children, start=1):
-        last = place == len(children)
+    children = children_by_parent.get(parent, [])
+    for number, span in enumerate(children, start=1):
+        is_last = number == len(children)
         lines.append(
-            f"{indent}{LAST_BRANCH if last else BRANCH}{format_span(span)}"
+            f"{indent}{LAST_BRANCH if is_last else BRANCH}{format_span(span)}"
         )
-        deeper = indent + (BLANK if last else VERTICAL)
-        lines += format_children(below, span.span, deeper)
+        child_indent = indent + (BLANK if is_last else VERTICAL)
+        lines += format_children(children_by_parent, span.span, child_indent)
     return lines
 
 
 def format_span(span: Span) -> str:
     """Returns one span in words."""
-    end = str(span.status) if span.outcome == "answered" else span.reason
+    result = str(span.status) if span.outcome == "answered" else span.reason
     return (
-        f"{span.name}: {span.outcome} {end}, {span.milliseconds:.1f} ms,"
+        f"{span.name}: {span.outcome} {result}, {span.milliseconds:.1f} ms,"
         f" {span.sender} -> {span.host} ({span.data_centre}),"
         f" tries {span.tries_given} given {span.tries_left} left"
     )
--- a/tests/controlfakes.py
+++ b/tests/controlfakes.py
@@ -70,8 +70,8 @@
 class FakeTransport:
     """Carries renewals to lease tables by address."""
 
-    def __init__(self, tables):
-        self.lease_tables = tables
+    def __init__(self, lease_tables):
+        self.lease_tables = lease_tables
         self.requests = []
         self.loses_replies = False
 
@@ -81,10 +81,10 @@
             raise errors.PeerUnreachableError(f"{address} is not there")
         async with asyncio.timeout(timeout):
             await asyncio.sleep(0.001)
-            answer = await self.lease_tables[address].renew(body)
+            reply = await self.lease_tables[address].renew(body)
             if self.loses_replies:
                 await asyncio.Event().wait()
-            return answer
+            return reply
 
 
 def make_operation(name, service="quotes", **fields):
--- a/tests/test_operatorapi.py
+++ b/tests/test_operatorapi.py
@@ -29,8 +29,8 @@
 
     async def send_request(self, method, path, **options):
         url = self.base_url + path
-        async with self.session.request(method, url, **options) as answer:
-            return answer.status, await answer.json(content_type=None)
+        async with self.session.request(method, url, **options) as response:
+            return response.status, await response.json(content_type=None)
 
     async def apply(self, version, *names):
         return await self.send_request(
@@ -83,15 +83,17 @@
         winner, and nothing of its sheet is in force.
         """
         async with running_api(group) as operator:
-            answers = await asyncio.gather(
+            responses = await asyncio.gather(
                 operator.apply("7", "sign"), operator.apply("7", "price")
             )
-            (_, won), (_, lost) = sorted(answers, key=lambda item: item[0])
-            assert sorted(status for status, _ in answers) == [200, 409]
-            assert lost["winner"] == won["revision"]
+            (_, accepted), (_, conflict) = sorted(
+                responses, key=lambda response: response[0]
+            )
+            assert sorted(status for status, _ in responses) == [200, 409]
+            assert conflict["winner"] == accepted["revision"]
             assert len(group.machine.history) == 1
 
-    async def test_a_sheet_resent_gets_the_same_answer(self, group):
+    async def test_a_resent_sheet_gets_the_same_response(self, group):
         """The answer is lost, and another version is accepted meanwhile.
 
         The operator sends the same sheet again and is told the revision that
@@ -100,12 +102,14 @@
         async with running_api(group) as operator:
             _, first = await operator.apply("1", "sign", "price")
             await operator.apply("2", "sign")
-            status, again = await operator.apply("1", "sign", "price")
+            status, repeated = await operator.apply("1", "sign", "price")
             assert status == 200
-            assert again == first | {"repeated": True}
+            assert repeated == first | {"repeated": True}
             assert (group.machine.revision, group.last_index) == (2, 2)
 
-    async def test_a_version_of_long_ago_is_refused(self, group, monkeypatch):
+    async def test_a_version_dropped_from_the_history_is_refused(
+        self, group, monkeypatch
+    ):
         """The history is cut; an operator resends a sheet from before it.
 
         Whether the content was the same is not known any more: the answer is
@@ -116,59 +120,61 @@
         async with running_api(group) as operator:
             await operator.apply("1", "sign")
             await operator.apply("2", "sign", "price")
-            status, answer = await operator.apply("1", "sign")
-            assert (status, "winner" in answer) == (409, False)
+            status, body = await operator.apply("1", "sign")
+            assert (status, "winner" in body) == (409, False)
             assert group.machine.revision == 2
             _, history = await operator.send_request("GET", "/v1/history")
             assert history["cut"] == 1
             assert [item["version"] for item in history["items"]] == ["2"]
 
-    async def test_the_table_moves_while_a_sheet_is_agreed_on(self, group):
+    async def test_a_sheet_is_compared_again_after_a_concurrent_change(
+        self, group
+    ):
         """An entry of a former leader is committed just before a sheet's.
 
         The sheet's rows were compared with the table before it. The entry
         is refused when applied, compared again, and its operator sees only
         that the sheet is in force, whole.
         """
-        late = controlfakes.make_sheet_change(
+        late_change = controlfakes.make_sheet_change(
             "1", controlfakes.make_operation("late")
         )
-        confirm = group.confirm_leadership
+        confirm_leadership = group.confirm_leadership
 
-        async def confirm_with_late_entry():
-            await confirm()
-            confirms.append(1)
-            if len(confirms) == 2:
-                group.append(late)
+        async def confirm_then_append():
+            await confirm_leadership()
+            confirmations.append(1)
+            if len(confirmations) == 2:
+                group.append(late_change)
 
-        confirms = []
-        group.confirm_leadership = confirm_with_late_entry
+        confirmations = []
+        group.confirm_leadership = confirm_then_append
         async with running_api(group) as operator:
-            status, answer = await operator.apply("2", "sign")
-            assert (status, answer["removed"]) == (200, 1)
+            status, body = await operator.apply("2", "sign")
+            assert (status, body["removed"]) == (200, 1)
             names = [row.name for row in group.machine.operations()]
             assert names == ["sign"]
 
-    async def test_findings_are_told_and_nothing_changes(self, group):
+    async def test_a_rejected_sheet_changes_nothing(self, group):
         async with running_api(group) as operator:
-            status, answer = await operator.apply("1", "sign", "fault")
+            status, body = await operator.apply("1", "sign", "fault")
             assert status == 422
-            assert answer["findings"][0]["place"] == "sheet:row 2"
+            assert body["findings"][0]["place"] == "sheet:row 2"
             status, _ = await operator.apply("", "sign")
             assert status == 400
             status, _ = await operator.apply("1", "x" * 3000)
             assert status == 413
             assert not group.machine.history
 
-    async def test_a_host_that_does_not_lead_names_the_leader(self, group):
+    async def test_a_follower_names_the_leader(self, group):
         group.leading.clear()
         async with running_api(group) as operator:
-            status, answer = await operator.apply("1", "sign")
-            assert (status, answer["leader"]) == (503, "c1")
-            assert answer["leader_peer_address"] == group.leader_address
+            status, body = await operator.apply("1", "sign")
+            assert (status, body["leader"]) == (503, "c1")
+            assert body["leader_peer_address"] == group.leader_address
 
 
-class TestReading:
+class TestQueries:
     """What operators are told."""
 
     async def test_status_names_hosts_and_stragglers(self, group):
@@ -186,7 +192,7 @@
             _, history = await operator.send_request("GET", "/v1/history")
             assert history["items"][0]["operator"] == "ana"
 
-    async def test_drain_of_a_host(self, group):
+    async def test_drain_needs_a_known_host(self, group):
         async with running_api(group) as operator:
             status, _ = await operator.send_request("POST", "/v1/hosts/a/drain")
             assert status == 404
@@ -195,7 +201,7 @@
             assert status == 202
             assert group.machine.draining == {"a"}
 
-    async def test_bad_requests_get_one_clear_problem(self, group):
+    async def test_bad_requests_get_problem_details(self, group):
         async with running_api(group) as operator:
             for method, path, expected in (
                 ("GET", "/v1/revisions/x/in-force", 400),
@@ -203,8 +209,8 @@
                 ("DELETE", "/v1/sheets", 405),
                 ("GET", "/v2", 404),
             ):
-                status, answer = await operator.send_request(method, path)
-                assert (status, answer["status"]) == (expected, expected)
+                status, response = await operator.send_request(method, path)
+                assert (status, response["status"]) == (expected, expected)
 
     async def test_health_and_metrics_need_no_quorum(self, group):
         group.lose_quorum()
@@ -212,5 +218,5 @@
             status, health = await operator.send_request("GET", "/health")
             assert (status, health["leads"]) == (200, True)
             url = operator.base_url + "/metrics"
-            async with operator.session.get(url) as answer:
-                assert "mangobay_control_leads 1.0" in await answer.text()
+            async with operator.session.get(url) as response:
+                assert "mangobay_control_leads 1.0" in await response.text()
--- a/tests/test_operatorclient.py
+++ b/tests/test_operatorclient.py
@@ -20,36 +20,36 @@
 class FakeControlHost:
     """Answers from a list, one item a request; None breaks the connection."""
 
-    def __init__(self, *answers):
-        self.responses = list(answers)
+    def __init__(self, *responses):
+        self.responses = list(responses)
         self.requests = []
 
     async def handle(self, request):
         self.requests.append((request.path_qs, await request.read()))
-        answer = self.responses.pop(0)
-        if answer is None:
+        response = self.responses.pop(0)
+        if response is None:
             request.transport.abort()
             return web.Response()
-        status, body = answer
+        status, body = response
         return web.Response(status=status, text=json.dumps(body))
 
 
 @contextlib.asynccontextmanager
-async def running_hosts(*controls):
+async def running_hosts(*hosts):
     """Gives the addresses of the fakes while they serve."""
     async with contextlib.AsyncExitStack() as stack:
-        found = []
-        for control in controls:
-            server = test_utils.RawTestServer(control.handle)
+        addresses = []
+        for host in hosts:
+            server = test_utils.RawTestServer(host.handle)
             await stack.enter_async_context(server)
-            found.append(options.Address("127.0.0.1", server.port))
-        yield tuple(found)
+            addresses.append(options.Address("127.0.0.1", server.port))
+        yield tuple(addresses)
 
 
 class TestApply:
     """Sending a sheet."""
 
-    async def test_lost_answer_is_asked_for_again(self):
+    async def test_a_lost_response_is_requested_again(self):
         """The operator sees one revision.
 
         The leader commits the sheet and its connection breaks before the
@@ -71,7 +71,7 @@
             ("/v1/sheets?version=1&operator=ana", SHEET.encode())
         ]
 
-    async def test_refusals_are_typed(self):
+    async def test_errors_are_typed(self):
         finding = {"place": "s:row 2", "message": "no"}
         control = FakeControlHost(
             (409, {"winner": 5}),
@@ -93,7 +93,7 @@
                 await client.status()
         assert conflict.value.winner == 5
 
-    async def test_nobody_leads(self):
+    async def test_no_host_leads(self):
         control = FakeControlHost(*[(503, {"leader": ""})] * 3)
         async with (
             running_hosts(control) as addresses,
@@ -108,43 +108,52 @@
 class TestCommandLine:
     """Exit codes and what is printed."""
 
-    async def run(self, control, *words):
+    async def run(self, control, *arguments):
         async with running_hosts(control) as addresses:
-            named = ",".join(map(str, addresses))
-            argv = ["--control", named, *map(str, words)]
+            control_option = ",".join(map(str, addresses))
+            argv = ["--control", control_option, *map(str, arguments)]
             return await asyncio.to_thread(cmdline.main, argv)
 
     @pytest.mark.parametrize(
-        ("lag", "code"),
+        ("stragglers", "exit_code"),
         [([], commands.ExitCode.OK), (["n2"], commands.ExitCode.NOT_IN_FORCE)],
     )
-    async def test_apply_waits(self, tmp_path, capsys, lag, code):
+    async def test_apply_waits_until_in_force(
+        self, tmp_path, capsys, stragglers, exit_code
+    ):
         path = tmp_path / "s.csv"
         path.write_text(SHEET)
-        state = {"count": 2 - len(lag), "of": 2, "stragglers": lag}
-        control = FakeControlHost((200, ACCEPTED), (200, state))
-        words = ("apply", path, "--version", "1", "--wait", "2")
-        assert await self.run(control, *words) == code
+        rollout = {
+            "count": 2 - len(stragglers),
+            "of": 2,
+            "stragglers": stragglers,
+        }
+        control = FakeControlHost((200, ACCEPTED), (200, rollout))
+        arguments = ("apply", path, "--version", "1", "--wait", "2")
+        assert await self.run(control, *arguments) == exit_code
         assert control.requests[1][0] == f"{REVISION_PATH}?wait=2"
         assert (
-            f"in force on {2 - len(lag)} of 2 hosts" in capsys.readouterr().out
+            f"in force on {2 - len(stragglers)} of 2 hosts"
+            in capsys.readouterr().out
         )
 
-    async def test_bad_sheet_is_not_sent(self, tmp_path, capsys):
+    async def test_a_bad_sheet_is_not_sent(self, tmp_path, capsys):
         path = tmp_path / "s.csv"
         path.write_text(SHEET.replace("critical", "crtical"))
         control = FakeControlHost()
-        words = ("apply", path, "--version", "1")
-        assert await self.run(control, *words) == commands.ExitCode.BAD_INPUT
+        arguments = ("apply", path, "--version", "1")
+        assert (
+            await self.run(control, *arguments) == commands.ExitCode.BAD_INPUT
+        )
         assert "row 2, column importance" in capsys.readouterr().err
         assert control.requests == []
 
-    async def test_conflict_names_the_winner(self, tmp_path, capsys):
+    async def test_a_conflict_names_the_winner(self, tmp_path, capsys):
         path = tmp_path / "s.csv"
         path.write_text(SHEET)
         control = FakeControlHost((409, {"winner": 5}))
-        words = ("apply", path, "--version", "1")
-        assert await self.run(control, *words) == commands.ExitCode.CONFLICT
+        arguments = ("apply", path, "--version", "1")
+        assert await self.run(control, *arguments) == commands.ExitCode.CONFLICT
         assert "revision 5" in capsys.readouterr().err
 
     async def test_status_as_json(self, capsys):
@@ -161,7 +170,7 @@
         assert await self.run(control, "status") == commands.ExitCode.OK
         assert "n1    lima         7" in capsys.readouterr().out
 
-    async def test_history_between_two_times(self, capsys):
+    async def test_history_of_a_period(self, capsys):
         items = [
             {
                 "revision": revision,
@@ -174,12 +183,12 @@
             for revision in (1, 2, 3)
         ]
         control = FakeControlHost((200, {"items": items, "cut": 4}))
-        limits = ("--since", "1970-01-01T02:00", "--until", "1970-01-01T03:00Z")
+        period = ("--since", "1970-01-01T02:00", "--until", "1970-01-01T03:00Z")
         assert (
-            await self.run(control, "history", *limits) == commands.ExitCode.OK
+            await self.run(control, "history", *period) == commands.ExitCode.OK
         )
-        out = capsys.readouterr().out
-        assert "1970-01-01T02:00:00.000+00:00  v2" in out
-        assert "4 older sheets are not named any more" in out
-        assert "v1" not in out
-        assert "v3" not in out
+        output = capsys.readouterr().out
+        assert "1970-01-01T02:00:00.000+00:00  v2" in output
+        assert "4 older sheets are not named any more" in output
+        assert "v1" not in output
+        assert "v3" not in output
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -56,15 +56,15 @@
       lines: what was recorded.
     """
 
-    def __init__(self, folder: pathlib.Path):
-        self.directory = folder
+    def __init__(self, directory: pathlib.Path):
+        self.directory = directory
         self.lines: list[str] = []
 
     def __str__(self) -> str:
         text = "\n".join(self.lines).replace(str(self.directory), "FOLDER")
         assert "Traceback" not in text
-        for pattern, name in REPLACEMENTS:
-            text = pattern.sub(name, text)
+        for pattern, replacement in REPLACEMENTS:
+            text = pattern.sub(replacement, text)
         return text
 
     def write(self, name: str, text: str) -> None:
@@ -110,47 +110,53 @@
           declared_length: of the body as told, when that is not true.
           max_recorded: how much of the body is recorded.
         """
-        told = len(body) if declared_length is None else declared_length
+        content_length = (
+            len(body) if declared_length is None else declared_length
+        )
         lines = [
             f"{request} HTTP/1.1",
             "Host: here",
             "Connection: close",
             *headers,
-            f"Content-Length: {told}",
+            f"Content-Length: {content_length}",
         ]
         reader, writer = await asyncio.open_connection(*address)
         writer.write("\r\n".join([*lines, "", body]).encode())
         if declared_length is not None:
             writer.write_eof()
         async with asyncio.timeout(WAIT_SECONDS):
-            answer = await reader.read()
+            response = await reader.read()
         writer.close()
         self.lines += [
             f"> {line}" for line in [*lines, body[:max_recorded]] if line
         ]
-        answered = answer.decode().replace("\r\n", "\n").strip()
-        self.lines += [f"< {line}".rstrip() for line in answered.split("\n")]
+        response_text = response.decode().replace("\r\n", "\n").strip()
+        self.lines += [
+            f"< {line}".rstrip() for line in response_text.split("\n")
+        ]
         self.lines.append("")
 
 
 @contextlib.asynccontextmanager
-async def single_node_cluster(folder: pathlib.Path):
+async def single_node_cluster(directory: pathlib.Path):
     """Gives one control host, one node and its backend server, started."""
-    async with processfakes.process_cluster(folder, data_centres=1) as world:
-        await world.start()
-        yield world
+    async with processfakes.process_cluster(
+        directory, data_centres=1
+    ) as cluster:
+        await cluster.start()
+        yield cluster
 
 
 class TestStart:
     """What keeps a process from starting."""
 
     async def test_settings(self, tmp_path, snapshot):
-        session = Transcript(tmp_path)
-        session.write("bad.ini", BAD_SETTINGS)
+        transcript = Transcript(tmp_path)
+        transcript.write("bad.ini", BAD_SETTINGS)
         for program in ("mangobay-node", "mangobay-control"):
-            await session.run_command(program, "--settings", "bad.ini")
-            await session.run_command(program, "--settings", "missing.ini")
-        assert str(session) == snapshot
+            await transcript.run_command(program, "--settings", "bad.ini")
+            await transcript.run_command(program, "--settings", "missing.ini")
+        assert str(transcript) == snapshot
 
     async def test_the_platform(self, tmp_path, snapshot):
         """Settings are right, but the host is not as they say.
@@ -158,27 +164,30 @@
         A listener's port is in use, or the data folder cannot be written.
         Each program ends with one line that names the address or folder.
         """
-        session = Transcript(tmp_path)
+        transcript = Transcript(tmp_path)
         async with processfakes.process_cluster(
             tmp_path, data_centres=1
-        ) as world:
-            [control], [node] = world.layout.controls, world.layout.nodes
-            for host, taken in ((control, control.peer), (node, node.outside)):
+        ) as cluster:
+            [control], [node] = cluster.layout.controls, cluster.layout.nodes
+            for host, address in (
+                (control, control.peer),
+                (node, node.outside),
+            ):
                 program = "mangobay-node"
                 if isinstance(host, hosts.ControlHost):
                     program = "mangobay-control"
-                with socket.create_server(taken):
-                    await session.run_command(
+                with socket.create_server(address):
+                    await transcript.run_command(
                         program, "--settings", host.settings.name
                     )
-            session.write("file", "")
-            world.rewrite_control(
+            transcript.write("file", "")
+            cluster.rewrite_control(
                 control, {"group": {"data": tmp_path / "file" / "data"}}
             )
-            await session.run_command(
+            await transcript.run_command(
                 "mangobay-control", "--settings", control.settings.name
             )
-        assert str(session) == snapshot
+        assert str(transcript) == snapshot
 
 
 class TestOperators:
@@ -186,61 +195,71 @@
 
     async def test_sheets(self, tmp_path, snapshot):
         """Sheets that are broken, sent again, or race under one version."""
-        session = Transcript(tmp_path)
-        session.write("bad.csv", BAD_SHEET)
+        transcript = Transcript(tmp_path)
+        transcript.write("bad.csv", BAD_SHEET)
         good = (processfakes.BOOKING_DIRECTORY / "sheet.csv").read_text()
-        session.write("good.csv", good)
-        session.write("other.csv", good.replace("6000", "5000"))
-        async with single_node_cluster(tmp_path) as world:
-            [control] = world.layout.controls
-            to = ("--control", str(control.operator))
-            named = ("--version", "1", "--operator", "ana")
-            await session.run_command("mangobay", "check", "bad.csv")
-            await session.run_command("mangobay", "check", "missing.csv")
+        transcript.write("good.csv", good)
+        transcript.write("other.csv", good.replace("6000", "5000"))
+        async with single_node_cluster(tmp_path) as cluster:
+            [control] = cluster.layout.controls
+            control_option = ("--control", str(control.operator))
+            version_options = ("--version", "1", "--operator", "ana")
+            await transcript.run_command("mangobay", "check", "bad.csv")
+            await transcript.run_command("mangobay", "check", "missing.csv")
             for sheet in ("bad.csv", "good.csv", "good.csv", "other.csv"):
-                await session.run_command(
-                    "mangobay", *to, "apply", sheet, *named
+                await transcript.run_command(
+                    "mangobay",
+                    *control_option,
+                    "apply",
+                    sheet,
+                    *version_options,
                 )
-            await session.run_command("mangobay", *to, "drain", "nobody")
-            await session.send_http(control.operator, "DELETE /v1/sheets")
-            await session.send_http(control.operator, "POST /v1/sheets")
-            await session.send_http(
+            await transcript.run_command(
+                "mangobay", *control_option, "drain", "nobody"
+            )
+            await transcript.send_http(control.operator, "DELETE /v1/sheets")
+            await transcript.send_http(control.operator, "POST /v1/sheets")
+            await transcript.send_http(
                 control.operator,
                 "POST /v1/sheets?version=2&operator=ana",
                 body=BAD_SHEET,
             )
-        assert str(session) == snapshot
+        assert str(transcript) == snapshot
 
     async def test_no_control_host_is_there_yet(self, tmp_path, snapshot):
-        session = Transcript(tmp_path)
+        transcript = Transcript(tmp_path)
         with socket.create_server(("127.0.0.1", 0)) as reserved:
             address = f"127.0.0.1:{reserved.getsockname()[1]}"
-        await session.run_command("mangobay", "--control", address, "status")
-        await session.run_command("mangobay", "--control", "db:1", "status")
-        await session.run_command("mangobay", "status")
-        assert str(session) == snapshot
+        await transcript.run_command("mangobay", "--control", address, "status")
+        await transcript.run_command("mangobay", "--control", "db:1", "status")
+        await transcript.run_command("mangobay", "status")
+        assert str(transcript) == snapshot
 
 
 class TestCallers:
     """Requests that the node cannot serve; none reaches a backend server."""
 
     async def test_requests(self, tmp_path, snapshot):
-        session = Transcript(tmp_path)
-        async with single_node_cluster(tmp_path) as world:
-            await world.apply_sheet()
-            [node] = world.layout.nodes
-            await session.send_http(node.outside, "GET /nosuch/thing")
-            await session.send_http(node.outside, "GET /bookings/nosuch/thing")
-            await session.send_http(node.outside, "PUT /bookings/bookings")
+        transcript = Transcript(tmp_path)
+        async with single_node_cluster(tmp_path) as cluster:
+            await cluster.apply_sheet()
+            [node] = cluster.layout.nodes
+            await transcript.send_http(node.outside, "GET /nosuch/thing")
+            await transcript.send_http(
+                node.outside, "GET /bookings/nosuch/thing"
+            )
+            await transcript.send_http(node.outside, "PUT /bookings/bookings")
             book = "POST /bookings/bookings"
-            await session.send_http(node.outside, book)
-            await session.send_http(node.outside, book, KEY, body="x" * 1048577)
-            await session.send_http(
+            await transcript.send_http(node.outside, book)
+            await transcript.send_http(
+                node.outside, book, KEY, body="x" * 1048577
+            )
+            await transcript.send_http(
                 node.outside, book, KEY, body="half", declared_length=8
             )
-            await session.send_http(node.outside, "nonsense")
-            assert not await world.runs()
-        assert str(session) == snapshot
+            await transcript.send_http(node.outside, "nonsense")
+            assert not await cluster.runs()
+        assert str(transcript) == snapshot
 
     async def test_control_is_not_there_yet(self, tmp_path, snapshot):
         """A node runs and no control host has been started.
@@ -248,12 +267,12 @@
         Nobody can say what the service is, so the call is refused as not
         run, and the caller is asked to come again.
         """
-        session = Transcript(tmp_path)
+        transcript = Transcript(tmp_path)
         async with processfakes.process_cluster(
             tmp_path, data_centres=1
-        ) as world:
-            [node] = world.layout.nodes
-            await world.start_node(node)
-            await session.send_http(node.outside, "GET /bookings/bookings/1")
-            await session.send_http(node.local, "GET /mangobay/ready")
-        assert str(session) == snapshot
+        ) as cluster:
+            [node] = cluster.layout.nodes
+            await cluster.start_node(node)
+            await transcript.send_http(node.outside, "GET /bookings/bookings/1")
+            await transcript.send_http(node.local, "GET /mangobay/ready")
+        assert str(transcript) == snapshot
--- a/tests/test_spantree.py
+++ b/tests/test_spantree.py
@@ -33,7 +33,7 @@
 class TestShowTrace:
     """`mangobay trace`."""
 
-    def test_hops_of_several_files_become_one_tree(self, tmp_path, capsys):
+    def test_spans_of_several_files_form_one_tree(self, tmp_path, capsys):
         first, second = tmp_path / "a", tmp_path / "b"
         first.write_text(span_line("0x1", "0xcaller", "quotes issue", 0))
         second.write_text(
@@ -57,7 +57,7 @@
         ]
         assert "answered 200, 2.5 ms, leanhttp -> h2 (lima)" in lines[1]
 
-    def test_no_such_trace(self, tmp_path, capsys):
+    def test_an_unknown_trace_fails(self, tmp_path, capsys):
         path = tmp_path / "a"
         path.write_text(span_line("0x1", "0x0", "quotes issue", 0))
         assert cmdline.main(["trace", str(path), "--trace", "ff"]) == 1
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -12,7 +12,7 @@
 class TestFileTracer:
     """One line for each attempt, as part of the caller's trace."""
 
-    async def test_a_span_names_hop_outcome_and_tries(self, tmp_path):
+    async def test_a_span_has_ids_and_attributes(self, tmp_path):
         path = tmp_path / "spans"
         tracer = filetracer.FileTracer(str(path), PROCESS)
         trace = httpheaders.TraceContext("ab" * 16, "cd" * 8, True)
@@ -55,8 +55,8 @@
         assert span["context"]["span_id"] == "0x" + "12" * 8
         assert span["context"]["trace_id"] == "0x" + "ab" * 16
         assert span["parent_id"] == "0x" + "cd" * 8
-        seen = span["attributes"]
-        assert seen["mangobay.host"] == "other"
-        assert seen["mangobay.data_centre"] == "trujillo"
-        assert seen["mangobay.outcome"] == "not_run"
-        assert seen["mangobay.tries_left"] == 3
+        attributes = span["attributes"]
+        assert attributes["mangobay.host"] == "other"
+        assert attributes["mangobay.data_centre"] == "trujillo"
+        assert attributes["mangobay.outcome"] == "not_run"
+        assert attributes["mangobay.tries_left"] == 3
