--- a/mangobay/commands.py
+++ b/mangobay/commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands: what each asks and how it tells the answer."""
+"""The operators' commands that send requests or check files."""
 
 import argparse
 import dataclasses
@@ -20,7 +20,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the exit codes mean."""
+    """The exit codes of commands; `EXIT_HELP` explains them."""
 
     OK = 0
     FAILED = 1
@@ -39,11 +39,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What a command tells.
+    """The output of a command.
 
     Attributes:
-      data: for scripts, by --json; plain values or data classes.
-      lines: for people.
+      data: JSON values, printed with --json.
+      lines: lines of text, printed without --json.
       exit_code: the exit code.
     """
 
@@ -53,16 +53,16 @@
 
 
 def parse_unix_ms(text: str) -> int:
-    """Returns the Unix time, milliseconds, of an ISO 8601 text.
+    """Returns the Unix time, in milliseconds, of an ISO 8601 text.
 
     Raises:
-      argparse.ArgumentTypeError: it is none.
+      argparse.ArgumentTypeError: the text is not an ISO 8601 time.
     """
     try:
         parsed = datetime.datetime.fromisoformat(text)
     except ValueError:
         raise argparse.ArgumentTypeError(
-            f"{text!r} is no time such as 2026-03-31T07:00:00Z"
+            f"{text!r} is not a time such as 2026-03-31T07:00:00Z"
         ) from None
     if parsed.tzinfo is None:
         parsed = parsed.replace(tzinfo=datetime.UTC)
@@ -70,10 +70,10 @@
 
 
 def read_sheet(path: str) -> bytes:
-    """Returns the bytes of a sheet.
+    """Returns the bytes of a sheet file.
 
     Raises:
-      errors.SheetError: it cannot be read.
+      errors.SheetError: the file cannot be read.
     """
     try:
         with open(path, "rb") as file:
@@ -84,7 +84,14 @@
 
 
 class Command:
-    """A subcommand; subclasses say its name, arguments and work."""
+    """A subcommand; subclasses define its name, arguments and action.
+
+    Attributes:
+      name: the word on the command line.
+      help: the help text.
+      arguments: options of `add_argument` by name of the argument.
+      asks_control: whether the command sends requests to control hosts.
+    """
 
     name = ""
     help = ""
@@ -92,7 +99,7 @@
     asks_control = True
 
     def add_parser(self, parsers) -> None:
-        """Adds the parser of this command."""
+        """Adds the parser of this command to the subparsers."""
         parser = parsers.add_parser(
             self.name, help=self.help, description=self.help, epilog=EXIT_HELP
         )
@@ -105,10 +112,10 @@
         arguments: argparse.Namespace,
         client: operatorclient.OperatorClient | None,
     ) -> Result:
-        """Does the work.
+        """Runs the command.
 
         Raises:
-          errors.MangobayError: with a text for the operator.
+          errors.MangobayError: the text is shown to the operator.
         """
         raise NotImplementedError
 
@@ -120,14 +127,14 @@
         "type": parse_unix_ms,
         "default": 0,
         "metavar": "TIME",
-        "help": "only what is at or after it, as in"
-        " 2026-03-31T07:00:00Z; without a zone it is UTC",
+        "help": "only entries at or after this time, such as"
+        " 2026-03-31T07:00:00Z; a time without a zone is UTC",
     },
     "--until": {
         "type": parse_unix_ms,
         "default": MAX_UNIX_MS,
         "metavar": "TIME",
-        "help": "only what is before it",
+        "help": "only entries before this time",
     },
 }
 
@@ -136,12 +143,12 @@
     """Checks a sheet without sending it."""
 
     name = "check"
-    help = "check a sheet and tell every finding; nothing is sent"
+    help = "check a sheet and report every finding; nothing is sent"
     arguments = {"sheet": SHEET_ARGUMENT}
     asks_control = False
 
     async def run(self, arguments, client):
-        """Checks the file."""
+        """Checks the sheet."""
         parsed_sheet = sheet.parse(read_sheet(arguments.sheet), arguments.sheet)
         services = {operation.service for operation in parsed_sheet.operations}
         data = {
@@ -168,16 +175,18 @@
             "help": "the sheet's version; the first content to be"
             " committed under a version wins",
         },
-        "--operator": {"help": "who sends it (default: the user's name)"},
+        "--operator": {
+            "help": "name of who sends the sheet (default: the user's name)"
+        },
         "--wait": {
             "type": float,
             "metavar": "SECONDS",
-            "help": "wait until it is in force everywhere",
+            "help": "wait until the sheet is in force everywhere",
         },
     }
 
     async def run(self, arguments, client):
-        """Checks the sheet here, sends it, and waits when asked to."""
+        """Checks the sheet, sends it, and waits if --wait is given."""
         data = read_sheet(arguments.sheet)
         sheet.parse(data, arguments.sheet)
         applied = await client.apply(
@@ -199,7 +208,7 @@
     async def wait_until_in_force(
         self, seconds, applied, line, client
     ) -> Result:
-        """Waits until the revision is in force everywhere."""
+        """Waits until every host applies the revision, or for `seconds`."""
         rollout = await client.in_force(applied.revision, seconds)
         data = dataclasses.asdict(applied)
         data["in_force"] = dataclasses.asdict(rollout)
@@ -218,7 +227,7 @@
     help = "show the leader, the newest revision and every host"
 
     async def run(self, arguments, client):
-        """Asks for the status."""
+        """Requests the status."""
         status = await client.status()
         lines = [
             f"leader {status.leader}, term {status.term},"
@@ -238,7 +247,7 @@
     arguments = PERIOD_ARGUMENTS
 
     async def run(self, arguments, client):
-        """Asks for the history."""
+        """Requests the history."""
         history = await client.history()
         sheets = [
             accepted
@@ -262,7 +271,7 @@
         if history.omitted_count:
             lines.insert(
                 0,
-                f"{history.omitted_count} older sheets are not named any more",
+                f"{history.omitted_count} older sheets are no longer listed",
             )
         return Result(
             [dataclasses.asdict(accepted) for accepted in sheets], lines
@@ -276,7 +285,7 @@
     help = "show every host with its revision, lease and services"
 
     async def run(self, arguments, client):
-        """Asks for the hosts."""
+        """Requests the hosts."""
         hosts = await client.hosts()
         data = [dataclasses.asdict(host) for host in hosts]
         return Result(data, display.format_hosts(hosts))
@@ -286,11 +295,11 @@
     """Asks a host to leave."""
 
     name = "drain"
-    help = "ask a host to take no new work and finish what it has"
+    help = "ask a host to accept no new calls and finish those it has"
     arguments = {"host": {"metavar": "HOST", "help": "name of the host"}}
 
     async def run(self, arguments, client):
-        """Asks for the drain."""
+        """Requests the drain."""
         await client.drain(ids.HostId(arguments.host))
         line = f"{arguments.host} was asked to leave; see `mangobay hosts`"
         return Result({"host": arguments.host}, [line])
--- a/mangobay/connectionlimits.py
+++ b/mangobay/connectionlimits.py
@@ -1,4 +1,4 @@
-"""Bounds on the connections of an `aiohttp` application's listener."""
+"""Limits on the connections of an `aiohttp` application's listener."""
 
 import asyncio
 import dataclasses
@@ -8,12 +8,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What a listener takes.
+    """Limits of a listener.
 
     Attributes:
-      max_connections: most that stand at once.
-      request_timeout: from the connection to the end of the first request's
-        head, and again for a body.
+      max_connections: maximum number of open connections.
+      request_timeout: seconds from accepting a connection to the end of the
+        first request's head, and again for reading a body.
     """
 
     max_connections: int = 256
@@ -21,22 +21,23 @@
 
 
 class RefusedConnection(asyncio.Protocol):
-    """A connection above the bound, ended at once."""
+    """A connection above the limit, which is aborted at once."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ends the connection."""
+        """Aborts the connection."""
         transport.abort()
 
 
 class ConnectionLimiter:
-    """Takes connections for a server, within bounds.
+    """Accepts connections for a server, within limits.
 
-    aiohttp bounds the wait only after a first request.  Whoever connects and
-    sends nothing, or a byte now and then, would hold a connection for ever,
-    until no file descriptor is left for operators and control hosts.
+    aiohttp times out idle connections only after their first request.  A
+    client that connects and sends nothing, or a byte now and then, would hold
+    its connection forever, until no file descriptor is left for operators and
+    control hosts.
 
     Attributes:
-      awaiting_request: connections whose first request head has not come.
+      awaiting_request: connections whose first request head is incomplete.
     """
 
     def __init__(self, limits: Limits):
@@ -46,10 +47,10 @@
     async def open(
         self, server: web.Server, ip: str, port: int
     ) -> asyncio.Server:
-        """Opens the socket of a server.
+        """Opens the listening socket of a server.
 
         Raises:
-          OSError: the address is in use or not of this host.
+          OSError: the address is in use or does not belong to this host.
         """
 
         def make_connection() -> asyncio.BaseProtocol:
@@ -71,7 +72,7 @@
         return connection
 
     def close_if_no_request(self, connection: web.RequestHandler) -> None:
-        """Ends the connection if no request head has come."""
+        """Closes the connection if no request head was received."""
         if connection in self.awaiting_request:
             self.awaiting_request.discard(connection)
             connection.force_close()
@@ -80,6 +81,6 @@
     async def record_request(
         self, request: web.Request, handler
     ) -> web.StreamResponse:
-        """Notes that a request head has come."""
+        """Records that a request head was received."""
         self.awaiting_request.discard(request.protocol)
         return await handler(request)
--- a/mangobay/controlmetrics.py
+++ b/mangobay/controlmetrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a control host, read when they are asked for."""
+"""Metrics of a control host, read when they are scraped."""
 
 import typing
 
@@ -13,7 +13,11 @@
 
 
 class ControlCollector(registry.Collector):
-    """Reads the state of the group, the machine and the leases."""
+    """Collects gauges of the group, the state machine and the leases.
+
+    Attributes:
+      gauges: name without prefix, and help text, of each gauge.
+    """
 
     gauges = (
         ("leads", "1 while this host leads."),
@@ -78,7 +82,7 @@
     def invariant_counter(
         self, name: str, text: str, counts: typing.Mapping
     ) -> metrics_core.Metric:
-        """Returns a counter with one sample for each promise."""
+        """Returns a counter with one sample for each invariant."""
         metric = metrics_core.CounterMetricFamily(
             METRIC_PREFIX + name, text, labels=["promise"]
         )
--- a/mangobay/display.py
+++ b/mangobay/display.py
@@ -1,4 +1,4 @@
-"""How the operators' commands show tables, times and hosts."""
+"""Formats tables, times and hosts for the output of commands."""
 
 import datetime
 
@@ -6,7 +6,7 @@
 
 
 def format_table(titles: tuple[str, ...], rows: list[tuple]) -> list[str]:
-    """Returns a table as lines with columns of equal width."""
+    """Returns the lines of a table, with aligned columns."""
     cells = [titles, *([str(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*cells)]
     return [
@@ -18,14 +18,14 @@
 
 
 def format_time(milliseconds: int) -> str:
-    """Returns a Unix time as UTC text."""
+    """Returns a Unix time as ISO 8601 text in UTC."""
     return datetime.datetime.fromtimestamp(
         milliseconds / 1000, datetime.UTC
     ).isoformat(timespec="milliseconds")
 
 
 def format_in_force(rollout: operatorclient.RolloutStatus) -> list[str]:
-    """Returns how far a revision has come, and who lags."""
+    """Returns lines that state the rollout of a revision."""
     lines = [f"in force on {rollout.count} of {rollout.of} hosts"]
     if rollout.stragglers:
         lines.append(f"not yet on {', '.join(rollout.stragglers)}")
@@ -33,7 +33,7 @@
 
 
 def format_hosts(hosts: list[operatorclient.Host]) -> list[str]:
-    """Returns the hosts as a table."""
+    """Returns the lines of a table of hosts."""
     return format_table(
         ("host", "data centre", "revision", "lease", "leaving", "serves"),
         [
--- a/mangobay/filecommands.py
+++ b/mangobay/filecommands.py
@@ -1,4 +1,4 @@
-"""The operators' commands that read files of the nodes, not control hosts."""
+"""The operators' commands that read log and span files of nodes."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 
 class ShowReport(commands.Command):
-    """Tells what ran, what did not and what is unknown."""
+    """Reports which calls ran, did not run or have an unknown outcome."""
 
     name = "report"
     help = "sum up nodes' logs: what ran, what did not, what is unknown"
@@ -22,7 +22,7 @@
     asks_control = False
 
     async def run(self, arguments, client):
-        """Reads the logs and sums them up."""
+        """Reads the logs and reports the totals."""
         parsed_logs = report.read_logs(arguments.files)
         summary = report.summarize(
             parsed_logs, arguments.since, arguments.until
@@ -34,7 +34,7 @@
     """Prints spans as trees."""
 
     name = "trace"
-    help = "print span files as trees, one for each call tree"
+    help = "print span files as trees, one for each trace"
     arguments = {
         "files": {
             **FILES_ARGUMENT,
@@ -43,7 +43,7 @@
         "--trace": {
             "default": "",
             "metavar": "ID",
-            "help": "only traces whose id begins like this",
+            "help": "only traces whose id starts with this text",
         },
     }
     asks_control = False
@@ -59,13 +59,13 @@
             {**dataclasses.asdict(span), "start": span.start.isoformat()}
             for span in spans
         ]
-        lines = spantree.format_trees(spans) or ["no such span"]
+        lines = spantree.format_trees(spans) or ["no matching spans"]
         exit_code = commands.ExitCode.OK if spans else commands.ExitCode.FAILED
         return commands.Result(data, lines, exit_code)
 
 
 def encode_report(summary: report.Report) -> dict:
-    """Returns the report as plain values."""
+    """Returns the JSON object of the report."""
     return {
         "since_ms": summary.since_ms,
         "until_ms": summary.until_ms,
@@ -86,7 +86,7 @@
 
 
 def format_report(summary: report.Report) -> list[str]:
-    """Returns the report for people."""
+    """Returns the lines of the report."""
     lines = [
         f"recorded from {display.format_time(summary.since_ms)}"
         f" to {display.format_time(summary.until_ms)}"
@@ -109,7 +109,7 @@
 def format_totals(
     totals: dict[report.CallGroup, report.GroupTotal],
 ) -> list[str]:
-    """Returns how calls ended, and why those that were not answered."""
+    """Returns a table of totals, and the reasons of unanswered calls."""
     titles = (
         "service",
         "operation",
@@ -142,12 +142,12 @@
 
 
 def format_optional_time(milliseconds: int | None) -> str:
-    """Returns where a period begins or ends; a dash without one."""
+    """Returns a time as text, or a dash if there is none."""
     return "-" if milliseconds is None else display.format_time(milliseconds)
 
 
 def format_gaps(summary: report.Report) -> list[str]:
-    """Returns what nobody recorded."""
+    """Returns the lines about gaps and unreadable lines."""
     lines = []
     if summary.gaps:
         lines.append("not recorded, so nothing is known of calls that entered")
--- a/mangobay/filetracer.py
+++ b/mangobay/filetracer.py
@@ -1,4 +1,4 @@
-"""Spans written to a file with OpenTelemetry."""
+"""Writes spans to a file with OpenTelemetry."""
 
 import asyncio
 import json
@@ -15,27 +15,27 @@
 
 
 class CallIdGenerator(id_generator.RandomIdGenerator):
-    """Gives a span the id of its call, so that no second id travels.
+    """Uses call ids as span ids, so that calls need not carry both.
 
     Attributes:
-      next_span_id: of the span that is made next.
+      next_span_id: id of the next span to be started.
     """
 
     next_span_id = 0
 
     def generate_span_id(self) -> int:
-        """Returns the id of the call whose span is being made."""
+        """Returns the id of the call whose span is being started."""
         return self.next_span_id
 
 
 class JsonLinesExporter(export.SpanExporter):
-    """Writes spans to a file, one JSON object a line."""
+    """Writes spans to a file, one JSON object per line."""
 
     def __init__(self, path: str):
         self.file = open(path, "a", encoding="utf-8")  # noqa: SIM115
 
     def export(self, spans) -> export.SpanExportResult:
-        """Writes the spans; called from the exporter's own thread."""
+        """Writes the spans; called in the thread of the span processor."""
         try:
             for span in spans:
                 self.file.write(json.dumps(json.loads(span.to_json())) + "\n")
@@ -100,15 +100,15 @@
         span.end(end_ns)
 
     def close(self) -> None:
-        """Writes what is still unwritten."""
+        """Writes the buffered spans and closes the file."""
         self.provider.shutdown()
 
 
 def parent_context(request: calls.Request):
-    """Returns the context that names the caller's span and the trace.
+    """Returns the context with the trace and the caller's span.
 
-    A first hop without a caller's span is the root: a parent id must not be
-    zero, so its own trace id is given with a span that nobody recorded.
+    A call without a caller's span is the root of its trace.  Since the id of a
+    parent span must not be zero, it gets the id 1, which no recorded span has.
     """
     parent_id = int(request.trace.parent_span or "1", 16)
     span_context = trace.SpanContext(
--- a/mangobay/metrics.py
+++ b/mangobay/metrics.py
@@ -1,4 +1,4 @@
-"""What the node counts, shown in the Prometheus text format."""
+"""Metrics of a node: call counters, latency histograms and gauges."""
 
 import collections
 import collections.abc
@@ -14,25 +14,29 @@
 MIN_LATENCY_US = 1
 MAX_LATENCY_US = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
+"""Decimal digits of precision of the latency histograms."""
 SIGNIFICANT_BITS = 8
-"""Leading bits of a time that two digits need."""
+"""Leading bits of a time that give `SIGNIFICANT_DIGITS` of precision."""
 
 
 class OperationKey(typing.NamedTuple):
-    """One operation."""
+    """Identifies an operation."""
 
     service: ids.ServiceName
     operation: ids.OperationName
 
 
 class OperationMetrics:
-    """How the calls of one operation ended.
+    """Counters and latencies of the calls of one operation.
 
     Attributes:
-      outcome_counts: by reason and outcome, flat: hashing costs more than the rest.
-      recorded_latencies: microseconds of answered calls, up to the last look.
-      pending_latencies: those since, rounded to what the histogram tells apart; a
-        record there costs ten times as much as counting here.
+      outcome_counts: number of calls by reason and outcome; a flat list,
+        because hashing a key would cost more than the rest of the counting.
+      recorded_latencies: histogram of answered calls, in microseconds, up to
+        the last time it was read.
+      pending_latencies: number of later answered calls by microseconds,
+        rounded to the precision of the histogram; recording a value in the
+        histogram costs ten times as much as counting it here.
     """
 
     def __init__(self):
@@ -53,7 +57,7 @@
 
     @property
     def latency_histogram(self) -> histogram.HdrHistogram:
-        """The histogram of everything so far."""
+        """Latencies of all answered calls so far, in microseconds."""
         for microseconds, count in self.pending_latencies.items():
             value = min(max(microseconds, MIN_LATENCY_US), MAX_LATENCY_US)
             self.recorded_latencies.record_value(value, count)
@@ -63,12 +67,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Gauge:
-    """One number of now.
+    """A gauge whose value is read when the metrics are scraped.
 
     Attributes:
-      name: without the prefix.
-      help: its meaning.
-      read_value: returns the number.
+      name: the name without the prefix `mangobay_`.
+      help: the help text.
+      read_value: returns the current value.
     """
 
     name: str
@@ -77,11 +81,11 @@
 
 
 class Metrics:
-    """Counts calls; reads all else only when it is asked.
+    """The metrics of a node; gauges are read only when scraped.
 
     Attributes:
-      by_operation: how calls ended, by operation.
-      gauges: numbers read when asked.
+      by_operation: counters and latencies by operation.
+      gauges: the gauges.
     """
 
     def __init__(self):
@@ -94,7 +98,7 @@
         reply: messages.Reply,
         seconds: float,
     ) -> None:
-        """Counts one call that entered here."""
+        """Counts one call that entered at this node."""
         key = OperationKey(operation.service, operation.name)
         operation_metrics = self.by_operation.get(key)
         if operation_metrics is None:
@@ -102,7 +106,7 @@
         operation_metrics.record_call(reply, seconds)
 
     def render(self) -> bytes:
-        """Returns everything in the text format."""
-        # The exporter is slow to load, and a node is useful before it is.
+        """Returns all metrics in the Prometheus text format."""
+        # Importing the exporter is slow, so a node starts without it.
         exporter = importlib.import_module("mangobay.metricstext")
         return exporter.render(self)
--- a/mangobay/metricstext.py
+++ b/mangobay/metricstext.py
@@ -1,4 +1,4 @@
-"""A node's metrics in the Prometheus text format."""
+"""Exports a node's metrics in the Prometheus text format."""
 
 import prometheus_client
 from hdrh import histogram
@@ -10,12 +10,14 @@
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_LATEST
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
 BUCKET_BOUNDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
-"""Upper bounds in seconds: the usual ones of the text format, which other
-systems sum over hosts; quantiles cannot be summed."""
+"""Upper bounds of the buckets in seconds, the defaults of Prometheus clients.
+
+Bucket counts can be summed over hosts; quantiles cannot.
+"""
 
 
 def render(node_metrics: metrics.Metrics) -> bytes:
-    """Returns everything in the text format."""
+    """Returns all metrics in the Prometheus text format."""
     collector_registry = prometheus_client.CollectorRegistry(
         auto_describe=False
     )
@@ -24,17 +26,17 @@
 
 
 class NodeCollector(registry.Collector):
-    """Turns counts into metric families.
+    """Collects the metric families of a node.
 
     Attributes:
-      metrics: what the node has counted.
+      metrics: the metrics of the node.
     """
 
     def __init__(self, node_metrics: metrics.Metrics):
         self.metrics = node_metrics
 
     def collect(self):
-        """Yields every family; called by the registry."""
+        """Yields every metric family; called by the registry."""
         yield self.calls_family()
         yield self.quantile_family()
         yield self.histogram_family()
@@ -44,7 +46,7 @@
             yield core.GaugeMetricFamily(name, gauge.help, gauge.read_value())
 
     def calls_family(self) -> core.CounterMetricFamily:
-        """Returns the calls by how they ended."""
+        """Returns the counter of calls by outcome and reason."""
         family = core.CounterMetricFamily(
             "mangobay_calls",
             "Calls that entered at this node, by how they ended.",
@@ -61,7 +63,7 @@
         return family
 
     def quantile_family(self) -> core.GaugeMetricFamily:
-        """Returns quantiles of the answered calls' time, by service."""
+        """Returns the latency quantiles of answered calls, by operation."""
         family = core.GaugeMetricFamily(
             "mangobay_answer_seconds",
             "Time of answered calls since the start, by quantile.",
@@ -75,7 +77,7 @@
         return family
 
     def histogram_family(self) -> core.HistogramMetricFamily:
-        """Returns the answered calls' time as buckets."""
+        """Returns the latency histogram of answered calls, by operation."""
         family = core.HistogramMetricFamily(
             "mangobay_answer_time_seconds",
             "Time of answered calls since the start.",
@@ -89,7 +91,7 @@
         return family
 
     def invariant_families(self):
-        """Yields how often promises were checked, and found broken."""
+        """Yields counters of the checks and violations of invariants."""
         counters = (
             ("checks", "Checks of a promise.", invariants.check_counts),
             (
@@ -111,7 +113,7 @@
 def cumulative_buckets(
     latencies: histogram.HdrHistogram,
 ) -> tuple[list[tuple[str, int]], float]:
-    """Returns the count at or below each bound, and the sum in seconds."""
+    """Returns cumulative bucket counts, and the sum in seconds."""
     counts = [0] * len(BUCKET_BOUNDS)
     total = 0.0
     for item in latencies.get_recorded_iterator():
--- a/mangobay/nodegauges.py
+++ b/mangobay/nodegauges.py
@@ -1,4 +1,4 @@
-"""The numbers that a node's metrics show of its present state."""
+"""The gauges of a node's current state."""
 
 import typing
 
@@ -9,7 +9,7 @@
 
 
 def make_gauges(node: "basenode.BaseNode") -> list[metrics.Gauge]:
-    """Returns the numbers of a node that the metrics read when asked."""
+    """Returns the gauges of a node."""
     services = node.local_services.by_name
     return [
         metrics.Gauge(
--- a/mangobay/operatorapi.py
+++ b/mangobay/operatorapi.py
@@ -29,24 +29,25 @@
 from mangobay.generated import messages
 
 MAX_WAIT_SECONDS = 60.0
-"""Seconds that an answer about a revision is kept back at most."""
+"""Maximum seconds for which a response about a revision is delayed."""
 
 DEFAULT_LIMITS = connectionlimits.Limits()
 
 MAX_NAME_LENGTH = 200
-"""Characters of a version or an operator's name."""
+"""Maximum characters of a version or an operator's name."""
 
 SHUTDOWN_TIMEOUT_SECONDS = 2.0
-"""Seconds that answers under way have when this host stops."""
+"""Seconds that requests in progress may take when this host stops."""
 
 
 class Group(leases.Group, typing.Protocol):
-    """What the operator API needs of `consensus.Group`.
+    """The part of `consensus.Group` that the operator API uses.
 
     Attributes:
       host: the name of this control host.
-      commit_index: newest index known to be committed.
-      is_voter: whether it is a voter; a repaired one is once it has caught up.
+      commit_index: highest log index known to be committed.
+      is_voter: whether this host is a voter; a host whose disk was replaced
+        is one only after it has caught up.
     """
 
     host: ids.HostId
@@ -55,11 +56,14 @@
 
 
 class OperatorApi:
-    """Answers operators; only the leader, confirmed, tells state.
+    """Serves the operator API.
+
+    Only a leader that has confirmed its leadership returns replicated state.
 
     Attributes:
-      address: where it listens; with port 0, the port taken once started.
-      drain_manager: the calls in flight.
+      address: listening address; port 0 is replaced by the actual port on
+        start.
+      drain_manager: runs requests, and refuses them once draining.
     """
 
     routes = (
@@ -111,10 +115,11 @@
         )
 
     async def start(self) -> None:
-        """Opens the socket.
+        """Opens the listening socket.
 
         Raises:
-          errors.StartError: the address is in use or not of this host.
+          errors.StartError: the address is in use or does not belong to this
+            host.
         """
         await self.runner.setup()
         try:
@@ -128,11 +133,11 @@
         self.address = listening.bound_address(self.address, self.server)
 
     async def drain(self, seconds: float) -> None:
-        """Refuses new calls; gives up those that last longer than a time."""
+        """Refuses new requests; cancels those still running after `seconds`."""
         await self.drain_manager.drain(seconds)
 
     async def close(self) -> None:
-        """Ends the answers under way and closes the socket."""
+        """Cancels the requests in progress and closes the socket."""
         await self.drain(0)
         if self.server is not None:
             self.server.close()
@@ -142,7 +147,7 @@
     async def close_when_draining(
         self, request: web.Request, handler
     ) -> web.StreamResponse:
-        """Ends a connection behind its answer once the host stops."""
+        """Closes each connection after its response while draining."""
         response = await handler(request)
         if self.drain_manager.draining:
             response.force_close()
@@ -152,11 +157,11 @@
     async def track_request(
         self, request: web.Request, handler
     ) -> web.StreamResponse:
-        """Takes a call unless the host stops."""
+        """Runs a request, or refuses it while draining."""
         return await self.drain_manager.run(functools.partial(handler, request))
 
     async def post_sheet(self, request: web.Request) -> web.Response:
-        """Takes in a sheet, whole or not at all."""
+        """Accepts a sheet as a whole, or nothing of it."""
         version = ids.SheetVersion(required_parameter(request, "version"))
         operator = required_parameter(request, "operator")
         async with asyncio.timeout(self.limits.request_timeout):
@@ -174,7 +179,7 @@
         return web.json_response(dataclasses.asdict(result))
 
     async def get_status(self, request: web.Request) -> web.Response:
-        """Tells of the control group and of every host."""
+        """Returns the state of the control group and of every host."""
         await self.confirm_leadership()
         revision = self.machine.revision
         return web.json_response(
@@ -191,7 +196,7 @@
         )
 
     async def get_history(self, request: web.Request) -> web.Response:
-        """Tells the newest accepted sheets, oldest first."""
+        """Returns the newest accepted sheets, oldest first."""
         await self.confirm_leadership()
         items = [
             {
@@ -210,12 +215,12 @@
         )
 
     async def get_hosts(self, request: web.Request) -> web.Response:
-        """Tells every host that is not gone."""
+        """Returns every member host."""
         await self.confirm_leadership()
         return web.json_response({"hosts": self.encode_hosts()})
 
     async def post_drain(self, request: web.Request) -> web.Response:
-        """Asks a host to leave; asked again, it answers the same."""
+        """Asks a host to leave; this is idempotent."""
         host = ids.HostId(request.match_info["host"])
         await self.confirm_leadership()
         if host not in self.machine.members:
@@ -229,7 +234,7 @@
         return web.json_response({"host": host, "draining": True}, status=202)
 
     async def get_in_force(self, request: web.Request) -> web.Response:
-        """Tells how far a revision has come, after a wait."""
+        """Returns the rollout of a revision, after waiting for its completion."""
         revision = parse_number(request.match_info["revision"], int, "revision")
         wait_seconds = parse_number(
             request.query.get("wait", "0"), float, "wait"
@@ -240,12 +245,13 @@
         rollout = await self.leases.revision_reports.wait_until_in_force(
             ids.Revision(revision), min(max(wait_seconds, 0), MAX_WAIT_SECONDS)
         )
-        # What hosts reported to a leader deposed meanwhile may be old.
+        # Without this check, a leader that was replaced during the wait
+        # could return outdated reports of hosts.
         await self.confirm_leadership()
         return web.json_response(encode_in_force(rollout))
 
     async def get_health(self, request: web.Request) -> web.Response:
-        """Tells that this process answers, and what it takes itself for."""
+        """Returns what this host knows of its role; this needs no quorum."""
         return web.json_response(
             {
                 "host": self.group.host,
@@ -257,29 +263,29 @@
         )
 
     async def get_metrics(self, request: web.Request) -> web.Response:
-        """Tells the metrics in the Prometheus text format."""
+        """Returns the metrics in the Prometheus text format."""
         text = prometheus_client.generate_latest(self.registry)
         content_type = prometheus_client.CONTENT_TYPE_LATEST
         return web.Response(body=text, headers={"Content-Type": content_type})
 
     async def confirm_leadership(self) -> None:
-        """Makes sure that this host leads and holds everything committed.
+        """Checks that this host leads and has applied all committed entries.
 
         Raises:
-          errors.NotLeaderError: another host must be asked.
+          errors.NotLeaderError: this host does not lead.
         """
         await self.group.confirm_leadership()
         self.leases.check_leadership()
 
     def encode_hosts(self) -> list[dict]:
-        """Returns every host as the API tells it."""
+        """Returns the JSON values of every host, sorted by name."""
         return [
             self.encode_host(self.machine.members[host])
             for host in sorted(self.machine.members)
         ]
 
     def encode_host(self, member_record: messages.MemberRecord) -> dict:
-        """Returns a host as the API tells it."""
+        """Returns the JSON object of a host."""
         member = member_record.member
         return {
             "host": member.host,
@@ -297,7 +303,7 @@
 
 
 def encode_in_force(rollout: inforce.RolloutStatus) -> dict:
-    """Returns how far a revision has come as the API tells it."""
+    """Returns the JSON object of a rollout status."""
     return {
         "count": rollout.host_count - len(rollout.stragglers),
         "of": rollout.host_count,
@@ -306,10 +312,10 @@
 
 
 def required_parameter(request: web.Request, name: str) -> str:
-    """Returns a query parameter that must be there.
+    """Returns a required query parameter.
 
     Raises:
-      errors.BadRequestError: it is missing or too long.
+      errors.BadRequestError: the parameter is missing, empty or too long.
     """
     value = request.query.get(name, "").strip()
     if not value or len(value) > MAX_NAME_LENGTH:
@@ -320,10 +326,10 @@
 
 
 def parse_number(text: str, convert: type, name: str) -> typing.Any:
-    """Returns the number that a parameter holds.
+    """Returns the value of a numeric parameter.
 
     Raises:
-      errors.BadRequestError: it is none.
+      errors.BadRequestError: the text is not a number.
     """
     try:
         return convert(text)
--- a/mangobay/operatorclient.py
+++ b/mangobay/operatorclient.py
@@ -10,21 +10,24 @@
 from mangobay import errors, findings, ids, options
 
 ATTEMPT_TIMEOUT_SECONDS = 3.0
-"""Seconds to wait for one control host before the next one is asked."""
+"""Timeout, in seconds, of a request to one control host."""
 ROUND_DELAY_SECONDS = 0.2
-"""Seconds between two rounds over all control hosts: an election's length."""
+"""Seconds between two rounds over all control hosts.
+
+This is about the duration of an election.
+"""
 Record = typing.TypeVar("Record")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ApplyResult:
-    """The answer to a sheet.
+    """The result of sending a sheet.
 
     Attributes:
-      revision: the revision that holds it.
-      changed: rows that are new or differ.
-      removed: rows that are gone.
-      repeated: the same sheet had been accepted before.
+      revision: the revision that contains the sheet.
+      changed: number of rows that are new or differ.
+      removed: number of rows that were removed.
+      repeated: whether the same sheet was accepted before.
     """
 
     revision: ids.Revision
@@ -35,12 +38,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RolloutStatus:
-    """How far a revision has come.
+    """How many hosts apply a revision.
 
     Attributes:
-      count: hosts that act by it.
-      of: hosts that hold a lease.
-      stragglers: the hosts that do not act by it yet.
+      count: number of hosts that apply the revision.
+      of: number of member hosts.
+      stragglers: the hosts that do not apply it yet.
     """
 
     count: int
@@ -49,21 +52,21 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every host acts by it."""
+        """Whether every host applies the revision."""
         return self.count == self.of and not self.stragglers
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Host:
-    """A host as the control group knows it.
+    """A member host, as the control group knows it.
 
     Attributes:
-      host: its name.
-      data_centre: where it stands.
-      revision: the revision it acts by.
-      lease: whether it holds a lease.
-      leaving: whether it gets no new work.
-      serves: the services it announced.
+      host: the name.
+      data_centre: the data centre of the host.
+      revision: the revision that the host applies.
+      lease: whether the host holds a lease.
+      leaving: whether the host is leaving and gets no new calls.
+      serves: the services that the host announced.
     """
 
     host: ids.HostId
@@ -80,11 +83,11 @@
 
     Attributes:
       leader: the control host that leads.
-      term: its term.
-      commit: newest committed entry of the log.
+      term: the term of the leader.
+      commit: the commit index.
       revision: newest accepted revision.
-      hosts: every known host.
-      in_force: how far the newest revision has come.
+      hosts: every member host.
+      in_force: rollout of the newest revision.
     """
 
     leader: ids.HostId
@@ -100,12 +103,12 @@
     """An accepted sheet in the history.
 
     Attributes:
-      revision: the revision that it made.
-      version: the version its operator gave it.
-      operator: who sent it.
+      revision: the revision that contains the sheet.
+      version: the version that the operator gave.
+      operator: the name of the operator who sent the sheet.
       accepted_ms: Unix time at the leader, milliseconds.
-      changed_rows: rows that were new or differed.
-      removed_rows: rows that went.
+      changed_rows: number of rows that were new or differed.
+      removed_rows: number of rows that were removed.
     """
 
     revision: ids.Revision
@@ -118,11 +121,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class History:
-    """The accepted sheets.
+    """The history of accepted sheets.
 
     Attributes:
-      sheets: the newest ones, oldest first.
-      omitted_count: how many older ones are not named any more.
+      sheets: the newest sheets, oldest first.
+      omitted_count: number of older sheets that were dropped from the
+        history.
     """
 
     sheets: list[AcceptedSheet]
@@ -130,12 +134,12 @@
 
 
 def decode_record(cls: type[Record], data: dict, **nested) -> Record:
-    """Returns a record out of a JSON object; unknown members are ignored.
+    """Decodes a record from a JSON object; unknown members are ignored.
 
     Args:
-      cls: the record's class.
+      cls: the class of the record.
       data: the JSON object.
-      **nested: members that are records themselves.
+      **nested: decoded values of members that are records themselves.
 
     Raises:
       errors.OperatorProtocolError: a member is missing.
@@ -150,20 +154,20 @@
         )
     except KeyError as error:
         raise errors.OperatorProtocolError(
-            f"the control host's answer has no {error.args[0]}"
+            f"the control host's response has no member {error.args[0]}"
         ) from None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A request that any control host may be asked.
+    """A request that can be sent to any control host.
 
     Attributes:
       method: the HTTP method.
       path: the path.
       query: the query parameters.
       body: the body.
-      wait_seconds: seconds the control host may hold the answer back.
+      wait_seconds: seconds for which the control host may delay the response.
     """
 
     method: str
@@ -174,19 +178,20 @@
 
 
 class NoResponseError(Exception):
-    """A control host gave no answer; another one must be asked."""
+    """One control host gave no usable response; the next one is tried."""
 
 
 class OperatorClient:
-    """Asks the control hosts, one after the other until one answers.
+    """Sends requests to the control hosts, in turn until one responds.
 
-    Every request may be sent again after a lost answer: the control group
-    answers a sheet with the same version and content as it did before.
+    Every request can be sent again after a lost response: if the control
+    group already accepted a sheet with the same version and content, it
+    returns the same result again.
 
     Attributes:
       addresses: operator addresses of the control hosts.
-      timeout_seconds: seconds until a request is given up.
-      preferred_address: address that answered last; asked first.
+      timeout_seconds: seconds after which no further round is started.
+      preferred_address: address that responded last; it is tried first.
     """
 
     def __init__(
@@ -200,12 +205,12 @@
         self.session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> "OperatorClient":
-        """Opens the session."""
+        """Opens the HTTP session."""
         self.session = aiohttp.ClientSession(trust_env=False)
         return self
 
     async def __aexit__(self, *unused) -> None:
-        """Closes the session."""
+        """Closes the HTTP session."""
         await self.session.close()
 
     async def apply(
@@ -214,10 +219,12 @@
         """Sends a sheet; returns once it is committed.
 
         Raises:
-          errors.ConflictError: the version is taken by another content.
-          errors.OperatorRefusedError: it was used long ago.
-          errors.SheetError: with every finding.
-          errors.ControlUnreachableError: no control host could answer.
+          errors.ConflictError: the version is used by a sheet with other
+            content.
+          errors.OperatorRefusedError: the version was used, and the history
+            no longer has its sheet.
+          errors.SheetError: the sheet is invalid; holds every finding.
+          errors.ControlUnreachableError: no control host responded in time.
         """
         query = {"version": version, "operator": operator}
         document = await self.send_request("POST", "/v1/sheets", query, data)
@@ -243,21 +250,26 @@
         return History(sheets, document.get("cut", 0))
 
     async def hosts(self) -> list[Host]:
-        """Returns every known host."""
+        """Returns every member host."""
         return decode_hosts(await self.send_request("GET", "/v1/hosts"))
 
     async def drain(self, host: ids.HostId) -> None:
         """Asks a host to leave.
 
         Raises:
-          errors.OperatorRefusedError: no such host.
+          errors.OperatorRefusedError: the host is unknown.
         """
         await self.send_request("POST", f"/v1/hosts/{host}/drain")
 
     async def in_force(
         self, revision: ids.Revision, wait_seconds: float
     ) -> RolloutStatus:
-        """Returns how far a revision has come, after at most `wait` seconds."""
+        """Returns the rollout of a revision, waiting for it to complete.
+
+        Args:
+          revision: the revision.
+          wait_seconds: maximum seconds to wait.
+        """
         path = f"/v1/revisions/{revision}/in-force"
         document = await self.send_request(
             "GET",
@@ -275,10 +287,11 @@
         body: bytes = b"",
         wait_seconds: float = 0,
     ) -> dict:
-        """Returns the JSON answer of the first control host that has one.
+        """Returns the JSON response of the first control host that responds.
 
         Raises:
-          errors.MangobayError: what the answer says, or that none came.
+          errors.MangobayError: the error in the response, or no control host
+            responded in time.
         """
         loop = asyncio.get_running_loop()
         give_up_at = loop.time() + self.timeout_seconds + wait_seconds
@@ -295,11 +308,11 @@
             await asyncio.sleep(ROUND_DELAY_SECONDS)
 
     async def send_to(self, address: options.Address, request: Request) -> dict:
-        """Returns the JSON answer of one control host.
+        """Returns the JSON response of one control host.
 
         Raises:
-          NoAnswerError: another one must be asked.
-          errors.MangobayError: what the answer says.
+          NoResponseError: another control host must be tried.
+          errors.MangobayError: the error in the response.
         """
         try:
             async with self.session.request(
@@ -326,7 +339,7 @@
             raise NoResponseError(str(error)) from None
 
     def ordered_addresses(self) -> list[options.Address]:
-        """Returns the addresses, the one that answered last first."""
+        """Returns the addresses, the one that responded last first."""
         return sorted(
             self.addresses,
             key=lambda address: address != self.preferred_address,
@@ -334,17 +347,17 @@
 
 
 def decode_hosts(document: dict) -> list[Host]:
-    """Returns the hosts in an answer."""
+    """Returns the hosts in a JSON response."""
     return [decode_record(Host, item) for item in document.get("hosts", [])]
 
 
 async def decode_response(
     response: aiohttp.ClientResponse, query: dict[str, str]
 ) -> dict:
-    """Returns the JSON object of an answer.
+    """Returns the JSON object of a successful response.
 
     Raises:
-      errors.MangobayError: the typed error that the answer stands for.
+      errors.MangobayError: the error that the response describes.
     """
     try:
         document = await response.json(content_type=None)
@@ -352,7 +365,8 @@
         document = None
     if not isinstance(document, dict):
         raise errors.OperatorProtocolError(
-            f"the control host's answer {response.status} is no JSON object"
+            f"the body of the control host's response with status"
+            f" {response.status} is not a JSON object"
         )
     match response.status:
         case 200 | 202:
--- a/mangobay/operatorproblems.py
+++ b/mangobay/operatorproblems.py
@@ -1,4 +1,4 @@
-"""How errors are told to an operator: problem details (RFC 9457)."""
+"""Error responses of the operator API: problem details (RFC 9457)."""
 
 import dataclasses
 
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProblemType:
-    """The kind of an error.
+    """The response status and title of a type of error.
 
     Attributes:
       status: the HTTP status.
-      title: what went wrong, the same for every error of the kind.
+      title: summary, the same for every error of the type.
     """
 
     status: int
@@ -43,14 +43,14 @@
     errors.StorageError: ProblemType(503, "the data folder failed"),
     TimeoutError: ProblemType(408, "the body came too slowly"),
 }
-"""The first class that fits counts."""
+"""Problem type by error class; the first matching class applies."""
 
 
 @web.middleware
 async def respond_with_problems(
     request: web.Request, handler
 ) -> web.StreamResponse:
-    """Answers errors as problem details, never with a stack trace."""
+    """Turns errors into problem details, never into stack traces."""
     try:
         return await handler(request)
     except web.HTTPException as error:
@@ -75,7 +75,7 @@
 
 
 def extension_members(error: Exception) -> dict:
-    """Returns what a problem tells besides its text."""
+    """Returns the extension members of the problem details of an error."""
     match error:
         case errors.ConflictError(winner=winner):
             return {"winner": winner}
@@ -93,7 +93,7 @@
 def problem_response(
     problem_type: ProblemType, detail: str, **members
 ) -> web.Response:
-    """Returns the answer that tells a problem."""
+    """Returns a response that holds problem details."""
     body = {"status": problem_type.status, "title": problem_type.title}
     if detail:
         body["detail"] = detail
--- a/mangobay/outcomelog.py
+++ b/mangobay/outcomelog.py
@@ -1,7 +1,7 @@
-"""The record of how calls ended: one log line for each interval.
+"""Logs how calls ended: one log line with counts for each interval.
 
-The counts say what ran, what did not and what is unknown; `mangobay report`
-adds them up over the logs of all nodes.
+The counts tell calls that ran, that did not run and whose outcome is unknown;
+`mangobay report` sums them over the logs of all nodes.
 """
 
 import asyncio
@@ -14,17 +14,17 @@
 from mangobay.generated import messages
 
 INTERVAL_SECONDS = 60.0
-"""Seconds that one line covers."""
+"""Seconds that one log line covers."""
 
 MESSAGE = "calls of an interval"
 MESSAGE_TYPE = f"{logs.Component.CALL.value}: {MESSAGE}"
 
 
 class CallKind(typing.NamedTuple):
-    """Calls that are counted together.
+    """Key of calls that are counted together.
 
     Attributes:
-      outside: whether a caller sent them, and not a backend server.
+      outside: whether a caller outside sent the calls, not a backend server.
     """
 
     service: ids.ServiceName
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CallCount:
-    """How many calls of one kind ended, as the log line holds it."""
+    """Number of calls of one kind; the fields are those of the log line."""
 
     service: str
     operation: str
@@ -49,7 +49,7 @@
 
 
 def make_call_count(kind: CallKind, count: int) -> CallCount:
-    """Returns what the log line says of the calls of a kind."""
+    """Returns the count of the calls of a kind, for the log line."""
     return CallCount(
         service=kind.service,
         operation=kind.operation,
@@ -66,9 +66,9 @@
 
     Attributes:
       host: this node's name.
-      counts: the calls since the last line.
-      since_ms: Unix time where the interval began, milliseconds.
-      unix_ms: Unix time in milliseconds.
+      counts: number of calls by kind since the last log line.
+      since_ms: start of the current interval, Unix time in milliseconds.
+      unix_ms: returns the Unix time in milliseconds.
     """
 
     def __init__(
@@ -100,15 +100,16 @@
         self.counts[kind] += 1
 
     def log_interval(self, is_final: bool = False) -> None:
-        """Logs the interval that ends now, also when no call ended in it.
+        """Logs the interval that ends now, and starts the next one.
 
-        An empty interval is written too: without it a quiet node and a dead
-        one would look the same in a report.
+        An interval without calls is logged too: otherwise a report could not
+        tell an idle node from a dead one.
 
         Args:
-          is_final: the node ends in good order, so that no call follows.
+          is_final: whether the node shuts down cleanly, so that no further
+            call is counted.
         """
-        # A wall clock set back must not make an interval of negative length.
+        # The interval must not be negative if the clock is set back.
         until_ms = max(self.since_ms, self.unix_ms())
         counts = sorted(self.counts.items())
         logs.log_event(
@@ -126,10 +127,10 @@
         self.counts.clear()
 
     async def run(self) -> None:
-        """Writes a line now and one for each interval, until cancelled.
+        """Logs a line now and one for each interval, until cancelled.
 
-        The first one covers no time.  It tells that this node runs, so that
-        one killed within its first interval is seen to be missing.
+        The first line covers no time.  It records that this node runs, so
+        that a report shows a gap if the node is killed in its first interval.
         """
         self.log_interval()
         while True:
--- a/mangobay/report.py
+++ b/mangobay/report.py
@@ -1,7 +1,7 @@
-"""What to state of a period: what ran, what did not, what is unknown.
+"""Reports how the calls of a period ended: run, not run or unknown.
 
-Read from the nodes' logs, where `ledger` wrote it.  Only recorded facts are
-told, and what no log covers is told as such.
+The counts are read from the nodes' logs, where `outcomelog` writes them.  A
+report contains only what was logged, and lists the times without a log.
 """
 
 import collections
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Interval:
-    """One line of a node.
+    """One log line of a node, which covers an interval.
 
     Attributes:
-      since_ms: Unix time, milliseconds.
-      until_ms: Unix time, milliseconds.
-      is_final: the node ended in good order.
+      since_ms: start as Unix time, milliseconds.
+      until_ms: end as Unix time, milliseconds.
+      is_final: whether the node shut down cleanly after this interval.
     """
 
     host: str
@@ -37,11 +37,12 @@
 
 @dataclasses.dataclass(slots=True)
 class ParsedLogs:
-    """What the files held.
+    """The content of log files.
 
     Attributes:
-      intervals: in the order of the files.
-      unreadable_lines: lines that are no log lines, such as one torn by a kill.
+      intervals: the intervals, in the order of the files.
+      unreadable_lines: number of lines that are not valid log lines, such as
+        a line truncated when its process was killed.
     """
 
     intervals: list[Interval] = dataclasses.field(default_factory=list)
@@ -49,7 +50,7 @@
 
 
 class CallGroup(typing.NamedTuple):
-    """Calls that one line of the report sums up."""
+    """A group of calls that have one line in the report."""
 
     outside: bool
     service: str
@@ -62,10 +63,10 @@
     """How the calls of a group ended.
 
     Attributes:
-      outcomes: calls by outcome.
-      reasons: calls that were not answered, by outcome and reason.
-      first_ms: where the first interval with one of those began.
-      last_ms: where the last one ended.
+      outcomes: number of calls by outcome.
+      reasons: number of calls that were not answered, by outcome and reason.
+      first_ms: start of the first interval with a call that was not answered.
+      last_ms: end of the last such interval.
     """
 
     outcomes: collections.Counter[str] = dataclasses.field(
@@ -78,7 +79,7 @@
     last_ms: int | None = None
 
     def add(self, call_count: outcomelog.CallCount, interval: Interval) -> None:
-        """Adds the calls of one entry."""
+        """Adds the calls of one count of an interval."""
         self.outcomes[call_count.outcome] += call_count.count
         if call_count.outcome == ANSWERED:
             return
@@ -92,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gap:
-    """A time of which a node recorded nothing, Unix milliseconds."""
+    """A time for which a node has no record, in Unix milliseconds."""
 
     host: str
     since_ms: int
@@ -101,15 +102,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Report:
-    """What is known of a period.
+    """How the calls of a period ended, as far as it is recorded.
 
     Attributes:
-      since_ms: of the first interval that is counted.
-      until_ms: of the last interval that is counted.
-      hosts: those that recorded something.
-      totals: calls by group.
-      gaps: what nobody recorded.
-      unreadable_lines: lines that could not be read.
+      since_ms: start of the first counted interval.
+      until_ms: end of the last counted interval.
+      hosts: the hosts that have a record.
+      totals: totals by group of calls.
+      gaps: times that a host did not record.
+      unreadable_lines: number of lines that could not be parsed.
     """
 
     since_ms: int
@@ -121,7 +122,7 @@
 
 
 def read_logs(paths: collections.abc.Iterable[str]) -> ParsedLogs:
-    """Returns the intervals in log files; other log lines are passed over.
+    """Returns the intervals in log files; other log lines are skipped.
 
     Raises:
       errors.LogFileError: a file cannot be read.
@@ -139,7 +140,7 @@
 def read_lines(
     lines: collections.abc.Iterable[str], parsed_logs: ParsedLogs
 ) -> None:
-    """Adds the intervals in the lines to the reading."""
+    """Adds the intervals in the lines to the parsed logs."""
     for line in lines:
         try:
             interval = parse_interval(line)
@@ -151,7 +152,7 @@
 
 
 def parse_interval(line: str) -> Interval | None:
-    """Returns the interval in a log line, None for any other line."""
+    """Returns the interval in a log line, None for other log lines."""
     document = json.loads(line)
     if document.get("message_type") != outcomelog.MESSAGE_TYPE:
         return None
@@ -167,13 +168,13 @@
 def summarize(parsed_logs: ParsedLogs, since_ms: int, until_ms: int) -> Report:
     """Returns the report of a period.
 
-    An interval counts whole when it touches the period: nothing says where
-    in it a call ended.
+    An interval that overlaps the period is counted as a whole, since the log
+    does not say when in the interval a call ended.
 
     Raises:
-      errors.NothingRecordedError: no interval touches the period.
+      errors.NoRecordsError: no interval overlaps the period.
     """
-    # The same file given twice must not count twice.
+    # Calls must not be counted twice if the same file is given twice.
     distinct = dict.fromkeys(parsed_logs.intervals)
     selected = [
         interval
@@ -207,11 +208,11 @@
 def find_gaps(
     intervals: collections.abc.Iterable[Interval], start_ms: int, end_ms: int
 ) -> list[Gap]:
-    """Returns the times between start and end that a node left unrecorded.
+    """Returns the times between start and end that a node did not record.
 
-    A node that ended in good order leaves none until its next start.  One
-    that was killed leaves one from its last line on: what entered there
-    since has been counted by nobody.
+    A node that shut down cleanly has no gap until its next start.  A node that
+    was killed has a gap from its last line to its next start, if any, because
+    the calls that it accepted in this time were never logged.
     """
     by_host = collections.defaultdict(list)
     for interval in intervals:
--- a/mangobay/spantree.py
+++ b/mangobay/spantree.py
@@ -1,4 +1,4 @@
-"""Span files as trees: which hop called which, and how each one ended."""
+"""Formats span files as call trees with the outcome of each attempt."""
 
 import collections
 import collections.abc
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Span:
-    """One attempt of one hop, as `traces` wrote it.
+    """One attempt of a call, as written by `filetracer`.
 
     Attributes:
-      parent: span id; of a span that nobody recorded at the root.
-      start: when the attempt began.
-      milliseconds: how long it took.
+      parent: span id of the parent; no file has the parent of a root span.
+      start: start time of the attempt.
+      milliseconds: duration of the attempt.
       sender: the host that made the attempt.
-      host: the host that was asked.
+      host: the host that the attempt was sent to.
     """
 
     trace: str
@@ -44,7 +44,7 @@
     """Returns the span in a line.
 
     Raises:
-      ValueError: the line holds none.
+      ValueError: the line is not a span.
     """
     try:
         document = json.loads(line)
@@ -68,11 +68,11 @@
             tries_left=attributes[f"{ATTRIBUTE_PREFIX}tries_left"],
         )
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"no span: {error}") from None
+        raise ValueError(f"not a span: {error}") from None
 
 
 def read_spans(paths: collections.abc.Iterable[str]) -> list[Span]:
-    """Returns the spans in files; a torn line is passed over.
+    """Returns the spans in files; lines without a valid span are skipped.
 
     Raises:
       errors.LogFileError: a file cannot be read.
@@ -93,7 +93,7 @@
 
 
 def format_trees(spans: collections.abc.Iterable[Span]) -> list[str]:
-    """Returns every trace as a tree, the oldest first."""
+    """Returns the lines of one tree for each trace, oldest trace first."""
     by_trace = collections.defaultdict(list)
     for span in sorted(spans, key=lambda span: span.start):
         by_trace[span.trace].append(span)
@@ -115,7 +115,7 @@
     parent: str,
     indent: str,
 ) -> list[str]:
-    """Returns the lines of what is below a span."""
+    """Returns the lines of the subtrees below a span."""
     lines = []
     children = children_by_parent.get(parent, [])
     for number, span in enumerate(children, start=1):
@@ -129,7 +129,7 @@
 
 
 def format_span(span: Span) -> str:
-    """Returns one span in words."""
+    """Returns the text of a span in a tree."""
     result = str(span.status) if span.outcome == "answered" else span.reason
     return (
         f"{span.name}: {span.outcome} {result}, {span.milliseconds:.1f} ms,"
--- a/mangobay/traces.py
+++ b/mangobay/traces.py
@@ -1,4 +1,4 @@
-"""What is recorded of the attempts of a hop, only for sampled call trees."""
+"""Records the attempts of calls in sampled traces."""
 
 import dataclasses
 import importlib
@@ -9,10 +9,10 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Attempt:
-    """What is recorded of one attempt.
+    """One attempt of a call.
 
     Attributes:
-      started_at: loop time.
+      started_at: loop time of the start.
     """
 
     request: calls.Request
@@ -23,13 +23,13 @@
 
 
 class Tracer:
-    """Records nothing."""
+    """A tracer that records nothing."""
 
     def record_attempt(self, attempt: Attempt) -> None:
         """Records one attempt that has ended."""
 
     def close(self) -> None:
-        """Writes what is still unwritten."""
+        """Writes the buffered spans and closes the tracer."""
 
 
 def make_file_tracer(path: str, process: calls.Process) -> Tracer:
@@ -38,6 +38,6 @@
     Raises:
       OSError: the file cannot be opened.
     """
-    # OpenTelemetry is slow to load and few nodes trace.
+    # Importing OpenTelemetry is slow, and few nodes trace.
     module = importlib.import_module("mangobay.filetracer")
     return module.FileTracer(path, process)
--- a/tests/controlfakes.py
+++ b/tests/controlfakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the control group's parts."""
+"""Fakes of the interfaces between the components of a control host."""
 
 import asyncio
 import contextlib
@@ -9,9 +9,10 @@
 
 @contextlib.asynccontextmanager
 async def running_task(component):
-    """Runs a part of the program in a task of its own.
+    """Runs a component in a task.
 
-    A fixture can't do this: its loop does not have the test's virtual time.
+    This is not a fixture, because the event loop of a fixture does not have
+    the virtual time of the test.
     """
     task = asyncio.create_task(component.run())
     try:
@@ -22,7 +23,7 @@
 
 
 class FakeGroup:
-    """A group of one member: what is proposed is applied at once."""
+    """A group of one member, which applies proposals at once."""
 
     def __init__(self, machine, host="c1", address="127.0.0.1:1"):
         self.machine = machine
@@ -63,12 +64,12 @@
             raise errors.NotLeaderError(self.leader, self.leader_address)
 
     def lose_quorum(self):
-        """No quorum answers any more, and nobody tells this host."""
+        """Makes confirmations hang, while this host still seems to lead."""
         self.has_quorum.clear()
 
 
 class FakeTransport:
-    """Carries renewals to lease tables by address."""
+    """Delivers renewals to lease tables by address."""
 
     def __init__(self, lease_tables):
         self.lease_tables = lease_tables
@@ -88,13 +89,13 @@
 
 
 def make_operation(name, service="quotes", **fields):
-    """Returns a row of a sheet."""
+    """Returns an operation of a sheet."""
     fields.setdefault("path", f"/{name}")
     return messages.Operation(service=service, name=name, **fields)
 
 
 def make_sheet_change(version, *changed, base=0, removed=(), digest=None):
-    """Returns the entry of an accepted sheet."""
+    """Returns the log entry body of an accepted sheet."""
     return messages.SheetChange(
         version=version,
         digest=digest or version.encode(),
@@ -106,7 +107,7 @@
 
 
 def make_member_join(host, *services, incarnation="1", slots=70, leaving=False):
-    """Returns the entry of a host that joins or changes."""
+    """Returns the log entry body of a host that joins or changes."""
     return messages.MemberChange(
         member=messages.Member(
             host=host,
@@ -122,14 +123,14 @@
 
 
 def make_member_gone(host, incarnation="1"):
-    """Returns the entry of a host that is gone."""
+    """Returns the log entry body of a host that is gone."""
     return messages.MemberChange(
         member=messages.Member(host=host, incarnation=incarnation), gone=True
     )
 
 
 def make_renewal(host, *services, incarnation="1", acks=(), **fields):
-    """Returns a renewal; acks are (service, version[, active])."""
+    """Returns a lease renewal; acks are (service, version[, active])."""
     fields.setdefault("interests", sorted(services))
     return messages.LeaseRenew(
         host=host,
--- a/tests/test_connectionlimits.py
+++ b/tests/test_connectionlimits.py
@@ -1,4 +1,4 @@
-"""Bounds on the connections of a control host's operator listener."""
+"""Tests of the limits on connections to a control host's operator API."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 @contextlib.asynccontextmanager
 async def running_server(limits: connectionlimits.Limits):
-    """Serves an application; gives what opens a connection to it."""
+    """Runs an application; yields a function that connects to it."""
 
     async def respond(request):
         del request
@@ -34,7 +34,7 @@
 
 
 async def is_closed(reader: asyncio.StreamReader) -> bool:
-    """Returns whether the other side ended the connection unanswered."""
+    """Returns whether the peer closed the connection without a response."""
     async with asyncio.timeout(WAIT_SECONDS):
         try:
             return not await reader.read(1)
@@ -43,13 +43,13 @@
 
 
 class TestConnectionLimiter:
-    """Connections that are not taken, or ended."""
+    """Connections that are refused or closed."""
 
     async def test_a_connection_without_a_request_is_closed(self):
-        """One connects and sends half a request head, another a whole one.
+        """One client sends half a request head, another client a whole one.
 
-        The first is ended after a while, so that it cannot hold its place
-        for ever.  The second is answered, and its connection stays.
+        The first connection is closed after the timeout, so that it cannot
+        stay open forever.  The second gets its response and stays open.
         """
         limits = connectionlimits.Limits(request_timeout=0.2)
         async with running_server(limits) as connect:
@@ -65,10 +65,10 @@
             slow_writer.close()
 
     async def test_connections_above_the_limit_are_refused(self):
-        """Two connections stand and a third comes.
+        """A client connects while the maximum of two connections is open.
 
-        It is ended at once; after one of the two has gone, the next is
-        taken.
+        The third connection is closed at once; after one of the two is
+        closed, the next one is accepted.
         """
         async with running_server(
             connectionlimits.Limits(max_connections=2)
@@ -89,7 +89,7 @@
 
 
 async def is_answered(connect) -> bool:
-    """Returns whether a new connection gets an answer."""
+    """Returns whether a request on a new connection gets a response."""
     reader, writer = await connect()
     try:
         writer.write(REQUEST)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""What the node counts."""
+"""Tests of a node's metrics."""
 
 from mangobay import metrics
 from mangobay.generated import messages
@@ -7,7 +7,7 @@
 
 
 class TestMetrics:
-    """Counters and quantiles in the text format."""
+    """Counters and latencies in the Prometheus text format."""
 
     def test_counters_and_quantiles_are_exported(self):
         node_metrics = metrics.Metrics()
@@ -27,7 +27,7 @@
         assert node_metrics.render().decode().splitlines() == lines
 
     def test_times_are_exported_in_buckets(self):
-        """Times of several hosts can be summed, unlike quantiles."""
+        """Bucket counts of several hosts can be summed, unlike quantiles."""
         node_metrics = metrics.Metrics()
         answered = messages.Reply(outcome=messages.Outcome.ANSWERED)
         for seconds in (0.004, 0.004, 0.3, 60.0):
--- a/tests/test_operatorapi.py
+++ b/tests/test_operatorapi.py
@@ -1,4 +1,4 @@
-"""The operator API of a control host, over real HTTP on loopback."""
+"""Tests of the operator API, over real HTTP on loopback."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class Operator:
-    """Sends requests to one control host; sheets are names of operations."""
+    """A client of one control host; its sheets are lists of operation names."""
 
     def __init__(self, session, address):
         self.session = session
@@ -42,7 +42,7 @@
 
 
 def parse_words(data, name):
-    """Stands for `sheet.parse`: a row for each word."""
+    """Replaces `sheet.parse`: returns an operation for each word."""
     words = data.decode().split()
     if "fault" in words:
         raise errors.SheetError([findings.Finding(f"{name}:row 2", "fault")])
@@ -57,7 +57,7 @@
 
 @contextlib.asynccontextmanager
 async def running_api(group):
-    """Serves the API; gives an operator."""
+    """Runs the API; yields an operator."""
     table = leases.LeaseTable(group.machine, group, 4.0, 1.0)
     api = operatorapi.OperatorApi(LOOPBACK, group, group.machine, table, 2000)
     await api.start()
@@ -77,10 +77,10 @@
     """POST /v1/sheets."""
 
     async def test_operators_race_under_one_version(self, group):
-        """Two operators send different sheets as version 7 at once.
+        """Two operators send different sheets with one version at once.
 
-        Exactly one is accepted. The other gets 409 and the revision of the
-        winner, and nothing of its sheet is in force.
+        Exactly one sheet is accepted.  The other operator gets 409 with the
+        revision of the accepted sheet, and none of its rows are applied.
         """
         async with running_api(group) as operator:
             responses = await asyncio.gather(
@@ -94,10 +94,10 @@
             assert len(group.machine.history) == 1
 
     async def test_a_resent_sheet_gets_the_same_response(self, group):
-        """The answer is lost, and another version is accepted meanwhile.
+        """A response is lost, and another version is accepted meanwhile.
 
-        The operator sends the same sheet again and is told the revision that
-        it got, not a new one; the later version stays in force.
+        The operator sends the same sheet again and gets its first revision,
+        not a new one; the later version stays in force.
         """
         async with running_api(group) as operator:
             _, first = await operator.apply("1", "sign", "price")
@@ -110,11 +110,11 @@
     async def test_a_version_dropped_from_the_history_is_refused(
         self, group, monkeypatch
     ):
-        """The history is cut; an operator resends a sheet from before it.
+        """An operator resends a sheet that was dropped from the history.
 
-        Whether the content was the same is not known any more: the answer is
-        409 without a winner, nothing is in force that was not, and the
-        history says how many sheets it does not name.
+        Whether the content is the same is no longer known: the response is
+        409 without a winner, the table does not change, and the history
+        has the number of dropped sheets.
         """
         monkeypatch.setattr(statemachine, "MAX_HISTORY_ITEMS", 1)
         async with running_api(group) as operator:
@@ -130,11 +130,11 @@
     async def test_a_sheet_is_compared_again_after_a_concurrent_change(
         self, group
     ):
-        """An entry of a former leader is committed just before a sheet's.
+        """An entry of a former leader is committed just before a sheet.
 
-        The sheet's rows were compared with the table before it. The entry
-        is refused when applied, compared again, and its operator sees only
-        that the sheet is in force, whole.
+        The rows of the sheet were compared with the table before that entry,
+        so the entry of the sheet is rejected when it is applied.  The rows
+        are compared again, and the whole sheet is in force.
         """
         late_change = controlfakes.make_sheet_change(
             "1", controlfakes.make_operation("late")
@@ -175,7 +175,7 @@
 
 
 class TestQueries:
-    """What operators are told."""
+    """GET requests, and requests that fail."""
 
     async def test_status_names_hosts_and_stragglers(self, group):
         async with running_api(group) as operator:
--- a/tests/test_operatorclient.py
+++ b/tests/test_operatorclient.py
@@ -1,4 +1,4 @@
-"""The operators' client and command line against fake control hosts."""
+"""Tests of the operators' client and commands with fake control hosts."""
 
 import asyncio
 import contextlib
@@ -18,7 +18,7 @@
 
 
 class FakeControlHost:
-    """Answers from a list, one item a request; None breaks the connection."""
+    """Sends listed responses, one per request; None aborts the connection."""
 
     def __init__(self, *responses):
         self.responses = list(responses)
@@ -36,7 +36,7 @@
 
 @contextlib.asynccontextmanager
 async def running_hosts(*hosts):
-    """Gives the addresses of the fakes while they serve."""
+    """Runs the fake control hosts; yields their addresses."""
     async with contextlib.AsyncExitStack() as stack:
         addresses = []
         for host in hosts:
@@ -47,14 +47,13 @@
 
 
 class TestApply:
-    """Sending a sheet."""
+    """Requests of the client, and its errors."""
 
     async def test_a_lost_response_is_requested_again(self):
-        """The operator sees one revision.
+        """A connection breaks before the response to a sheet is read.
 
-        The leader commits the sheet and its connection breaks before the
-        answer is read.  The same content under the same version goes to the
-        next host, so the control group gives the first answer again.
+        The client sends the same content and version to the next hosts, so
+        that the control group can return the revision of the first request.
         """
         first = FakeControlHost(None)
         second = FakeControlHost((503, {"leader": "c1"}))
@@ -106,7 +105,7 @@
 
 
 class TestCommandLine:
-    """Exit codes and what is printed."""
+    """Exit codes and output of commands."""
 
     async def run(self, control, *arguments):
         async with running_hosts(control) as addresses:
@@ -189,6 +188,6 @@
         )
         output = capsys.readouterr().out
         assert "1970-01-01T02:00:00.000+00:00  v2" in output
-        assert "4 older sheets are not named any more" in output
+        assert "4 older sheets are no longer listed" in output
         assert "v1" not in output
         assert "v3" not in output
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""What nodes record of their calls, and what `mangobay report` makes of it."""
+"""Tests of the outcome log of nodes, and of `mangobay report`."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class FakeClock:
-    """A wall clock that the test moves."""
+    """A wall clock that the test sets."""
 
     def __init__(self):
         self.now_ms = 0
@@ -32,15 +32,16 @@
 
 
 def discard(message: dict) -> None:
-    """Takes a log line and keeps nothing."""
+    """Discards a log line."""
 
 
 @pytest.fixture
 def log_path(tmp_path):
-    """Collects log lines in a file, as a node does.
+    """Writes log lines to a file, as a node does.
 
-    What other tests logged before there was any destination is kept by eliot
-    for the first one: that is one to throw it away.
+    eliot buffers lines until the first destination is added and sends them to
+    it, so that a destination which discards the lines of other tests is added
+    first.
     """
     eliot.add_destinations(discard)
     eliot.remove_destination(discard)
@@ -60,7 +61,7 @@
 
 
 class TestOutcomeLog:
-    """One line for each interval."""
+    """Log lines of intervals."""
 
     @pytest.mark.looptime
     async def test_each_call_is_counted_in_one_interval(self, log_path):
@@ -91,13 +92,13 @@
 
 
 class TestNode:
-    """What a whole node counts."""
+    """The outcome log of a whole node."""
 
     async def test_an_abandoned_call_counts_as_unknown(self, tmp_path):
-        """A caller hangs up while its booking runs, and nobody answers it.
+        """A caller disconnects while its booking runs.
 
-        The booking may have run, so the record says unknown; a call that
-        was in no count would be missing in the disclosure.
+        The booking may have run, so the call counts as unknown; a call
+        without a count would be missing in the report.
         """
         release = asyncio.Event()
 
@@ -121,14 +122,14 @@
 
 
 class TestReport:
-    """Facts of a period, and what is missing in it."""
+    """Totals of a period, and its gaps."""
 
     def test_a_killed_node_leaves_a_reported_gap(self, log_path):
-        """The operator sees from when to when nothing is known of a host.
+        """Node n1 is killed between two log lines and starts again later.
 
-        Node n1 is killed 30 s after its line and starts again a minute
-        later, so calls that it took in that half minute were counted by
-        nobody.  Node n2 ended in good order: it leaves no gap.
+        The calls that it accepted after its last line were never logged, so
+        the report has a gap from this line to the next start.  Node n2 shut
+        down cleanly and has no gap.
         """
         clock = FakeClock()
         n1, n2 = (
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""What operators and callers see of bad input, as golden files."""
+"""Compares output and responses for bad input with golden files."""
 
 import asyncio
 import contextlib
@@ -45,15 +45,15 @@
     (re.compile(r"Retry-After: \d+"), "Retry-After: SECONDS"),
     (re.compile(r"\d+\.\d+ s\b"), "N s"),
 )
-"""What differs from run to run."""
+"""Patterns of text that differs from run to run, and replacements."""
 
 
 class Transcript:
     """Records commands and HTTP exchanges as text.
 
     Attributes:
-      directory: the working folder of the commands.
-      lines: what was recorded.
+      directory: the working directory of the commands.
+      lines: the recorded lines.
     """
 
     def __init__(self, directory: pathlib.Path):
@@ -68,11 +68,11 @@
         return text
 
     def write(self, name: str, text: str) -> None:
-        """Writes a file into the working folder."""
+        """Writes a file to the working directory."""
         (self.directory / name).write_text(text)
 
     async def run_command(self, program: str, *arguments: str) -> None:
-        """Runs a command and records what it prints."""
+        """Runs a command and records its output and exit code."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -100,15 +100,16 @@
         declared_length: int | None = None,
         max_recorded: int = 60,
     ) -> None:
-        """Sends raw HTTP and records both sides.
+        """Sends a raw HTTP request, and records it and the response.
 
         Args:
-          address: where to.
+          address: the address of the server.
           request: method and target.
-          *headers: further lines.
-          body: that is sent.
-          declared_length: of the body as told, when that is not true.
-          max_recorded: how much of the body is recorded.
+          *headers: further header lines.
+          body: the body to send.
+          declared_length: value of Content-Length, if it is to differ from
+            the length of the body.
+          max_recorded: maximum characters of the body that are recorded.
         """
         content_length = (
             len(body) if declared_length is None else declared_length
@@ -139,7 +140,7 @@
 
 @contextlib.asynccontextmanager
 async def single_node_cluster(directory: pathlib.Path):
-    """Gives one control host, one node and its backend server, started."""
+    """Runs one control host, one node and its backend server."""
     async with processfakes.process_cluster(
         directory, data_centres=1
     ) as cluster:
@@ -148,7 +149,7 @@
 
 
 class TestStart:
-    """What keeps a process from starting."""
+    """Errors that keep a process from starting."""
 
     async def test_settings(self, tmp_path, snapshot):
         transcript = Transcript(tmp_path)
@@ -159,10 +160,10 @@
         assert str(transcript) == snapshot
 
     async def test_the_platform(self, tmp_path, snapshot):
-        """Settings are right, but the host is not as they say.
+        """The settings are valid, but the host does not match them.
 
-        A listener's port is in use, or the data folder cannot be written.
-        Each program ends with one line that names the address or folder.
+        A listener's port is in use, or the data directory cannot be written.
+        Each program exits with one line that names the address or directory.
         """
         transcript = Transcript(tmp_path)
         async with processfakes.process_cluster(
@@ -191,10 +192,10 @@
 
 
 class TestOperators:
-    """Commands that cannot do what was asked."""
+    """Operators' commands and requests that fail."""
 
     async def test_sheets(self, tmp_path, snapshot):
-        """Sheets that are broken, sent again, or race under one version."""
+        """Sheets that are invalid, sent again, or conflict in their version."""
         transcript = Transcript(tmp_path)
         transcript.write("bad.csv", BAD_SHEET)
         good = (processfakes.BOOKING_DIRECTORY / "sheet.csv").read_text()
@@ -237,7 +238,7 @@
 
 
 class TestCallers:
-    """Requests that the node cannot serve; none reaches a backend server."""
+    """Requests that a node refuses; none reaches a backend server."""
 
     async def test_requests(self, tmp_path, snapshot):
         transcript = Transcript(tmp_path)
@@ -262,10 +263,10 @@
         assert str(transcript) == snapshot
 
     async def test_control_is_not_there_yet(self, tmp_path, snapshot):
-        """A node runs and no control host has been started.
+        """A node runs, but no control host was started.
 
-        Nobody can say what the service is, so the call is refused as not
-        run, and the caller is asked to come again.
+        The node does not know the service, so that it refuses the call as
+        not run, and asks the caller to retry later.
         """
         transcript = Transcript(tmp_path)
         async with processfakes.process_cluster(
--- a/tests/test_spantree.py
+++ b/tests/test_spantree.py
@@ -1,4 +1,4 @@
-"""Span files printed as trees."""
+"""Tests of the command that prints span files as trees."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 def span_line(span: str, parent: str, name: str, second: int) -> str:
-    """Returns a line as `filetracer.LineExporter` writes it."""
+    """Returns a line as `filetracer.JsonLinesExporter` writes it."""
     return json.dumps(
         {
             "name": name,
@@ -61,4 +61,4 @@
         path = tmp_path / "a"
         path.write_text(span_line("0x1", "0x0", "quotes issue", 0))
         assert cmdline.main(["trace", str(path), "--trace", "ff"]) == 1
-        assert "no such span" in capsys.readouterr().out
+        assert "no matching spans" in capsys.readouterr().out
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Spans in the file."""
+"""Tests of spans written to a file."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 
 
 class TestFileTracer:
-    """One line for each attempt, as part of the caller's trace."""
+    """One line for each attempt, in the caller's trace."""
 
     async def test_a_span_has_ids_and_attributes(self, tmp_path):
         path = tmp_path / "spans"
