--- a/mangobay/operatorapi.py
+++ b/mangobay/operatorapi.py
@@ -90,7 +90,9 @@
         self.group = group
         self.machine = state_machine
         self.leases = lease_table
-        self.acceptance = sheetacceptance.SheetAcceptor(state_machine, group)
+        self.sheet_acceptor = sheetacceptance.SheetAcceptor(
+            state_machine, group
+        )
         self.registry = prometheus_client.CollectorRegistry()
         self.registry.register(
             controlmetrics.ControlCollector(group, state_machine, lease_table)
@@ -167,7 +169,9 @@
         async with asyncio.timeout(self.limits.request_timeout):
             data = await request.read()
         parsed_sheet = await asyncio.to_thread(sheet.parse, data, "sheet")
-        result = await self.acceptance.accept(parsed_sheet, version, operator)
+        result = await self.sheet_acceptor.accept(
+            parsed_sheet, version, operator
+        )
         logs.log_event(
             logs.Component.CONTROL,
             "sheet accepted",
--- a/tests/test_operatorapi.py
+++ b/tests/test_operatorapi.py
@@ -69,7 +69,7 @@
 
 
 @pytest.fixture(autouse=True)
-def sheets(monkeypatch):
+def replace_sheet_parser(monkeypatch):
     monkeypatch.setattr(operatorapi.sheet, "parse", parse_words)
 
 
--- a/tests/test_operatorclient.py
+++ b/tests/test_operatorclient.py
@@ -46,7 +46,7 @@
         yield tuple(addresses)
 
 
-class TestApply:
+class TestOperatorClient:
     """Requests of the client, and its errors."""
 
     async def test_a_lost_response_is_requested_again(self):
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -17,7 +17,7 @@
 )
 ANSWERED = messages.Reply(outcome=messages.Outcome.ANSWERED)
 OVERLOADED = calls.not_run_reply(Reason.OVERLOADED)
-LOST = calls.unknown_reply(Reason.CONNECTION_BROKEN)
+CONNECTION_BROKEN = calls.unknown_reply(Reason.CONNECTION_BROKEN)
 MINUTE_MS = 60_000
 
 
@@ -137,7 +137,7 @@
             outcomelog.OutcomeLog("n2", clock),
         )
         clock.now_ms = MINUTE_MS
-        record_calls(n1, ANSWERED, LOST)
+        record_calls(n1, ANSWERED, CONNECTION_BROKEN)
         n1.log_interval()
         n2.log_interval(is_final=True)
         clock.now_ms = 2 * MINUTE_MS
@@ -174,7 +174,7 @@
     def test_the_command_prints_the_report(self, log_path, capsys):
         clock = FakeClock()
         outcome_log = outcomelog.OutcomeLog("n1", clock)
-        record_calls(outcome_log, ANSWERED, LOST)
+        record_calls(outcome_log, ANSWERED, CONNECTION_BROKEN)
         clock.now_ms = MINUTE_MS
         outcome_log.log_interval()
         with log_path.open("a") as file:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -159,7 +159,7 @@
             await transcript.run_command(program, "--settings", "missing.ini")
         assert str(transcript) == snapshot
 
-    async def test_the_platform(self, tmp_path, snapshot):
+    async def test_unusable_address_or_directory(self, tmp_path, snapshot):
         """The settings are valid, but the host does not match them.
 
         A listener's port is in use, or the data directory cannot be written.
@@ -227,7 +227,7 @@
             )
         assert str(transcript) == snapshot
 
-    async def test_no_control_host_is_there_yet(self, tmp_path, snapshot):
+    async def test_no_control_host_runs(self, tmp_path, snapshot):
         transcript = Transcript(tmp_path)
         with socket.create_server(("127.0.0.1", 0)) as reserved:
             address = f"127.0.0.1:{reserved.getsockname()[1]}"
@@ -262,7 +262,7 @@
             assert not await cluster.runs()
         assert str(transcript) == snapshot
 
-    async def test_control_is_not_there_yet(self, tmp_path, snapshot):
+    async def test_control_was_not_started(self, tmp_path, snapshot):
         """A node runs, but no control host was started.
 
         The node does not know the service, so that it refuses the call as
