--- a/mangobay/filecommands.py
+++ b/mangobay/filecommands.py
@@ -94,7 +94,7 @@
     ]
     for outside, title in (
         (True, "calls of callers outside"),
-        (False, "calls among the services, part of those above or their own"),
+        (False, "calls between services: part of the calls above, or separate"),
     ):
         totals = {
             group: total
--- a/mangobay/operatorapi.py
+++ b/mangobay/operatorapi.py
@@ -238,7 +238,7 @@
         return web.json_response({"host": host, "draining": True}, status=202)
 
     async def get_in_force(self, request: web.Request) -> web.Response:
-        """Returns the rollout of a revision, after waiting for its completion."""
+        """Returns the rollout of a revision, waiting for it to complete."""
         revision = parse_number(request.match_info["revision"], int, "revision")
         wait_seconds = parse_number(
             request.query.get("wait", "0"), float, "wait"
--- a/mangobay/operatorclient.py
+++ b/mangobay/operatorclient.py
@@ -10,11 +10,11 @@
 from mangobay import errors, findings, ids, options
 
 ATTEMPT_TIMEOUT_SECONDS = 3.0
-"""Timeout, in seconds, of a request to one control host."""
+"""Seconds to wait for one control host before the next one is tried."""
 ROUND_DELAY_SECONDS = 0.2
 """Seconds between two rounds over all control hosts.
 
-This is about the duration of an election.
+This is about as long as an election takes.
 """
 Record = typing.TypeVar("Record")
 
@@ -184,9 +184,9 @@
 class OperatorClient:
     """Sends requests to the control hosts, in turn until one responds.
 
-    Every request can be sent again after a lost response: if the control
-    group already accepted a sheet with the same version and content, it
-    returns the same result again.
+    Every request can be sent again after a lost response: if the same content
+    was already accepted under the same version, the control group returns the
+    same result again.
 
     Attributes:
       addresses: operator addresses of the control hosts.
--- a/mangobay/outcomelog.py
+++ b/mangobay/outcomelog.py
@@ -1,7 +1,7 @@
 """Logs how calls ended: one log line with counts for each interval.
 
-The counts tell calls that ran, that did not run and whose outcome is unknown;
-`mangobay report` sums them over the logs of all nodes.
+`mangobay report` sums the counts over the logs of all nodes, and shows how many
+calls ran, did not run or have an unknown outcome.
 """
 
 import asyncio
