--- a/mangobay/controlmetrics.py
+++ b/mangobay/controlmetrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a control host, read when they are asked for."""
+"""Metrics of a control host, read when they are scraped."""
 
 import typing
 
@@ -13,7 +13,11 @@
 
 
 class ControlCollector(registry.Collector):
-    """Reads the state of the group, the machine and the leases."""
+    """Collects gauges of the group, the state machine and the leases.
+
+    Attributes:
+      gauges: name without prefix, and help text, of each gauge.
+    """
 
     gauges = (
         ("leads", "1 while this host leads."),
@@ -31,11 +35,11 @@
     def __init__(
         self,
         group: "operatorapi.Group",
-        config: statemachine.ConfigStateMachine,
+        state_machine: statemachine.ConfigStateMachine,
         lease_table: leases.LeaseTable,
     ):
         self.group = group
-        self.machine = config
+        self.machine = state_machine
         self.leases = lease_table
 
     def collect(self) -> typing.Iterator[metrics_core.Metric]:
@@ -57,8 +61,8 @@
     def gauge_values(self) -> dict[str, float]:
         """Returns the value of each gauge by name."""
         revision = self.machine.revision
-        held = self.leases.notifier.events_by_host.values()
-        known = self.leases.view_activity
+        waiting_renewals = self.leases.notifier.events_by_host.values()
+        view_activity = self.leases.view_activity
         return {
             "leads": int(self.group.leading.is_set()),
             "term": self.group.term,
@@ -70,18 +74,18 @@
             "stragglers": len(
                 self.leases.revision_reports.rollout_status(revision).stragglers
             ),
-            "inactive_views": len(known.newest_versions)
-            - len(known.active_services),
-            "held_renewals": sum(map(len, held)),
+            "inactive_views": len(view_activity.newest_versions)
+            - len(view_activity.active_services),
+            "held_renewals": sum(map(len, waiting_renewals)),
         }
 
     def invariant_counter(
         self, name: str, text: str, counts: typing.Mapping
     ) -> metrics_core.Metric:
-        """Returns a counter with one sample for each promise."""
+        """Returns a counter with one sample for each invariant."""
         metric = metrics_core.CounterMetricFamily(
             METRIC_PREFIX + name, text, labels=["promise"]
         )
-        for promise in invariants.Invariant:
-            metric.add_metric([promise.value], counts[promise])
+        for invariant in invariants.Invariant:
+            metric.add_metric([invariant.value], counts[invariant])
         return metric
--- a/mangobay/filecommands.py
+++ b/mangobay/filecommands.py
@@ -1,4 +1,4 @@
-"""The operators' commands that read files of the nodes, not control hosts."""
+"""The operators' commands that read log and span files of nodes."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 
 class ShowReport(commands.Command):
-    """Tells what ran, what did not and what is unknown."""
+    """Reports which calls ran, did not run or have an unknown outcome."""
 
     name = "report"
     help = "sum up nodes' logs: what ran, what did not, what is unknown"
@@ -22,17 +22,19 @@
     asks_control = False
 
     async def run(self, arguments, client):
-        """Reads the logs and sums them up."""
-        reading = report.read_logs(arguments.files)
-        told = report.summarize(reading, arguments.since, arguments.until)
-        return commands.Result(encode_report(told), format_report(told))
+        """Reads the logs and reports the totals."""
+        parsed_logs = report.read_logs(arguments.files)
+        summary = report.summarize(
+            parsed_logs, arguments.since, arguments.until
+        )
+        return commands.Result(encode_report(summary), format_report(summary))
 
 
 class ShowTrace(commands.Command):
     """Prints spans as trees."""
 
     name = "trace"
-    help = "print span files as trees, one for each call tree"
+    help = "print span files as trees, one for each trace"
     arguments = {
         "files": {
             **FILES_ARGUMENT,
@@ -41,7 +43,7 @@
         "--trace": {
             "default": "",
             "metavar": "ID",
-            "help": "only traces whose id begins like this",
+            "help": "only traces whose id starts with this text",
         },
     }
     asks_control = False
@@ -57,17 +59,17 @@
             {**dataclasses.asdict(span), "start": span.start.isoformat()}
             for span in spans
         ]
-        lines = spantree.format_trees(spans) or ["no such span"]
-        code = commands.ExitCode.OK if spans else commands.ExitCode.FAILED
-        return commands.Result(data, lines, code)
+        lines = spantree.format_trees(spans) or ["no matching spans"]
+        exit_code = commands.ExitCode.OK if spans else commands.ExitCode.FAILED
+        return commands.Result(data, lines, exit_code)
 
 
-def encode_report(told: report.Report) -> dict:
-    """Returns the report as plain values."""
+def encode_report(summary: report.Report) -> dict:
+    """Returns the JSON object of the report."""
     return {
-        "since_ms": told.since_ms,
-        "until_ms": told.until_ms,
-        "hosts": told.hosts,
+        "since_ms": summary.since_ms,
+        "until_ms": summary.until_ms,
+        "hosts": summary.hosts,
         "totals": [
             {
                 **group._asdict(),
@@ -76,38 +78,38 @@
                 "first_ms": total.first_ms,
                 "last_ms": total.last_ms,
             }
-            for group, total in sorted(told.totals.items())
+            for group, total in sorted(summary.totals.items())
         ],
-        "gaps": [dataclasses.asdict(gap) for gap in told.gaps],
-        "unreadable": told.unreadable_lines,
+        "gaps": [dataclasses.asdict(gap) for gap in summary.gaps],
+        "unreadable": summary.unreadable_lines,
     }
 
 
-def format_report(told: report.Report) -> list[str]:
-    """Returns the report for people."""
+def format_report(summary: report.Report) -> list[str]:
+    """Returns the lines of the report."""
     lines = [
-        f"recorded from {display.format_time(told.since_ms)}"
-        f" to {display.format_time(told.until_ms)}"
-        f" by {len(told.hosts)} hosts: {', '.join(told.hosts)}",
+        f"recorded from {display.format_time(summary.since_ms)}"
+        f" to {display.format_time(summary.until_ms)}"
+        f" by {len(summary.hosts)} hosts: {', '.join(summary.hosts)}",
     ]
     for outside, title in (
         (True, "calls of callers outside"),
-        (False, "calls among the services, part of those above or their own"),
+        (False, "calls between services: part of the calls above, or separate"),
     ):
         totals = {
             group: total
-            for group, total in sorted(told.totals.items())
+            for group, total in sorted(summary.totals.items())
             if group.outside is outside
         }
         if totals:
             lines += ["", title, *format_totals(totals)]
-    return [*lines, "", *format_gaps(told)]
+    return [*lines, "", *format_gaps(summary)]
 
 
 def format_totals(
     totals: dict[report.CallGroup, report.GroupTotal],
 ) -> list[str]:
-    """Returns how calls ended, and why those that were not answered."""
+    """Returns a table of totals, and the reasons of unanswered calls."""
     titles = (
         "service",
         "operation",
@@ -140,24 +142,24 @@
 
 
 def format_optional_time(milliseconds: int | None) -> str:
-    """Returns where a period begins or ends; a dash without one."""
+    """Returns a time as text, or a dash if there is none."""
     return "-" if milliseconds is None else display.format_time(milliseconds)
 
 
-def format_gaps(told: report.Report) -> list[str]:
-    """Returns what nobody recorded."""
+def format_gaps(summary: report.Report) -> list[str]:
+    """Returns the lines about gaps and unreadable lines."""
     lines = []
-    if told.gaps:
+    if summary.gaps:
         lines.append("not recorded, so nothing is known of calls that entered")
         rows = [
             (gap.host, *map(display.format_time, (gap.since_ms, gap.until_ms)))
-            for gap in told.gaps
+            for gap in summary.gaps
         ]
         lines += display.format_table(("host", "from", "to"), rows)
     else:
         lines.append("no gap in the record of these hosts")
-    if told.unreadable_lines:
-        lines.append(f"{told.unreadable_lines} lines could not be read")
+    if summary.unreadable_lines:
+        lines.append(f"{summary.unreadable_lines} lines could not be read")
     return lines
 
 
--- a/mangobay/operatorproblems.py
+++ b/mangobay/operatorproblems.py
@@ -1,4 +1,4 @@
-"""How errors are told to an operator: problem details (RFC 9457)."""
+"""Error responses of the operator API: problem details (RFC 9457)."""
 
 import dataclasses
 
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProblemType:
-    """The kind of an error.
+    """The response status and title of a type of error.
 
     Attributes:
       status: the HTTP status.
-      title: what went wrong, the same for every error of the kind.
+      title: summary, the same for every error of the type.
     """
 
     status: int
@@ -43,20 +43,20 @@
     errors.StorageError: ProblemType(503, "the data folder failed"),
     TimeoutError: ProblemType(408, "the body came too slowly"),
 }
-"""The first class that fits counts."""
+"""Problem type by error class; the first matching class applies."""
 
 
 @web.middleware
 async def respond_with_problems(
     request: web.Request, handler
 ) -> web.StreamResponse:
-    """Answers errors as problem details, never with a stack trace."""
+    """Turns errors into problem details, never into stack traces."""
     try:
         return await handler(request)
     except web.HTTPException as error:
         return problem_response(ProblemType(error.status, error.reason), "")
     except (errors.MangobayError, TimeoutError) as error:
-        kind = next(
+        problem_type = next(
             (
                 PROBLEM_TYPES[cls]
                 for cls in PROBLEM_TYPES
@@ -64,7 +64,9 @@
             ),
             INTERNAL_ERROR,
         )
-        return problem_response(kind, str(error), **extension_members(error))
+        return problem_response(
+            problem_type, str(error), **extension_members(error)
+        )
     except Exception as error:  # noqa: BLE001
         logs.log_event(
             logs.Component.OPERATOR, "request failed", error=repr(error)
@@ -73,22 +75,28 @@
 
 
 def extension_members(error: Exception) -> dict:
-    """Returns what a problem tells besides its text."""
+    """Returns the extension members of the problem details of an error."""
     match error:
         case errors.ConflictError(winner=winner):
             return {"winner": winner}
-        case errors.SheetError(findings=found):
-            return {"findings": [dataclasses.asdict(item) for item in found]}
+        case errors.SheetError(findings=findings):
+            return {
+                "findings": [
+                    dataclasses.asdict(finding) for finding in findings
+                ]
+            }
         case errors.NotLeaderError(leader=leader, address=address):
             return {"leader": leader, "leader_peer_address": address}
     return {}
 
 
-def problem_response(kind: ProblemType, detail: str, **members) -> web.Response:
-    """Returns the answer that tells a problem."""
-    body = {"status": kind.status, "title": kind.title}
+def problem_response(
+    problem_type: ProblemType, detail: str, **members
+) -> web.Response:
+    """Returns a response that holds problem details."""
+    body = {"status": problem_type.status, "title": problem_type.title}
     if detail:
         body["detail"] = detail
     return web.json_response(
-        body | members, status=kind.status, content_type=CONTENT_TYPE
+        body | members, status=problem_type.status, content_type=CONTENT_TYPE
     )
--- a/mangobay/report.py
+++ b/mangobay/report.py
@@ -1,7 +1,7 @@
-"""What to state of a period: what ran, what did not, what is unknown.
+"""Reports how the calls of a period ended: run, not run or unknown.
 
-Read from the nodes' logs, where `ledger` wrote it.  Only recorded facts are
-told, and what no log covers is told as such.
+The counts are read from the nodes' logs, where `outcomelog` writes them.  A
+report contains only what was logged, and lists the times without a log.
 """
 
 import collections
@@ -20,12 +20,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Interval:
-    """One line of a node.
+    """One log line of a node, which covers an interval.
 
     Attributes:
-      since_ms: Unix time, milliseconds.
-      until_ms: Unix time, milliseconds.
-      is_final: the node ended in good order.
+      since_ms: start as Unix time, milliseconds.
+      until_ms: end as Unix time, milliseconds.
+      is_final: whether the node shut down cleanly after this interval.
     """
 
     host: str
@@ -37,11 +37,12 @@
 
 @dataclasses.dataclass(slots=True)
 class ParsedLogs:
-    """What the files held.
+    """The content of log files.
 
     Attributes:
-      intervals: in the order of the files.
-      unreadable_lines: lines that are no log lines, such as one torn by a kill.
+      intervals: the intervals, in the order of the files.
+      unreadable_lines: number of lines that are not valid log lines, such as
+        a line truncated when its process was killed.
     """
 
     intervals: list[Interval] = dataclasses.field(default_factory=list)
@@ -49,7 +50,7 @@
 
 
 class CallGroup(typing.NamedTuple):
-    """Calls that one line of the report sums up."""
+    """A group of calls that have one line in the report."""
 
     outside: bool
     service: str
@@ -62,10 +63,10 @@
     """How the calls of a group ended.
 
     Attributes:
-      outcomes: calls by outcome.
-      reasons: calls that were not answered, by outcome and reason.
-      first_ms: where the first interval with one of those began.
-      last_ms: where the last one ended.
+      outcomes: number of calls by outcome.
+      reasons: number of calls that were not answered, by outcome and reason.
+      first_ms: start of the first interval with a call that was not answered.
+      last_ms: end of the last such interval.
     """
 
     outcomes: collections.Counter[str] = dataclasses.field(
@@ -77,20 +78,22 @@
     first_ms: int | None = None
     last_ms: int | None = None
 
-    def add(self, entry: outcomelog.CallCount, interval: Interval) -> None:
-        """Adds the calls of one entry."""
-        self.outcomes[entry.outcome] += entry.count
-        if entry.outcome == ANSWERED:
+    def add(self, call_count: outcomelog.CallCount, interval: Interval) -> None:
+        """Adds the calls of one count of an interval."""
+        self.outcomes[call_count.outcome] += call_count.count
+        if call_count.outcome == ANSWERED:
             return
-        self.reasons[f"{entry.outcome}: {entry.reason}"] += entry.count
-        first = interval.since_ms if self.first_ms is None else self.first_ms
-        self.first_ms = min(first, interval.since_ms)
+        self.reasons[f"{call_count.outcome}: {call_count.reason}"] += (
+            call_count.count
+        )
+        earliest = interval.since_ms if self.first_ms is None else self.first_ms
+        self.first_ms = min(earliest, interval.since_ms)
         self.last_ms = max(self.last_ms or 0, interval.until_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gap:
-    """A time of which a node recorded nothing, Unix milliseconds."""
+    """A time for which a node has no record, in Unix milliseconds."""
 
     host: str
     since_ms: int
@@ -99,15 +102,15 @@
 
 @dataclasses.dataclass(slots=True, kw_only=True)
 class Report:
-    """What is known of a period.
+    """How the calls of a period ended, as far as it is recorded.
 
     Attributes:
-      since_ms: of the first interval that is counted.
-      until_ms: of the last interval that is counted.
-      hosts: those that recorded something.
-      totals: calls by group.
-      gaps: what nobody recorded.
-      unreadable_lines: lines that could not be read.
+      since_ms: start of the first counted interval.
+      until_ms: end of the last counted interval.
+      hosts: the hosts that have a record.
+      totals: totals by group of calls.
+      gaps: times that a host did not record.
+      unreadable_lines: number of lines that could not be parsed.
     """
 
     since_ms: int
@@ -119,37 +122,37 @@
 
 
 def read_logs(paths: collections.abc.Iterable[str]) -> ParsedLogs:
-    """Returns the intervals in log files; other log lines are passed over.
+    """Returns the intervals in log files; other log lines are skipped.
 
     Raises:
       errors.LogFileError: a file cannot be read.
     """
-    reading = ParsedLogs()
+    parsed_logs = ParsedLogs()
     for path in paths:
         try:
             with open(path, encoding="utf-8", errors="replace") as file:
-                read_lines(file, reading)
+                read_lines(file, parsed_logs)
         except OSError as error:
             raise errors.LogFileError(path, error.strerror or "") from None
-    return reading
+    return parsed_logs
 
 
 def read_lines(
-    lines: collections.abc.Iterable[str], reading: ParsedLogs
+    lines: collections.abc.Iterable[str], parsed_logs: ParsedLogs
 ) -> None:
-    """Adds the intervals in the lines to the reading."""
+    """Adds the intervals in the lines to the parsed logs."""
     for line in lines:
         try:
             interval = parse_interval(line)
         except (ValueError, KeyError, TypeError, AttributeError):
-            reading.unreadable_lines += 1
+            parsed_logs.unreadable_lines += 1
             continue
         if interval is not None:
-            reading.intervals.append(interval)
+            parsed_logs.intervals.append(interval)
 
 
 def parse_interval(line: str) -> Interval | None:
-    """Returns the interval in a log line, None for any other line."""
+    """Returns the interval in a log line, None for other log lines."""
     document = json.loads(line)
     if document.get("message_type") != outcomelog.MESSAGE_TYPE:
         return None
@@ -162,63 +165,75 @@
     )
 
 
-def summarize(reading: ParsedLogs, since_ms: int, until_ms: int) -> Report:
+def summarize(parsed_logs: ParsedLogs, since_ms: int, until_ms: int) -> Report:
     """Returns the report of a period.
 
-    An interval counts whole when it touches the period: nothing says where
-    in it a call ended.
+    An interval that overlaps the period is counted as a whole, since the log
+    does not say when in the interval a call ended.
 
     Raises:
-      errors.NothingRecordedError: no interval touches the period.
+      errors.NoRecordsError: no interval overlaps the period.
     """
-    # The same file given twice must not count twice.
-    distinct = dict.fromkeys(reading.intervals)
-    inside = [
+    # Calls must not be counted twice if the same file is given twice.
+    distinct = dict.fromkeys(parsed_logs.intervals)
+    selected = [
         interval
         for interval in distinct
         if interval.since_ms < until_ms and interval.until_ms > since_ms
     ]
-    if not inside:
+    if not selected:
         raise errors.NoRecordsError
     totals: dict[CallGroup, GroupTotal] = collections.defaultdict(GroupTotal)
-    for interval in inside:
-        for entry in interval.calls:
+    for interval in selected:
+        for call_count in interval.calls:
             group = CallGroup(
-                entry.outside, entry.service, entry.operation, entry.importance
+                call_count.outside,
+                call_count.service,
+                call_count.operation,
+                call_count.importance,
             )
-            totals[group].add(entry, interval)
-    start = min(interval.since_ms for interval in inside)
-    end = max(interval.until_ms for interval in inside)
+            totals[group].add(call_count, interval)
+    start_ms = min(interval.since_ms for interval in selected)
+    end_ms = max(interval.until_ms for interval in selected)
     return Report(
-        since_ms=start,
-        until_ms=end,
-        hosts=sorted({interval.host for interval in inside}),
+        since_ms=start_ms,
+        until_ms=end_ms,
+        hosts=sorted({interval.host for interval in selected}),
         totals=dict(totals),
-        gaps=find_gaps(distinct, start, end),
-        unreadable_lines=reading.unreadable_lines,
+        gaps=find_gaps(distinct, start_ms, end_ms),
+        unreadable_lines=parsed_logs.unreadable_lines,
     )
 
 
 def find_gaps(
-    intervals: collections.abc.Iterable[Interval], start: int, end: int
+    intervals: collections.abc.Iterable[Interval], start_ms: int, end_ms: int
 ) -> list[Gap]:
-    """Returns the times between start and end that a node left unrecorded.
+    """Returns the times between start and end that a node did not record.
 
-    A node that ended in good order leaves none until its next start.  One
-    that was killed leaves one from its last line on: what entered there
-    since has been counted by nobody.
+    A node that shut down cleanly has no gap until its next start.  A node that
+    was killed has a gap from its last line to its next start, if any, because
+    the calls that it accepted in this time were never logged.
     """
     by_host = collections.defaultdict(list)
     for interval in intervals:
         by_host[interval.host].append(interval)
-    found = []
+    gaps = []
     for host in sorted(by_host):
-        lines = sorted(
-            by_host[host], key=lambda line: (line.since_ms, line.until_ms)
+        host_intervals = sorted(
+            by_host[host],
+            key=lambda interval: (interval.since_ms, interval.until_ms),
         )
-        starts = [line.since_ms for line in lines[1:]] + [end]
-        for line, following in zip(lines, starts, strict=True):
-            gap = Gap(host, max(line.until_ms, start), min(following, end))
-            if not line.is_final and gap.since_ms < gap.until_ms:
-                found.append(gap)
-    return found
+        next_starts = [interval.since_ms for interval in host_intervals[1:]] + [
+            end_ms
+        ]
+        for interval, next_start_ms in zip(
+            host_intervals, next_starts, strict=True
+        ):
+            gap = Gap(
+                host,
+                max(interval.until_ms, start_ms),
+                min(next_start_ms, end_ms),
+            )
+            if not interval.is_final and gap.since_ms < gap.until_ms:
+                gaps.append(gap)
+    return gaps
