--- a/mangobay/flapping.py
+++ b/mangobay/flapping.py
@@ -30,11 +30,11 @@
 
     def hold_time(self) -> float:
         """Returns the seconds until the host may join again."""
-        above = self.consecutive_joins - UNDAMPED_JOINS
-        if above < 0:
+        excess = self.consecutive_joins - UNDAMPED_JOINS
+        if excess < 0:
             return 0.0
         return min(
-            INITIAL_HOLD_TIME * 2 ** min(above, MAX_DOUBLINGS), MAX_HOLD_TIME
+            INITIAL_HOLD_TIME * 2 ** min(excess, MAX_DOUBLINGS), MAX_HOLD_TIME
         )
 
 
--- a/mangobay/inforce.py
+++ b/mangobay/inforce.py
@@ -25,8 +25,8 @@
 class RevisionReports:
     """The revision that each host reported in this term."""
 
-    def __init__(self, config: statemachine.ConfigStateMachine):
-        self.machine = config
+    def __init__(self, machine: statemachine.ConfigStateMachine):
+        self.machine = machine
         self.revisions_by_host: dict[ids.HostId, ids.Revision] = {}
 
     def revision_of(self, host: ids.HostId) -> ids.Revision:
@@ -45,9 +45,9 @@
         self, revision: ids.Revision, timeout: float
     ) -> RolloutStatus:
         """Returns once a revision is in force everywhere or time is up."""
-        until = clock.now() + timeout
+        deadline = clock.now() + timeout
         while True:
-            result = self.rollout_status(revision)
-            if not result.stragglers or clock.now() >= until:
-                return result
+            status = self.rollout_status(revision)
+            if not status.stragglers or clock.now() >= deadline:
+                return status
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
--- a/mangobay/interests.py
+++ b/mangobay/interests.py
@@ -99,14 +99,14 @@
           known_services: those that control knows.
           unknown_seconds: how long the others are taken for unknown.
         """
-        until = clock.now() + unknown_seconds
+        forget_at = clock.now() + unknown_seconds
         for service in requested:
             if service in known_services:
                 self.known.add(service)
                 self.recently_used.add(service)
                 continue
             self.wanted.discard(service)
-            self.unknown_until[service] = until
+            self.unknown_until[service] = forget_at
             self.unknown_until.move_to_end(service)
             if len(self.unknown_until) > MAX_UNKNOWN_SERVICES:
                 self.unknown_until.popitem(last=False)
--- a/mangobay/leaseexpiry.py
+++ b/mangobay/leaseexpiry.py
@@ -27,8 +27,8 @@
     ) -> None:
         """Forgets everything; each owner may have been granted until now."""
         self.granted_at.clear()
-        for owner in processes:
-            self.granted_at[owner] = now
+        for process in processes:
+            self.granted_at[process] = now
 
     def record_grant(self, process: viewactivity.ProcessId, now: float) -> None:
         """The process was granted a lease now."""
@@ -37,14 +37,14 @@
 
     def pop_expired(self, now: float) -> list[viewactivity.ProcessId]:
         """Takes out and returns those whose lease has ended by now."""
-        ended = []
-        for owner, granted in self.granted_at.items():
-            if granted + self.expiry_seconds > now:
+        expired = []
+        for process, granted_at in self.granted_at.items():
+            if granted_at + self.expiry_seconds > now:
                 break
-            ended.append(owner)
-        for owner in ended:
-            del self.granted_at[owner]
-        return ended
+            expired.append(process)
+        for process in expired:
+            del self.granted_at[process]
+        return expired
 
-    def __contains__(self, owner: viewactivity.ProcessId) -> bool:
-        return owner in self.granted_at
+    def __contains__(self, process: viewactivity.ProcessId) -> bool:
+        return process in self.granted_at
--- a/mangobay/leases.py
+++ b/mangobay/leases.py
@@ -78,12 +78,12 @@
 
     def __init__(
         self,
-        config: statemachine.ConfigStateMachine,
+        machine: statemachine.ConfigStateMachine,
         group: Group,
         ttl: float,
         margin: float,
     ):
-        self.machine = config
+        self.machine = machine
         self.group = group
         self.ttl = ttl
         self.check_interval = min(
@@ -93,13 +93,13 @@
         self.term: ids.Term | None = None
         self.lease_expiry = leaseexpiry.LeaseExpiry(ttl + margin)
         self.view_activity = viewactivity.ViewActivity()
-        self.revision_reports = inforce.RevisionReports(config)
+        self.revision_reports = inforce.RevisionReports(machine)
         self.replaced_processes: collections.OrderedDict[
             viewactivity.ProcessId, None
         ] = collections.OrderedDict()
         self.notifier = notifier.ChangeNotifier()
         self.flap_damper = flapping.FlapDamper()
-        config.change_listeners.append(self.on_state_change)
+        machine.change_listeners.append(self.on_state_change)
 
     async def renew(self, renewal: messages.LeaseRenew) -> messages.LeaseGrant:
         """Answers a renewal, when there is something new or its time is up."""
@@ -146,19 +146,19 @@
         The former leader may have granted leases until this term began, so
         nobody is gone before ttl and margin have passed from now.
         """
-        newest = self.machine.views.values()
-        owners = {viewactivity.UNKNOWN_PROCESS}
+        newest_views = self.machine.views.values()
+        processes = {viewactivity.UNKNOWN_PROCESS}
         for record in self.machine.members.values():
-            owners.add(viewactivity.process_id_of(record.member))
-        for view in newest:
-            owners.update(
+            processes.add(viewactivity.process_id_of(record.member))
+        for view in newest_views:
+            processes.update(
                 viewactivity.process_id_of(m)
                 for m in views.former_members(view)
             )
-        self.lease_expiry.reset(sorted(owners), clock.now())
+        self.lease_expiry.reset(sorted(processes), clock.now())
         self.revision_reports.revisions_by_host.clear()
         self.view_activity = viewactivity.ViewActivity()
-        for view in newest:
+        for view in newest_views:
             self.track_view(view)
 
     def track_view(self, view: messages.ServiceView) -> None:
@@ -198,31 +198,31 @@
           errors.NotLeaderError: this host does not lead any more.
           errors.UncertainError: it lost the lead over the agreement.
         """
-        owner = viewactivity.process_id_of(renewal)
+        process = viewactivity.process_id_of(renewal)
         self.revision_reports.revisions_by_host[renewal.host] = renewal.revision
-        active = {
+        activated = {
             ack.service
             for ack in renewal.views
-            if self.view_activity.record_ack(owner, ack)
+            if self.view_activity.record_ack(process, ack)
         }
-        self.notify_active(active)
+        self.notify_active(activated)
         change = renewals.make_member_change(renewal)
         record = self.machine.members.get(renewal.host)
-        joins = renewals.newly_served(record, change)
-        if joins and self.flap_damper.is_join_held(renewal.host, clock.now()):
-            change = renewals.without_services(change, joins)
-            joins = set()
+        joined = renewals.newly_served(record, change)
+        if joined and self.flap_damper.is_join_held(renewal.host, clock.now()):
+            change = renewals.without_services(change, joined)
+            joined = set()
         if record is not None and statemachine.is_unchanged(record, change):
             return
         # A process that announces itself and then dies before its first
         # grant would stay a member for ever if its silence were not counted.
-        self.lease_expiry.record_grant(owner, clock.now())
+        self.lease_expiry.record_grant(process, clock.now())
         if record is not None and not statemachine.is_same_process(
             record, renewal
         ):
             self.mark_replaced(viewactivity.process_id_of(record.member))
         await self.group.propose(change)
-        if joins:
+        if joined:
             self.flap_damper.record_join(renewal.host, clock.now())
 
     def mark_replaced(self, process: viewactivity.ProcessId) -> None:
@@ -241,40 +241,40 @@
 
     async def wait_for_update(self, renewal: messages.LeaseRenew) -> None:
         """Waits until there is something new for the node or time is up."""
-        seconds = min(renewal.hold_ms / 1000, self.ttl / HOLD_DIVISOR)
-        if seconds <= 0 or renewal.revision < self.machine.revision:
+        max_wait = min(renewal.hold_ms / 1000, self.ttl / HOLD_DIVISOR)
+        if max_wait <= 0 or renewal.revision < self.machine.revision:
             return
         services = renewals.relevant_services(self.machine, renewal)
-        until = clock.now() + seconds
+        deadline = clock.now() + max_wait
         with self.notifier.subscribe(renewal.host, services) as event:
-            while clock.now() < until:
+            while clock.now() < deadline:
                 if renewals.has_update(
                     self.machine, self.view_activity.active_services, renewal
                 ):
                     # By an older view, a keyed call goes to a former owner.
                     if renewal.keyless:
-                        await self.coalesce_changes(until)
+                        await self.coalesce_changes(deadline)
                     return
                 event.clear()
                 try:
-                    async with asyncio.timeout_at(until):
+                    async with asyncio.timeout_at(deadline):
                         await event.wait()
                 except TimeoutError:
                     return
 
-    async def coalesce_changes(self, until: float) -> None:
+    async def coalesce_changes(self, deadline: float) -> None:
         """Waits for further news, so that nodes are told together.
 
         Args:
-          until: loop time at which the answer is due in any case.
+          deadline: loop time at which the answer is due in any case.
         """
         now = clock.now()
-        pause = coalescing.delay_seconds(len(self.notifier.events_by_host))
-        await asyncio.sleep(max(min(pause, until - now), 0))
+        delay = coalescing.delay_seconds(len(self.notifier.events_by_host))
+        await asyncio.sleep(max(min(delay, deadline - now), 0))
 
     def make_grant(self, renewal: messages.LeaseRenew) -> messages.LeaseGrant:
         """Returns a lease with what the node lacks."""
-        told = renewals.make_view_update(
+        view_update = renewals.make_view_update(
             self.machine, self.view_activity.active_services, renewal
         )
         return messages.LeaseGrant(
@@ -283,8 +283,8 @@
             leader=self.group.leader,
             leader_address=self.group.leader_address,
             table=renewals.make_table_update(self.machine, renewal),
-            views=told.full_views,
-            view_steps=told.steps,
+            views=view_update.full_views,
+            view_steps=view_update.steps,
             drain=renewals.is_drain_requested(self.machine, renewal),
             routes=renewals.newer_routes(self.machine, renewal),
             control_addresses=self.group.voter_addresses(),
@@ -299,9 +299,9 @@
     async def run(self) -> None:
         """Looks for hosts that are gone until cancelled."""
         while True:
-            last = clock.now()
+            last_check_at = clock.now()
             await asyncio.sleep(self.check_interval)
-            await self.check_expiry(last)
+            await self.check_expiry(last_check_at)
 
     async def check_expiry(self, last_check_at: float) -> None:
         """Looks once for hosts that are gone; `last` is when it last did."""
@@ -315,12 +315,12 @@
 
     async def remove_expired(self) -> None:
         """Declares those gone whose lease has ended."""
-        ended = self.lease_expiry.pop_expired(clock.now())
+        expired = self.lease_expiry.pop_expired(clock.now())
         changes = []
-        for owner in ended:
-            self.notify_active(self.view_activity.record_lease_end(owner))
-            record = self.machine.members.get(owner.host)
-            if record and record.member.incarnation == owner.incarnation:
+        for process in expired:
+            self.notify_active(self.view_activity.record_lease_end(process))
+            record = self.machine.members.get(process.host)
+            if record and record.member.incarnation == process.incarnation:
                 changes.append(
                     messages.MemberChange(
                         member=record.member,
@@ -344,9 +344,9 @@
                 )
                 continue
             # Not agreed on: tried again after another ttl and margin.
-            owner = viewactivity.process_id_of(change.member)
-            if owner not in self.lease_expiry:
-                self.lease_expiry.record_grant(owner, clock.now())
+            process = viewactivity.process_id_of(change.member)
+            if process not in self.lease_expiry:
+                self.lease_expiry.record_grant(process, clock.now())
             logs.log_event(
                 logs.Component.CONTROL,
                 "could not agree that a host is gone",
--- a/mangobay/notifier.py
+++ b/mangobay/notifier.py
@@ -37,15 +37,15 @@
             for service in services:
                 remove_event(self.events_by_service, service, event)
 
-    def notify(self, changed: statemachine.StateChange) -> None:
+    def notify(self, change: statemachine.StateChange) -> None:
         """Wakes those whom the change concerns."""
-        if changed.restored or changed.routes:
+        if change.restored or change.routes:
             for events in self.events_by_host.values():
                 wake_all(events)
             return
-        for service in changed.services:
+        for service in change.services:
             wake_all(self.events_by_service.get(service, ()))
-        for host in changed.hosts:
+        for host in change.hosts:
             wake_all(self.events_by_host.get(host, ()))
 
 
@@ -56,11 +56,11 @@
 
 
 def remove_event(
-    waiting: dict[typing.Any, set[asyncio.Event]],
-    name: str,
+    events_by_key: dict[typing.Any, set[asyncio.Event]],
+    key: str,
     event: asyncio.Event,
 ) -> None:
     """Takes the event out, and the name with the last one."""
-    waiting[name].discard(event)
-    if not waiting[name]:
-        del waiting[name]
+    events_by_key[key].discard(event)
+    if not events_by_key[key]:
+        del events_by_key[key]
--- a/mangobay/renewals.py
+++ b/mangobay/renewals.py
@@ -44,7 +44,7 @@
 
 
 def relevant_services(
-    config: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
+    machine: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> set[ids.ServiceName]:
     """Returns the services whose views concern the node.
 
@@ -53,17 +53,17 @@
     """
     services = {ids.ServiceName(name) for name in renewal.interests}
     if renewal.every_service:
-        services.update(config.views)
+        services.update(machine.views)
     services.update(served.name for served in renewal.serves)
     services.update(ack.service for ack in renewal.views)
     return services
 
 
 def make_table_update(
-    config: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
+    machine: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> messages.TableUpdate:
     """Returns the rows that the node lacks."""
-    return config.update_since(
+    return machine.update_since(
         renewal.revision, renewal.interests, renewal.new_interests
     )
 
@@ -84,7 +84,7 @@
 
 
 def make_view_update(
-    config: statemachine.ConfigStateMachine,
+    machine: statemachine.ConfigStateMachine,
     active: set[ids.ServiceName],
     renewal: messages.LeaseRenew,
 ) -> ViewUpdate:
@@ -94,18 +94,18 @@
     act on it; each view would otherwise go to all its callers twice.
 
     Args:
-      config: the replicated state.
+      machine: the replicated state.
       active: services whose newest view is active.
       renewal: of the node.
     """
-    news = ViewUpdate()
-    for view, ack in outdated_views(config, active, renewal):
+    update = ViewUpdate()
+    for view, ack in outdated_views(machine, active, renewal):
         is_active = view.service in active
-        steps = find_steps(config, renewal, view, ack)
+        steps = find_steps(machine, renewal, view, ack)
         if steps is None:
-            news.full_views.append(view_for_node(renewal, view, is_active))
+            update.full_views.append(view_for_node(renewal, view, is_active))
         else:
-            news.steps.append(
+            update.steps.append(
                 messages.ViewSteps(
                     service=view.service,
                     base=ack.version,
@@ -113,18 +113,18 @@
                     active=is_active,
                 )
             )
-    return news
+    return update
 
 
 def outdated_views(
-    config: statemachine.ConfigStateMachine,
+    machine: statemachine.ConfigStateMachine,
     active: set[ids.ServiceName],
     renewal: messages.LeaseRenew,
 ) -> typing.Iterator[tuple[messages.ServiceView, messages.ViewAck | None]]:
     """Yields the views that a node has to be told of, and what it acts by."""
     acks = {ack.service: ack for ack in renewal.views}
-    for service in sorted(relevant_services(config, renewal)):
-        view = config.views.get(service)
+    for service in sorted(relevant_services(machine, renewal)):
+        view = machine.views.get(service)
         if view is None:
             continue
         ack = acks.get(service)
@@ -135,7 +135,7 @@
 
 
 def find_steps(
-    config: statemachine.ConfigStateMachine,
+    machine: statemachine.ConfigStateMachine,
     renewal: messages.LeaseRenew,
     view: messages.ServiceView,
     ack: messages.ViewAck | None,
@@ -150,7 +150,7 @@
         return None
     if may_own_slots(renewal, view) and not ack.member:
         return None
-    steps = config.view_steps.since(view.service, ack.version)
+    steps = machine.view_steps.since(view.service, ack.version)
     if steps is None:
         return None
     if renewal.keyless:
@@ -181,34 +181,34 @@
 
 
 def newer_routes(
-    config: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
+    machine: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> messages.RoutesChange:
     """Returns the routes document where the node has an older one."""
-    if renewal.routes >= config.routes.version:
+    if renewal.routes >= machine.routes.version:
         return messages.RoutesChange()
-    return config.routes
+    return machine.routes
 
 
 def is_drain_requested(
-    config: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
+    machine: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> bool:
     """Returns whether an operator asked the node to leave."""
-    return renewal.host in config.draining
+    return renewal.host in machine.draining
 
 
 def has_update(
-    config: statemachine.ConfigStateMachine,
+    machine: statemachine.ConfigStateMachine,
     active: set[ids.ServiceName],
     renewal: messages.LeaseRenew,
 ) -> bool:
     """Returns whether an answer would tell the node anything new."""
     if renewal.new_interests:
         return True
-    if is_drain_requested(config, renewal) and not renewal.leaving:
+    if is_drain_requested(machine, renewal) and not renewal.leaving:
         return True
-    if newer_routes(config, renewal).version:
+    if newer_routes(machine, renewal).version:
         return True
-    if any(outdated_views(config, active, renewal)):
+    if any(outdated_views(machine, active, renewal)):
         return True
-    update = make_table_update(config, renewal)
+    update = make_table_update(machine, renewal)
     return bool(update.changed or update.removed)
--- a/mangobay/routes.py
+++ b/mangobay/routes.py
@@ -107,27 +107,28 @@
 
 def validate(document: Document) -> list[findings.Finding]:
     """Returns what forbids to put the document in force, in its order."""
-    known = {service.name for service in document.services}
-    found = []
+    known_services = {service.name for service in document.services}
+    problems = []
     for route in document.routes:
-        place = f"route {route.name}"
-        found += [
-            findings.Finding(place, text) for text in route_errors(route, known)
+        location = f"route {route.name}"
+        problems += [
+            findings.Finding(location, text)
+            for text in route_errors(route, known_services)
         ]
-    return found
+    return problems
 
 
 def route_errors(
-    route: Route, known: typing.AbstractSet[ids.ServiceName]
+    route: Route, known_services: typing.AbstractSet[ids.ServiceName]
 ) -> collections.abc.Iterator[str]:
     """Yields what is wrong with a route."""
     if not route.weighted_services:
         yield "names no service"
-    for part in route.weighted_services:
-        if part.service not in known:
-            yield f"names the unknown service {part.service}"
-        if part.weight < 0:
-            yield f"the weight of {part.service} is below 0"
+    for weighted in route.weighted_services:
+        if weighted.service not in known_services:
+            yield f"names the unknown service {weighted.service}"
+        if weighted.weight < 0:
+            yield f"the weight of {weighted.service} is below 0"
     if not 0 < route.timeout <= MAX_TIMEOUT_SECONDS:
         yield f"the timeout must be above 0 and at most {MAX_TIMEOUT_SECONDS:g} s"
     if route.max_attempts < 1:
@@ -172,7 +173,9 @@
         self.operations: dict[tuple[int, str], messages.Operation] = {}
         self.current_weights = [0.0] * len(route.weighted_services)
         self.max_time_left = 0.0
-        self.total_weight = sum(part.weight for part in route.weighted_services)
+        self.total_weight = sum(
+            weighted.weight for weighted in route.weighted_services
+        )
 
     def has_waited_before(self, time_left: float) -> bool:
         """Returns whether a caller has waited for this before.
@@ -200,8 +203,8 @@
             return self.get_operation(0, method)
         if self.total_weight <= 0:
             return None
-        for place, part in enumerate(self.route.weighted_services):
-            self.current_weights[place] += part.weight
+        for index, weighted in enumerate(self.route.weighted_services):
+            self.current_weights[index] += weighted.weight
         best = max(
             range(len(self.current_weights)),
             key=self.current_weights.__getitem__,
@@ -212,26 +215,26 @@
     def get_operation(self, index: int, method: str) -> messages.Operation:
         """Returns what the rest of the system knows of a part's requests."""
         key = (index, method)
-        found = self.operations.get(key)
-        if found is None:
-            found = make_operation(
+        operation = self.operations.get(key)
+        if operation is None:
+            operation = make_operation(
                 self.route, self.route.weighted_services[index], method
             )
             # Callers choose the method: a hundred made-up ones must not stay.
             if len(self.operations) < MAX_OPERATIONS:
-                self.operations[key] = found
-        return found
+                self.operations[key] = operation
+        return operation
 
 
 def make_operation(
-    route: Route, part: WeightedService, method: str
+    route: Route, weighted: WeightedService, method: str
 ) -> messages.Operation:
     """Returns what the product knows of the requests of a route's part."""
     importance = IMPORTANCE_BY_PRIORITY[
         min(max(route.priority, 0), len(IMPORTANCE_BY_PRIORITY) - 1)
     ]
     return messages.Operation(
-        service=part.service,
+        service=weighted.service,
         name=ids.OperationName(route.name),
         method=method,
         importance=importance,
@@ -264,24 +267,24 @@
             return None
         end = path.rfind("/")
         while end >= 0:
-            found = by_prefix.get(path[: end + 1])
-            if found is not None:
-                return found
+            route = by_prefix.get(path[: end + 1])
+            if route is not None:
+                return route
             end = path.rfind("/", 0, end)
         return None
 
     def services(self) -> set[ids.ServiceName]:
         """Returns every service that some route goes to."""
         return {
-            part.service
+            weighted.service
             for route in self.document.routes
-            for part in route.weighted_services
+            for weighted in route.weighted_services
         }
 
 
-def parse_hostname(field: str) -> str:
+def parse_hostname(host_header: str) -> str:
     """Returns the host name in a Host field, without a port."""
-    name, colon, port = field.rpartition(":")
+    name, colon, port = host_header.rpartition(":")
     if colon and port.isdecimal():
-        field = name
-    return field.lower()
+        host_header = name
+    return host_header.lower()
--- a/mangobay/routespublisher.py
+++ b/mangobay/routespublisher.py
@@ -58,11 +58,11 @@
 
     def __init__(
         self,
-        config: statemachine.ConfigStateMachine,
+        machine: statemachine.ConfigStateMachine,
         group: Group,
         transport: "peers.Transport",
     ):
-        self.machine = config
+        self.machine = machine
         self.group = group
         self.transport = transport
         self.lock = asyncio.Lock()
--- a/mangobay/sheetacceptance.py
+++ b/mangobay/sheetacceptance.py
@@ -40,15 +40,15 @@
     """Takes sheets in at the leader, one after the other."""
 
     def __init__(
-        self, config: statemachine.ConfigStateMachine, group: leases.Group
+        self, machine: statemachine.ConfigStateMachine, group: leases.Group
     ):
-        self.machine = config
+        self.machine = machine
         self.group = group
         self.lock = asyncio.Lock()
 
     async def accept(
         self,
-        checked: sheet.Sheet,
+        checked_sheet: sheet.Sheet,
         version: ids.SheetVersion,
         operator: str,
     ) -> SheetResult:
@@ -67,18 +67,20 @@
                 # entry would only be refused when it is applied.
                 await self.group.confirm_leadership()
                 if version in self.machine.history_by_version:
-                    return self.make_result(checked, version)
+                    return self.make_result(checked_sheet, version)
                 if self.machine.used_versions.contains(version):
                     raise errors.VersionUsedError(version)
-                change = await self.make_change(checked, version, operator)
+                change = await self.make_change(
+                    checked_sheet, version, operator
+                )
                 entry = await self.group.propose(change)
                 if version in self.machine.history_by_version:
-                    return self.make_result(checked, version, entry.index)
+                    return self.make_result(checked_sheet, version, entry.index)
         raise errors.NotLeaderError(self.group.leader)
 
     async def make_change(
         self,
-        checked: sheet.Sheet,
+        checked_sheet: sheet.Sheet,
         version: ids.SheetVersion,
         operator: str,
     ) -> messages.SheetChange:
@@ -87,11 +89,11 @@
         rows = list(self.machine.operations())
         # A large sheet takes longer than a heartbeat may be late.
         difference = await asyncio.to_thread(
-            operationtable.difference, rows, checked.operations
+            operationtable.difference, rows, checked_sheet.operations
         )
         return messages.SheetChange(
             version=version,
-            digest=checked.digest,
+            digest=checked_sheet.digest,
             operator=operator,
             accepted_ms=clock.unix_ms(),
             base=base,
@@ -101,7 +103,7 @@
 
     def make_result(
         self,
-        checked: sheet.Sheet,
+        checked_sheet: sheet.Sheet,
         version: ids.SheetVersion,
         proposed_index: ids.LogIndex | None = None,
     ) -> SheetResult:
@@ -111,7 +113,7 @@
           errors.ConflictError: the version is taken by another content.
         """
         item = self.machine.history_by_version[version]
-        if item.digest != checked.digest:
+        if item.digest != checked_sheet.digest:
             raise errors.ConflictError(version, item.revision)
         return SheetResult(
             revision=item.revision,
--- a/mangobay/snapshottransfer.py
+++ b/mangobay/snapshottransfer.py
@@ -81,17 +81,17 @@
             data=data,
             checksum=xxhash.xxh3_64_intdigest(data),
         )
-    sending = follower.outgoing_snapshot
+    outgoing = follower.outgoing_snapshot
     return messages.SnapshotPut(
         term=ids.Term(group.term),
         leader=group.host,
-        part=sending.data[sending.offset : sending.offset + MAX_PART_BYTES],
+        part=outgoing.data[outgoing.offset : outgoing.offset + MAX_PART_BYTES],
         identity=group.identity,
         address=str(group.address),
-        last_index=sending.last_index,
-        offset=sending.offset,
-        size=len(sending.data),
-        checksum=sending.checksum,
+        last_index=outgoing.last_index,
+        offset=outgoing.offset,
+        size=len(outgoing.data),
+        checksum=outgoing.checksum,
     )
 
 
@@ -99,11 +99,11 @@
     follower: "progress.Follower", reply: messages.SnapshotReply
 ) -> None:
     """Takes in how much a follower holds, or that it has installed it."""
-    sending = follower.outgoing_snapshot
-    if sending is None:
+    outgoing = follower.outgoing_snapshot
+    if outgoing is None:
         return
-    if reply.last_index < sending.last_index:
-        sending.offset = reply.received
+    if reply.last_index < outgoing.last_index:
+        outgoing.offset = reply.received
         return
     follower.outgoing_snapshot = None
     follower.match_index = max(follower.match_index, reply.last_index)
@@ -119,16 +119,16 @@
     if body.last_index <= group.commit_index:
         group.incoming_snapshot = None
         return make_snapshot_reply(group, body.last_index, body.size)
-    receiving = group.incoming_snapshot
-    if receiving is None or not receiving.is_same_snapshot(body):
-        receiving = IncomingSnapshot(body.last_index, body.size, body.checksum)
-        group.incoming_snapshot = receiving
-    if body.offset == len(receiving.data):
-        receiving.data += body.part
-    received = len(receiving.data)
-    if received >= receiving.size and receiving.install_task is None:
-        receiving.install_task = group.start_background_task(
-            install(group, receiving)
+    incoming = group.incoming_snapshot
+    if incoming is None or not incoming.is_same_snapshot(body):
+        incoming = IncomingSnapshot(body.last_index, body.size, body.checksum)
+        group.incoming_snapshot = incoming
+    if body.offset == len(incoming.data):
+        incoming.data += body.part
+    received = len(incoming.data)
+    if received >= incoming.size and incoming.install_task is None:
+        incoming.install_task = group.start_background_task(
+            install(group, incoming)
         )
     return make_snapshot_reply(group, 0, received)
 
@@ -146,13 +146,11 @@
     )
 
 
-async def install(
-    group: "consensus.Group", receiving: IncomingSnapshot
-) -> None:
+async def install(group: "consensus.Group", incoming: IncomingSnapshot) -> None:
     """Replaces log and machine by a snapshot that has come whole."""
     try:
-        data = bytes(receiving.data)
-        if xxhash.xxh3_64_intdigest(data) != receiving.checksum:
+        data = bytes(incoming.data)
+        if xxhash.xxh3_64_intdigest(data) != incoming.checksum:
             raise errors.PeerProtocolError("a snapshot has a bad checksum")
         # Without the lock: what decodes and syncs for long must not keep
         # this host from answering the leader's heartbeats.
@@ -168,7 +166,7 @@
         )
     finally:
         # From the first byte again, if it was not installed.
-        if group.incoming_snapshot is receiving:
+        if group.incoming_snapshot is incoming:
             group.incoming_snapshot = None
 
 
--- a/mangobay/statemachine.py
+++ b/mangobay/statemachine.py
@@ -113,12 +113,12 @@
                 return
         self.notify_listeners(changed)
 
-    def notify_listeners(self, changed: StateChange) -> None:
+    def notify_listeners(self, change: StateChange) -> None:
         """Calls the watchers unless nothing changed."""
-        if changed == StateChange():
+        if change == StateChange():
             return
-        for watcher in self.change_listeners:
-            watcher(changed)
+        for listener in self.change_listeners:
+            listener(change)
 
     def apply_sheet(
         self, index: ids.LogIndex, change: messages.SheetChange
@@ -147,9 +147,9 @@
         if change.removed:
             self.trim_removed()
         self.add_to_history(change)
-        touched = {row.service for row in change.changed}
-        touched |= {row.service for row in change.removed}
-        return StateChange(services=frozenset(touched))
+        affected = {row.service for row in change.changed}
+        affected |= {row.service for row in change.removed}
+        return StateChange(services=frozenset(affected))
 
     def put_row(self, operation: messages.Operation) -> None:
         """Adds or replaces an operation at the current revision."""
@@ -247,12 +247,12 @@
                 member=change.member, serves=serves, since_index=index
             )
         slots = {served.name: served.slots for served in serves}
-        touched = set(slots)
+        affected = set(slots)
         if former is not None:
-            touched |= {served.name for served in former.serves}
+            affected |= {served.name for served in former.serves}
         changed = {
             service
-            for service in touched
+            for service in affected
             if self.update_view(
                 index, service, change.member, slots.get(service)
             )
@@ -373,18 +373,18 @@
           services: what the node holds rows of.
           new_services: those of them whose rows it does not hold yet.
         """
-        whole = base == NO_REVISION or base < self.min_base_revision
+        send_all = base == NO_REVISION or base < self.min_base_revision
         update = messages.TableUpdate(
-            revision=self.revision, base=NO_REVISION if whole else base
+            revision=self.revision, base=NO_REVISION if send_all else base
         )
         for service in services:
-            oldest = NO_REVISION if whole or service in new_services else base
+            since = NO_REVISION if send_all or service in new_services else base
             update.changed += [
                 row.operation
                 for row in self.rows.get(service, {}).values()
-                if row.revision > oldest
+                if row.revision > since
             ]
-            if whole:
+            if send_all:
                 continue
             update.removed += [
                 messages.OperationRef(service=service, name=name)
--- a/mangobay/usedversions.py
+++ b/mangobay/usedversions.py
@@ -48,8 +48,8 @@
 
     def contains(self, version: ids.SheetVersion) -> bool:
         """Returns whether the version was used."""
-        sought = fingerprint(version)
-        at = self.fingerprints.find(sought)
-        while at >= 0 and at % FINGERPRINT_BYTES:
-            at = self.fingerprints.find(sought, at + 1)
-        return at >= 0
+        target = fingerprint(version)
+        position = self.fingerprints.find(target)
+        while position >= 0 and position % FINGERPRINT_BYTES:
+            position = self.fingerprints.find(target, position + 1)
+        return position >= 0
--- a/mangobay/viewactivity.py
+++ b/mangobay/viewactivity.py
@@ -56,9 +56,9 @@
         self.newest_versions[view.service] = view.version
         self.active_services.discard(view.service)
         for member in views.former_members(view):
-            owner = process_id_of(member)
-            if owner in live_processes:
-                self.require_ack(view.service, owner, view.version)
+            process = process_id_of(member)
+            if process in live_processes:
+                self.require_ack(view.service, process, view.version)
         self.activate_if_acked(view.service)
 
     def require_ack(
@@ -68,8 +68,8 @@
         version: ids.ViewVersion,
     ) -> None:
         """Keeps the service's view from being active until the owner knows."""
-        waiting = self.pending_acks.setdefault(service, {})
-        waiting[process] = max(version, waiting.get(process, version))
+        pending = self.pending_acks.setdefault(service, {})
+        pending[process] = max(version, pending.get(process, version))
         self.services_by_process.setdefault(process, set()).add(service)
 
     def record_ack(self, process: ProcessId, ack: messages.ViewAck) -> bool:
@@ -86,8 +86,8 @@
             return self.activate_if_acked(ack.service)
         if ack.member and ack.version < newest:
             self.require_ack(ack.service, process, newest)
-        needed = self.pending_acks.get(ack.service, {}).get(process)
-        if needed is None or ack.version < needed:
+        required = self.pending_acks.get(ack.service, {}).get(process)
+        if required is None or ack.version < required:
             return False
         self.remove_pending(ack.service, process)
         return self.activate_if_acked(ack.service)
@@ -116,8 +116,8 @@
 
     def clear_pending(self, service: ids.ServiceName) -> None:
         """Empties the list of a service."""
-        for owner in list(self.pending_acks.get(service, ())):
-            self.remove_pending(service, owner)
+        for process in list(self.pending_acks.get(service, ())):
+            self.remove_pending(service, process)
 
     def activate_if_acked(self, service: ids.ServiceName) -> bool:
         """Returns whether the newest view has just become active."""
--- a/mangobay/views.py
+++ b/mangobay/views.py
@@ -44,11 +44,11 @@
     members: list[messages.Member], step: messages.ViewStep
 ) -> list[messages.Member]:
     """Returns the members of a view after a step, ordered by host."""
-    kept = [item for item in members if item.host != step.member.host]
+    result = [item for item in members if item.host != step.member.host]
     if not step.gone:
-        kept.append(step.member)
-        kept.sort(key=lambda item: item.host)
-    return kept
+        result.append(step.member)
+        result.sort(key=lambda item: item.host)
+    return result
 
 
 def apply_step(
@@ -116,16 +116,16 @@
     """
     result = dict(current)
     for view in full_views:
-        old = result.get(view.service)
+        current_view = result.get(view.service)
         # A new leader does not know yet what is active; the node does.
-        if old is None or is_newer(view, old):
+        if current_view is None or is_newer(view, current_view):
             result[view.service] = view
-    for change in steps:
-        old = result.get(change.service)
+    for update in steps:
+        current_view = result.get(update.service)
         # Steps from another view than this one answer an older renewal.
-        if old is not None and old.version == change.base:
-            result[change.service] = apply_steps(
-                old, change, may_own_slots(old)
+        if current_view is not None and current_view.version == update.base:
+            result[update.service] = apply_steps(
+                current_view, update, may_own_slots(current_view)
             )
     return result
 
@@ -158,22 +158,22 @@
         member_count: int,
     ) -> None:
         """Takes in the step to a view of so many members."""
-        kept = self.by_service.setdefault(service, collections.deque())
+        steps = self.by_service.setdefault(service, collections.deque())
         self.base_versions.setdefault(service, ids.ViewVersion(0))
-        kept.append(step)
+        steps.append(step)
         while (
-            len(kept)
+            len(steps)
             > MIN_RETAINED_STEPS + RETAINED_STEPS_PER_MEMBER * member_count
         ):
-            self.base_versions[service] = kept.popleft().version
+            self.base_versions[service] = steps.popleft().version
 
     def since(
         self, service: ids.ServiceName, base: ids.ViewVersion
     ) -> list[messages.ViewStep] | None:
         """Returns the steps from a version on; None where they are not kept."""
-        found = []
+        steps = []
         for step in reversed(self.by_service.get(service, ())):
             if step.version <= base:
-                return found[::-1] if step.version == base else None
-            found.append(step)
-        return found[::-1] if self.base_versions.get(service) == base else None
+                return steps[::-1] if step.version == base else None
+            steps.append(step)
+        return steps[::-1] if self.base_versions.get(service) == base else None
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -17,17 +17,17 @@
         Control counts from when it granted.  A node that counted from when
         the answer came would act for its keys beside the next owner.
         """
-        held = lease.Lease()
+        node_lease = lease.Lease()
         asked_at = clock.now()
         await asyncio.sleep(3)
-        held.extend(asked_at, 4)
-        assert held.is_valid()
+        node_lease.extend(asked_at, 4)
+        assert node_lease.is_valid()
         await asyncio.sleep(1)
-        assert not held.is_valid()
+        assert not node_lease.is_valid()
 
     async def test_an_older_grant_does_not_shorten_it(self):
-        held = lease.Lease()
-        held.extend(clock.now(), 4)
-        held.extend(clock.now() - 2, 4)
+        node_lease = lease.Lease()
+        node_lease.extend(clock.now(), 4)
+        node_lease.extend(clock.now() - 2, 4)
         await asyncio.sleep(3)
-        assert held.is_valid()
+        assert node_lease.is_valid()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -120,10 +120,12 @@
                 controlfakes.make_member_join("a", "quotes", incarnation=run)
             )
         caller = controlfakes.make_renewal("b", "prices", interests=["quotes"])
-        told = {v.service: v for v in (await table.renew(caller)).views}
-        assert [m.host for m in told["quotes"].members] == ["a"]
-        assert not told["quotes"].formers
-        assert not told["quotes"].lineage_whole
+        views_by_service = {
+            v.service: v for v in (await table.renew(caller)).views
+        }
+        assert [m.host for m in views_by_service["quotes"].members] == ["a"]
+        assert not views_by_service["quotes"].formers
+        assert not views_by_service["quotes"].lineage_whole
         member = controlfakes.make_renewal("a", "quotes", incarnation="4")
         (view,) = (await table.renew(member)).views
         assert len(view.formers) == 3
@@ -139,16 +141,16 @@
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         group.lose_quorum()
-        asking = asyncio.create_task(
+        renewal_task = asyncio.create_task(
             table.renew(controlfakes.make_renewal("a", "quotes"))
         )
         await asyncio.sleep(60)
-        assert not asking.done()
+        assert not renewal_task.done()
         group.leading.clear()
         group.term = ids.Term(2)
         group.leader = ids.HostId("c2")
         group.has_quorum.set()
-        grant = await asking
+        grant = await renewal_task
         assert not grant.granted
         assert grant.leader == "c2"
 
@@ -161,7 +163,7 @@
         that the new term knows nothing of would not delay the node's end.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
-        held = asyncio.create_task(
+        renewal_task = asyncio.create_task(
             table.renew(
                 controlfakes.make_renewal(
                     "a", "quotes", hold_ms=900, acks=[("quotes", 1, True)]
@@ -170,13 +172,15 @@
         )
         await asyncio.sleep(0.1)
         group.term = ids.Term(3)
-        assert not (await held).granted
+        assert not (await renewal_task).granted
 
     async def test_a_change_answers_a_held_renewal_at_once(self, table, group):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
-        ask = controlfakes.make_renewal("a", "quotes", hold_ms=900)
-        ask.views = [messages.ViewAck(service="quotes", version=1, active=True)]
-        held = asyncio.create_task(table.renew(ask))
+        renewal = controlfakes.make_renewal("a", "quotes", hold_ms=900)
+        renewal.views = [
+            messages.ViewAck(service="quotes", version=1, active=True)
+        ]
+        renewal_task = asyncio.create_task(table.renew(renewal))
         await asyncio.sleep(0.2)
         group.append(
             controlfakes.make_sheet_change(
@@ -184,13 +188,13 @@
             )
         )
         await asyncio.sleep(0.1)
-        assert not held.done()
+        assert not renewal_task.done()
         group.append(
             controlfakes.make_sheet_change(
                 "2", controlfakes.make_operation("sign"), base=2
             )
         )
-        grant = await held
+        grant = await renewal_task
         assert clock.now() < 0.4
         assert [row.name for row in grant.table.changed] == ["sign"]
         assert (
@@ -215,10 +219,10 @@
     async def test_a_drained_host_is_told_until_it_leaves(self, table, group):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         group.append(messages.DrainChange(host="a"))
-        ask = controlfakes.make_renewal(
+        renewal = controlfakes.make_renewal(
             "a", "quotes", hold_ms=900, acks=[("quotes", 1, True)]
         )
-        assert (await table.renew(ask)).drain
+        assert (await table.renew(renewal)).drain
 
 
 class TestExpiry:
@@ -343,18 +347,18 @@
         )
         acks = [(view.service, view.version, True) for view in grant.views]
         acks = [acks[0], acks[1][:2]]
-        asked = controlfakes.make_renewal(
+        renewal = controlfakes.make_renewal(
             "c", "prices", acks=acks, hold_ms=900, **caller
         )
-        held = asyncio.create_task(table.renew(asked))
+        renewal_task = asyncio.create_task(table.renew(renewal))
         await asyncio.sleep(0.1)
         grant = await table.renew(
             controlfakes.make_renewal("a", "quotes", acks=[acks[1]])
         )
         assert [view.active for view in grant.views] == [True]
         await asyncio.sleep(0.1)
-        assert not held.done()
-        assert not (await held).views
+        assert not renewal_task.done()
+        assert not (await renewal_task).views
 
     async def test_one_dropped_two_views_ago_is_still_waited_for(
         self, table, state
@@ -424,10 +428,10 @@
         await table.renew(
             controlfakes.make_renewal("a", "quotes", revision=entry.index)
         )
-        result = await table.revision_reports.wait_until_in_force(
+        status = await table.revision_reports.wait_until_in_force(
             entry.index, 0.5
         )
-        assert (result.host_count, result.stragglers) == (2, ["b"])
+        assert (status.host_count, status.stragglers) == (2, ["b"])
         await table.renew(
             controlfakes.make_renewal("b", "quotes", revision=entry.index)
         )
@@ -450,20 +454,22 @@
 
     async def renew_forever(self, host):
         """Renews for one node for ever."""
-        held = {}
+        versions = {}
         while True:
-            ask = controlfakes.make_renewal(
+            renewal = controlfakes.make_renewal(
                 host,
                 "quotes",
                 hold_ms=900,
-                acks=held.items(),
+                acks=versions.items(),
                 every_service=True,
                 keyless=True,
             )
-            grant = await self.table.renew(ask)
-            held.update((view.service, view.version) for view in grant.views)
-            for told in grant.view_steps:
-                held[told.service] = told.steps[-1].version
+            grant = await self.table.renew(renewal)
+            versions.update(
+                (view.service, view.version) for view in grant.views
+            )
+            for steps in grant.view_steps:
+                versions[steps.service] = steps.steps[-1].version
             if grant.views or grant.view_steps:
                 self.update_count += 1
                 envelope = messages.Envelope(body=grant)
@@ -472,7 +478,7 @@
     @contextlib.asynccontextmanager
     async def running(self):
         """Runs every node; all of them hold the newest view on entry."""
-        following = [
+        tasks = [
             asyncio.create_task(self.renew_forever(f"h{number:04}"))
             for number in range(self.node_count)
         ]
@@ -481,7 +487,7 @@
         try:
             yield
         finally:
-            for task in following:
+            for task in tasks:
                 task.cancel()
 
 
@@ -525,18 +531,18 @@
         await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
         async with FakeNodes(table, 200).running():
-            ask = controlfakes.make_renewal(
+            renewal = controlfakes.make_renewal(
                 "b",
                 "quotes",
                 acks=[("quotes", group.machine.views["quotes"].version, True)],
                 hold_ms=900,
             )
-            held = asyncio.create_task(table.renew(ask))
+            renewal_task = asyncio.create_task(table.renew(renewal))
             await asyncio.sleep(0.01)
             group.append(controlfakes.make_member_gone("a"))
-            began = clock.now()
-            await held
-            assert clock.now() - began < 0.01
+            changed_at = clock.now()
+            await renewal_task
+            assert clock.now() - changed_at < 0.01
         assert group.machine.views["quotes"].version > version
 
     async def test_a_keyless_node_is_not_told_that_a_view_is_active(
@@ -546,21 +552,21 @@
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
-        ask = controlfakes.make_renewal(
+        renewal = controlfakes.make_renewal(
             "b",
             "quotes",
             acks=[("quotes", version)],
             hold_ms=900,
             keyless=True,
         )
-        held = asyncio.create_task(table.renew(ask))
+        renewal_task = asyncio.create_task(table.renew(renewal))
         await asyncio.sleep(0.1)
         await table.renew(
             controlfakes.make_renewal("a", "quotes", acks=[("quotes", version)])
         )
         assert "quotes" in table.view_activity.active_services
         await asyncio.sleep(0.1)
-        assert not held.done()
-        grant = await held
+        assert not renewal_task.done()
+        grant = await renewal_task
         assert not grant.views
         assert not grant.view_steps
--- a/tests/test_leases_random.py
+++ b/tests/test_leases_random.py
@@ -37,7 +37,7 @@
 
     def __init__(self, host, incarnation, simulation):
         self.simulation = simulation
-        self.cut = False
+        self.is_cut = False
         self.client = controlclient.ControlClient(
             routingfakes.section(
                 "control",
@@ -60,12 +60,12 @@
         """Carries a renewal: late, or not at all."""
         async with asyncio.timeout(timeout):
             await self.simulate_network()
-            answer = await self.simulation.tables[address].renew(body)
+            grant = await self.simulation.tables[address].renew(body)
             await self.simulate_network()
-            return answer
+            return grant
 
     async def simulate_network(self):
-        if self.cut:
+        if self.is_cut:
             await asyncio.Event().wait()
         await asyncio.sleep(self.simulation.rng.uniform(0.001, 0.1))
         if self.simulation.rng.random() < 0.05:
@@ -126,7 +126,7 @@
             case 2:
                 node.task.cancel()
             case 3 | 4:
-                node.cut = not node.cut
+                node.is_cut = not node.is_cut
             case 5:
                 self.serve_random_services(node)
 
@@ -153,7 +153,7 @@
 
     async def run(self):
         """Runs the control hosts, the nodes and the faults."""
-        running = [
+        table_tasks = [
             asyncio.create_task(table.run()) for table in self.tables.values()
         ]
         for host in HOSTS:
@@ -168,7 +168,7 @@
                     self.inject_fault(term)
                     next_fault += self.rng.expovariate(1.0)
         finally:
-            for task in (*running, *(node.task for node in self.nodes)):
+            for task in (*table_tasks, *(node.task for node in self.nodes)):
                 task.cancel()
 
 
@@ -191,10 +191,10 @@
         await self.run(seed)
 
     async def run(self, seed) -> None:
-        world = LeaseSimulation(seed)
-        await world.run()
+        simulation = LeaseSimulation(seed)
+        await simulation.run()
         print(
-            f"seed {seed}: {world.fault_count} faults, {world.check_count} checks"
+            f"seed {seed}: {simulation.fault_count} faults, {simulation.check_count} checks"
         )
-        assert world.fault_count > 20
-        assert world.check_count > MIN_CHECKS
+        assert simulation.fault_count > 20
+        assert simulation.check_count > MIN_CHECKS
--- a/tests/test_statemachine.py
+++ b/tests/test_statemachine.py
@@ -58,8 +58,8 @@
         new = controlfakes.make_sheet_change(
             "2", controlfakes.make_operation("sign", tries=2), base=1
         )
-        again = controlfakes.make_sheet_change("1", *old.changed, base=2)
-        apply(state, old, new, again)
+        resent = controlfakes.make_sheet_change("1", *old.changed, base=2)
+        apply(state, old, new, resent)
         assert state.revision == 2
         assert next(state.operations()).tries == 2
         assert state.history_by_version["1"].revision == 1
@@ -228,9 +228,9 @@
         monkeypatch.setattr(statemachine, "MAX_HISTORY_ITEMS", 3)
         state = statemachine.ConfigStateMachine()
         self.accept_sheets(state, 5)
-        other = statemachine.ConfigStateMachine()
-        other.restore(state.snapshot())
-        for each in (state, other):
+        restored = statemachine.ConfigStateMachine()
+        restored.restore(state.snapshot())
+        for each in (state, restored):
             assert [item.version for item in each.history] == ["v3", "v4", "v5"]
             assert list(each.history_by_version) == ["v3", "v4", "v5"]
             assert each.dropped_history_items == 2
@@ -275,11 +275,11 @@
             ),
         )
         data = messages.encode_snapshot(state.snapshot())
-        other = statemachine.ConfigStateMachine()
-        other.restore(messages.decode_snapshot(data))
-        assert other.snapshot() == state.snapshot()
-        assert other.history_by_version == state.history_by_version
-        assert other.revision == state.revision
+        restored = statemachine.ConfigStateMachine()
+        restored.restore(messages.decode_snapshot(data))
+        assert restored.snapshot() == state.snapshot()
+        assert restored.history_by_version == state.history_by_version
+        assert restored.revision == state.revision
 
     def test_a_node_behind_the_snapshot_gets_its_rows_whole(self):
         """A control host restarts from a snapshot made at revision 2.
@@ -301,8 +301,8 @@
                 removed=[("quotes", "old")],
             ),
         )
-        other = statemachine.ConfigStateMachine()
-        other.restore(state.snapshot())
-        update = other.update_since(1, ["quotes"], [])
+        restored = statemachine.ConfigStateMachine()
+        restored.restore(state.snapshot())
+        update = restored.update_since(1, ["quotes"], [])
         assert update.base == 0
         assert [row.name for row in update.changed] == ["new"]
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -45,11 +45,11 @@
             assert view.members == newest.members
 
     def test_no_way_leads_from_a_version_that_is_not_kept(self, state):
-        for turn in range(views.MIN_RETAINED_STEPS * 2):
+        for number in range(views.MIN_RETAINED_STEPS * 2):
             apply(
                 state,
                 controlfakes.make_member_join(
-                    "a", "quotes", incarnation=f"{turn + 2}"
+                    "a", "quotes", incarnation=f"{number + 2}"
                 ),
             )
         assert state.view_steps.since("quotes", 1) is None
@@ -68,15 +68,17 @@
 
     def test_kept_steps_are_bounded_by_the_members(self, state):
         """Guards against memory that grows with the age of a service."""
-        for turn in range(1000):
+        for number in range(1000):
             apply(
                 state,
                 controlfakes.make_member_join(
-                    "a", "quotes", incarnation=f"{turn + 2}"
+                    "a", "quotes", incarnation=f"{number + 2}"
                 ),
             )
-        most = views.MIN_RETAINED_STEPS + views.RETAINED_STEPS_PER_MEMBER * 3
-        assert len(state.view_steps.by_service["quotes"]) == most
+        max_steps = (
+            views.MIN_RETAINED_STEPS + views.RETAINED_STEPS_PER_MEMBER * 3
+        )
+        assert len(state.view_steps.by_service["quotes"]) == max_steps
 
     def test_several_steps_of_a_host_are_told_as_its_last(self, state):
         apply(
