--- a/mangobay/coalescing.py
+++ b/mangobay/coalescing.py
@@ -1,21 +1,21 @@
-"""How long news wait at the leader for further news.
+"""Delay that lets the leader send several changes in one grant.
 
-The load that this answers: hundreds of nodes join, leave or restart within
-seconds.  Told at once, each change would be an answer and a new renewal of
-every node, and the leader would spend the product of nodes and changes.
+Hundreds of nodes may join, leave or restart within seconds. Without the delay
+each change would cause a grant and a new renewal for every node, and the
+leader's load would grow with the product of nodes and changes.
 """
 
 MAX_GRANTS_PER_SECOND = 400
-"""Answers with news in a second that one leader gives."""
+"""Grants with changes that a leader sends per second."""
 
 MAX_DELAY_SECONDS = 0.5
-"""Seconds; below what a node may act by former routes or views."""
+"""Seconds; shorter than a node may use outdated routes or views."""
 
 
 def delay_seconds(node_count: int) -> float:
-    """Returns how long news wait for further news.
+    """Returns how long a change waits for further changes.
 
     Args:
-      node_count: whose renewals are held.
+      node_count: number of nodes whose renewals are waiting.
     """
     return min(node_count / MAX_GRANTS_PER_SECOND, MAX_DELAY_SECONDS)
--- a/mangobay/flapping.py
+++ b/mangobay/flapping.py
@@ -1,4 +1,4 @@
-"""Hosts that come and go, and how long they are kept out."""
+"""Damping of hosts that join and leave repeatedly."""
 
 import collections
 import dataclasses
@@ -6,30 +6,33 @@
 from mangobay import ids
 
 UNDAMPED_JOINS = 8
-"""Joins in a row that cost nothing: a planned restart needs one or two, and
-one that fails is tried again a few times."""
+"""Consecutive joins without a hold time.
+
+A planned restart needs one or two, and a failed one is retried a few times.
+"""
 INITIAL_HOLD_TIME = 2.0
-"""Seconds without a join after the first one too many; doubled each time."""
+"""Seconds until the next join after UNDAMPED_JOINS; doubles with each join."""
 MAX_HOLD_TIME = 60.0
+"""Seconds."""
 RESET_SECONDS = 120.0
-"""Without a join for so long, former ones are forgotten."""
+"""Seconds without a join after which earlier joins no longer count."""
 MAX_DOUBLINGS = 10
 
 
 @dataclasses.dataclass(slots=True)
 class JoinRecord:
-    """The joins of one host.
+    """The recent joins of one host.
 
     Attributes:
-      consecutive_joins: in a row, none of them CALM_SECONDS after the one before.
-      last_join_at: loop time of the newest.
+      consecutive_joins: number of joins, each within RESET_SECONDS of the last.
+      last_join_at: loop time of the most recent join.
     """
 
     consecutive_joins: int = 0
     last_join_at: float = 0.0
 
     def hold_time(self) -> float:
-        """Returns the seconds until the host may join again."""
+        """Returns the seconds after the last join until the next is allowed."""
         excess = self.consecutive_joins - UNDAMPED_JOINS
         if excess < 0:
             return 0.0
@@ -39,16 +42,17 @@
 
 
 class FlapDamper:
-    """Which hosts may join a service now.
+    """Decides which hosts may join a service now.
 
-    A backend server that announces itself and vanishes, again and again,
-    would make a log entry and a new view each time: every node of the service
-    takes in the view and asks for keys, and the slots that the host wins
-    change hands twice.  Only joins are held back, since a host that is kept
-    out gets no calls and is asked for no keys; one that leaves is out at once.
+    A backend server that announces itself and disappears repeatedly would
+    cause a log entry and a new view each time: every node of the service
+    applies the view and fetches keys, and the slots that the host gains
+    change owner twice. Only joins are held, since a host that is not a member
+    gets no calls and no requests for keys. A host that leaves is removed at
+    once.
 
     Attributes:
-      records_by_host: of hosts that joined, the one that joined last at the end.
+      records_by_host: joins of each host, the latest join last.
     """
 
     def __init__(self):
@@ -57,7 +61,7 @@
         ] = collections.OrderedDict()
 
     def record_join(self, host: ids.HostId, now: float) -> None:
-        """Notes that a host joined some service; now is loop time."""
+        """Records that a host joined a service; `now` is loop time."""
         self.remove_stable_hosts(now)
         record = self.records_by_host.setdefault(host, JoinRecord())
         record.consecutive_joins += 1
@@ -65,7 +69,7 @@
         self.records_by_host.move_to_end(host)
 
     def is_join_held(self, host: ids.HostId, now: float) -> bool:
-        """Returns whether a host must not join yet."""
+        """Returns whether a host may not join yet."""
         self.remove_stable_hosts(now)
         record = self.records_by_host.get(host)
         return (
@@ -74,7 +78,7 @@
         )
 
     def remove_stable_hosts(self, now: float) -> None:
-        """Forgets hosts that have not joined for long."""
+        """Removes hosts without a join for RESET_SECONDS."""
         while self.records_by_host:
             host, record = next(iter(self.records_by_host.items()))
             if now < record.last_join_at + RESET_SECONDS:
--- a/mangobay/interests.py
+++ b/mangobay/interests.py
@@ -1,4 +1,4 @@
-"""The services that a node follows, and those that control has none of."""
+"""The services that a node subscribes to at the control group."""
 
 import collections
 import collections.abc
@@ -6,29 +6,33 @@
 from mangobay import clock, ids
 
 MAX_NEW_INTERESTS = 64
-"""New interests asked for in one renewal; the others wait for the next."""
+"""New services requested in one renewal; others wait for the next."""
 
 MAX_UNKNOWN_SERVICES = 1024
-"""Services remembered as unknown to control; names come from outsiders."""
+"""Services remembered as unknown to the control group.
+
+This is bounded because outside callers choose the names.
+"""
 
 IDLE_SECONDS = 900.0
-"""A service that no call asked for this long is not followed any more.
+"""Seconds without a call after which a service is dropped.
 
-Each costs bytes in every renewal and a push with each restart of its hosts.
-Longer than any deadline, so that no call still needs what is dropped.
+Each service costs bytes in every renewal and an update with each restart of
+its hosts. This is longer than any deadline, so that no call still needs a
+dropped service.
 """
 
 
 class Interests:
-    """Which services a node follows.
+    """The services that a node subscribes to.
 
     Attributes:
-      wanted: services that the node follows or wants to.
-      known: those of them that control told of.
-      unknown_until: loop time until which a service is taken for unknown.
-      served: services that this host serves or served; always followed.
-      recently_used: services asked for since the last look for idle ones.
-      idle_checked_at: loop time of that look.
+      wanted: services that the node subscribes to or wants to.
+      known: those of them of which the control group has sent the state.
+      unknown_until: loop time until which a service counts as unknown.
+      served: services that this host serves or has served; never dropped.
+      recently_used: services used since the last check for idle ones.
+      idle_checked_at: loop time of that check.
     """
 
     def __init__(self):
@@ -44,15 +48,15 @@
     def add_served(
         self, services: collections.abc.Iterable[ids.ServiceName]
     ) -> None:
-        """Follows services for good: their keys are this host's concern."""
+        """Subscribes to services for good, since this host may own their keys."""
         self.served.update(services)
         self.wanted.update(self.served)
 
     def drop_idle(self) -> set[ids.ServiceName]:
-        """Stops to follow what went unused since the last look, and names it.
+        """Drops and returns the services not used since the last check.
 
-        A service is dropped after one to two times IDLE_SECONDS; noting each
-        use in a set costs a call less than noting its time.
+        A service is dropped after one to two times IDLE_SECONDS. Adding it to
+        a set is cheaper for each call than recording the time of its use.
         """
         if clock.now() < self.idle_checked_at + IDLE_SECONDS:
             return set()
@@ -64,13 +68,13 @@
         return idle
 
     def new_interests(self) -> list[ids.ServiceName]:
-        """Returns the services to ask for next."""
+        """Returns the services to request in the next renewal."""
         return sorted(self.wanted - self.known)[:MAX_NEW_INTERESTS]
 
     def is_resolved(self, service: ids.ServiceName) -> bool:
-        """Returns whether control lately told what it knows of a service.
+        """Returns whether it is known if the control group has the service.
 
-        Whoever asks is about to use it.
+        The caller is about to use the service, so this counts as a use.
         """
         if service in self.known:
             self.recently_used.add(service)
@@ -89,15 +93,15 @@
         known_services: collections.abc.Container[ids.ServiceName],
         unknown_seconds: float,
     ) -> None:
-        """Takes in an answer.
+        """Records the reply to a request for services.
 
-        Outsiders can ask for any name, so one that control does not know is
-        dropped and remembered only for a while.
+        Outside callers can use any name, so a service that the control group
+        does not know is dropped and remembered only for a while.
 
         Args:
-          requested: the services that were asked for.
-          known_services: those that control knows.
-          unknown_seconds: how long the others are taken for unknown.
+          requested: the services that were requested.
+          known_services: services that the control group knows.
+          unknown_seconds: how long the others count as unknown.
         """
         forget_at = clock.now() + unknown_seconds
         for service in requested:
--- a/mangobay/lease.py
+++ b/mangobay/lease.py
@@ -1,4 +1,4 @@
-"""The lease of a node, on the node's own clock."""
+"""The lease of a node, measured on the node's own clock."""
 
 import math
 
@@ -6,15 +6,15 @@
 
 
 class UnlimitedLease:
-    """Stands for a lease where calls are served without one."""
+    """Replaces the lease of a node that serves calls without one."""
 
     def is_valid(self) -> bool:
-        """Returns that nothing is to be refused."""
+        """Returns True."""
         return True
 
 
 class Lease:
-    """Says whether this node may still act by its last grant.
+    """The time until which this node may act on its grants.
 
     Attributes:
       expires_at: loop time at which the lease ends.
@@ -24,11 +24,12 @@
         self.expires_at = -math.inf
 
     def extend(self, asked_at: float, ttl: float) -> None:
-        """Takes in a grant.
+        """Extends the lease after a grant.
 
-        Counted from when the node asked, not from when the answer came: the
-        control group counts from later, so that a slow answer can only make
-        the node stop too early, never act beside its successor.
+        The lease counts from when the node sent the renewal, not from when the
+        grant arrived. The control group counts from a later time, so a slow
+        reply can only make the node stop too early. It never acts beside the
+        next owner of its slots.
 
         Args:
           asked_at: loop time just before the renewal was sent.
--- a/mangobay/leaseexpiry.py
+++ b/mangobay/leaseexpiry.py
@@ -1,4 +1,4 @@
-"""How long each process has gone without a grant, oldest first."""
+"""Tracks when the lease of each process ends."""
 
 import collections
 import collections.abc
@@ -7,11 +7,11 @@
 
 
 class LeaseExpiry:
-    """When each process was last granted a lease, in loop time.
+    """Loop time of the last lease grant of each process.
 
     Attributes:
-      expiry_seconds: seconds after a grant until its lease has certainly ended.
-      granted_at: loop time of the last grant, oldest first.
+      expiry_seconds: seconds after a grant until the lease has certainly ended.
+      granted_at: loop time of the last grant by process, oldest first.
     """
 
     def __init__(self, expiry_seconds: float):
@@ -25,18 +25,18 @@
         processes: collections.abc.Iterable[viewactivity.ProcessId],
         now: float,
     ) -> None:
-        """Forgets everything; each owner may have been granted until now."""
+        """Starts over as if each process had been granted a lease now."""
         self.granted_at.clear()
         for process in processes:
             self.granted_at[process] = now
 
     def record_grant(self, process: viewactivity.ProcessId, now: float) -> None:
-        """The process was granted a lease now."""
+        """Records that the process was granted a lease now."""
         self.granted_at[process] = now
         self.granted_at.move_to_end(process)
 
     def pop_expired(self, now: float) -> list[viewactivity.ProcessId]:
-        """Takes out and returns those whose lease has ended by now."""
+        """Removes and returns the processes whose lease has ended."""
         expired = []
         for process, granted_at in self.granted_at.items():
             if granted_at + self.expiry_seconds > now:
--- a/mangobay/leases.py
+++ b/mangobay/leases.py
@@ -1,4 +1,4 @@
-"""The leader's side of leases: grants, what is new, and who is gone."""
+"""The leader's side of node leases: grants, updates and expiry."""
 
 import asyncio
 import collections
@@ -22,25 +22,29 @@
 from mangobay.generated import messages
 
 HOLD_DIVISOR = 4
-"""An answer is kept back for at most this part of ttl: the node counts ttl
-from when it asked, and most of it must be left when the answer arrives."""
+"""A renewal waits for changes for at most ttl divided by this.
+
+The node counts ttl from when it sent the renewal, and most of it must be left
+when the grant arrives.
+"""
 
 CHECKS_PER_MARGIN = 4
+"""Checks for expired leases in the time of the margin."""
 MAX_CHECK_INTERVAL = 0.25
-"""Seconds between two looks for hosts that are gone."""
+"""Seconds between checks for expired leases."""
 
 MAX_REPLACED_PROCESSES = 4096
-"""Replaced processes that are remembered."""
+"""Replaced processes remembered."""
 
 
 class Group(typing.Protocol):
-    """What leases need of `consensus.Group`.
+    """The part of `consensus.Group` that leases use.
 
     Attributes:
-      leading: set while this host leads as far as it knows.
-      term: the newest term this host knows.
-      leader: the leader of the term, empty when unknown.
-      leader_address: its peer address, empty when unknown.
+      leading: set while this host considers itself the leader.
+      term: the newest term that this host knows.
+      leader: the leader of the term, empty if unknown.
+      leader_address: the leader's peer address, empty if unknown.
     """
 
     leading: asyncio.Event
@@ -57,23 +61,27 @@
         ...
 
     async def confirm_leadership(self) -> None:
-        """Returns once a quorum confirmed that this host leads."""
+        """Waits until a quorum has confirmed that this host leads."""
         ...
 
 
 class LeaseTable:
-    """Grants leases while this host leads; all of it is kept in memory.
+    """Grants leases to nodes while this host leads; keeps state in memory.
 
     Attributes:
-      machine: the replicated state.
-      group: agrees on changes of it.
-      ttl: seconds a lease lasts from when the node asked.
-      term: the term that what is kept here belongs to.
+      machine: the replicated state machine.
+      group: consensus group that replicates changes of the machine.
+      ttl: seconds that a lease lasts from when the node sent the renewal.
+      check_interval: seconds between checks for expired leases.
+      margin: seconds that the leader waits beyond ttl before a lease expires.
+      term: the term of the state below; None if this host does not lead.
       lease_expiry: when each process was last granted a lease.
       view_activity: which views are active.
-      revision_reports: the revision each host reported in this term.
-      flap_damper: which hosts come and go too often.
-      replaced_processes: processes whose host has started another one since.
+      revision_reports: the revision that each host reported in this term.
+      replaced_processes: processes whose host has since started another one,
+        oldest first.
+      notifier: wakes waiting renewals.
+      flap_damper: holds the joins of hosts that join and leave repeatedly.
     """
 
     def __init__(
@@ -102,7 +110,7 @@
         machine.change_listeners.append(self.on_state_change)
 
     async def renew(self, renewal: messages.LeaseRenew) -> messages.LeaseGrant:
-        """Answers a renewal, when there is something new or its time is up."""
+        """Replies to a renewal once there is a change or its wait time is up."""
         if not self.check_leadership():
             return self.make_refusal()
         if viewactivity.process_id_of(renewal) in self.replaced_processes:
@@ -111,10 +119,10 @@
         try:
             await self.record_renewal(renewal)
             await self.wait_for_update(renewal)
-            # A leader behind a silent cut still believes that it leads. Its
-            # grants would let a node act beside the owner that the other
-            # side appoints; a quorum that answers after the renewal arrived
-            # rules that other side out.
+            # A leader in a network partition may not know that another was
+            # elected. Its grants would let a node act beside the owner that
+            # the new leader appoints. A quorum that confirms this leader after
+            # the renewal arrived rules out a newer one.
             await self.group.confirm_leadership()
         except (errors.NotLeaderError, errors.LeadershipLostError):
             return self.make_refusal()
@@ -131,7 +139,7 @@
         return self.make_grant(renewal)
 
     def check_leadership(self) -> bool:
-        """Starts over in a new term; returns whether this host leads."""
+        """Resets the state in a new term; returns whether this host leads."""
         if not self.group.leading.is_set():
             self.term = None
             return False
@@ -141,10 +149,10 @@
         return True
 
     def reset(self) -> None:
-        """Forgets what was seen of the nodes.
+        """Discards what is known of the nodes' leases and views.
 
-        The former leader may have granted leases until this term began, so
-        nobody is gone before ttl and margin have passed from now.
+        The former leader may have granted leases until this term began, so no
+        lease expires before ttl and margin have passed from now.
         """
         newest_views = self.machine.views.values()
         processes = {viewactivity.UNKNOWN_PROCESS}
@@ -162,20 +170,20 @@
             self.track_view(view)
 
     def track_view(self, view: messages.ServiceView) -> None:
-        """Takes a view into the activity of this term."""
+        """Adds a view to the view activity of this term."""
         if (
             view.service not in self.view_activity.newest_versions
             and view.formers
         ):
-            # The first view of a service in this term may follow on others
-            # that never became active, of which the snapshot tells nothing.
+            # Views before the first one in this term may never have become
+            # active. The replicated state does not hold which ones did.
             self.view_activity.require_ack(
                 view.service, viewactivity.UNKNOWN_PROCESS, view.version
             )
         self.view_activity.track_view(view, self.lease_expiry)
 
     def on_state_change(self, change: statemachine.StateChange) -> None:
-        """Watches the machine: wakes those whom a change concerns."""
+        """Handles a change of the state machine and wakes waiting renewals."""
         if self.term is None:
             return
         if change.restored:
@@ -186,17 +194,17 @@
         self.notifier.notify(change)
 
     def notify_active(self, services: set[ids.ServiceName]) -> None:
-        """Wakes those who wait for a view to become active."""
+        """Wakes the renewals that wait for views to become active."""
         self.notifier.notify(
             statemachine.StateChange(services=frozenset(services))
         )
 
     async def record_renewal(self, renewal: messages.LeaseRenew) -> None:
-        """Notes what the node reports; agrees on it where it is new.
+        """Records what the node reports and proposes any change of its record.
 
         Raises:
-          errors.NotLeaderError: this host does not lead any more.
-          errors.UncertainError: it lost the lead over the agreement.
+          errors.NotLeaderError: this host is not the leader any more.
+          errors.LeadershipLostError: it lost leadership before the commit.
         """
         process = viewactivity.process_id_of(renewal)
         self.revision_reports.revisions_by_host[renewal.host] = renewal.revision
@@ -214,8 +222,8 @@
             joined = set()
         if record is not None and statemachine.is_unchanged(record, change):
             return
-        # A process that announces itself and then dies before its first
-        # grant would stay a member for ever if its silence were not counted.
+        # Expiry is counted from here: a process that joins and dies before its
+        # first grant would otherwise stay a member forever.
         self.lease_expiry.record_grant(process, clock.now())
         if record is not None and not statemachine.is_same_process(
             record, renewal
@@ -226,21 +234,23 @@
             self.flap_damper.record_join(renewal.host, clock.now())
 
     def mark_replaced(self, process: viewactivity.ProcessId) -> None:
-        """Refuses a process from here on: its host has started another.
+        """Refuses further renewals of a process whose host started another.
 
-        Two processes under one host name, or a renewal of the dead one that
-        arrives late, would otherwise take the place of each other for ever,
-        each time with new views and a log entry.
+        Two processes with the same host name, or a late renewal of a dead one,
+        would otherwise replace each other again and again, each time with a
+        log entry and new views.
         """
         logs.log_event(
-            logs.Component.CONTROL, "host has restarted", host=process.host
+            logs.Component.CONTROL,
+            "host restarted with a new process",
+            host=process.host,
         )
         self.replaced_processes[process] = None
         if len(self.replaced_processes) > MAX_REPLACED_PROCESSES:
             self.replaced_processes.popitem(last=False)
 
     async def wait_for_update(self, renewal: messages.LeaseRenew) -> None:
-        """Waits until there is something new for the node or time is up."""
+        """Waits until there is a change for the node or the time is up."""
         max_wait = min(renewal.hold_ms / 1000, self.ttl / HOLD_DIVISOR)
         if max_wait <= 0 or renewal.revision < self.machine.revision:
             return
@@ -251,7 +261,8 @@
                 if renewals.has_update(
                     self.machine, self.view_activity.active_services, renewal
                 ):
-                    # By an older view, a keyed call goes to a former owner.
+                    # Nodes with keyed calls get changes at once: with an
+                    # outdated view they would call a former owner.
                     if renewal.keyless:
                         await self.coalesce_changes(deadline)
                     return
@@ -263,17 +274,17 @@
                     return
 
     async def coalesce_changes(self, deadline: float) -> None:
-        """Waits for further news, so that nodes are told together.
+        """Waits for further changes, so that one grant contains them all.
 
         Args:
-          deadline: loop time at which the answer is due in any case.
+          deadline: latest loop time at which the wait ends.
         """
         now = clock.now()
         delay = coalescing.delay_seconds(len(self.notifier.events_by_host))
         await asyncio.sleep(max(min(delay, deadline - now), 0))
 
     def make_grant(self, renewal: messages.LeaseRenew) -> messages.LeaseGrant:
-        """Returns a lease with what the node lacks."""
+        """Returns a lease and the changes that the node needs."""
         view_update = renewals.make_view_update(
             self.machine, self.view_activity.active_services, renewal
         )
@@ -291,30 +302,30 @@
         )
 
     def make_refusal(self) -> messages.LeaseGrant:
-        """Returns no lease, and whom to ask instead."""
+        """Returns a reply without a lease that names the leader."""
         return messages.LeaseGrant(
             leader=self.group.leader, leader_address=self.group.leader_address
         )
 
     async def run(self) -> None:
-        """Looks for hosts that are gone until cancelled."""
+        """Checks for expired leases until cancelled."""
         while True:
             last_check_at = clock.now()
             await asyncio.sleep(self.check_interval)
             await self.check_expiry(last_check_at)
 
     async def check_expiry(self, last_check_at: float) -> None:
-        """Looks once for hosts that are gone; `last` is when it last did."""
+        """Checks for expired leases; `last_check_at` is a loop time."""
         if not self.check_leadership():
             return
-        # This process itself stood still: renewals may lie unread in its
-        # sockets, and every host would look gone at once.
+        # After a pause of this process, renewals may be unread in its sockets,
+        # and all leases would seem to have expired.
         if clock.now() - last_check_at > self.margin:
             self.reset()
         await self.remove_expired()
 
     async def remove_expired(self) -> None:
-        """Declares those gone whose lease has ended."""
+        """Removes the members whose lease has ended."""
         expired = self.lease_expiry.pop_expired(clock.now())
         changes = []
         for process in expired:
@@ -339,22 +350,22 @@
                 )
                 logs.log_event(
                     logs.Component.CONTROL,
-                    "host is gone",
+                    "host removed, its lease expired",
                     host=change.member.host,
                 )
                 continue
-            # Not agreed on: tried again after another ttl and margin.
+            # Not committed. The next attempt is after another ttl and margin.
             process = viewactivity.process_id_of(change.member)
             if process not in self.lease_expiry:
                 self.lease_expiry.record_grant(process, clock.now())
             logs.log_event(
                 logs.Component.CONTROL,
-                "could not agree that a host is gone",
+                "removal of a host with an expired lease was not committed",
                 host=change.member.host,
                 error=str(result),
             )
 
     def holds_lease(self, process: viewactivity.ProcessId) -> bool:
-        """Returns whether the process may still act by a grant."""
+        """Returns whether the lease of the process may still be valid."""
         granted = self.lease_expiry.granted_at.get(process)
         return granted is not None and clock.now() < granted + self.ttl
--- a/mangobay/notifier.py
+++ b/mangobay/notifier.py
@@ -1,4 +1,4 @@
-"""Wakes the renewals that wait at the leader for something new."""
+"""Wakes the lease renewals that wait at the leader for a change."""
 
 import asyncio
 import collections.abc
@@ -9,10 +9,14 @@
 
 
 class ChangeNotifier:
-    """Waiting renewals by what they wait for.
+    """Events of waiting renewals, by host and by service.
 
-    A change wakes only those whom it concerns: woken for every change, all
-    nodes of a large system would answer each of its thousands of restarts.
+    A change wakes only the renewals that it concerns. In a large system,
+    waking every node for each of thousands of restarts would cost too much.
+
+    Attributes:
+      events_by_service: events set by a change to the service.
+      events_by_host: events set by a change to the host.
     """
 
     def __init__(self):
@@ -25,7 +29,7 @@
         host: ids.HostId,
         services: collections.abc.Collection[ids.ServiceName],
     ) -> typing.Iterator[asyncio.Event]:
-        """Gives an event that is set by news of the host or the services."""
+        """Yields an event that a change to the host or the services sets."""
         event = asyncio.Event()
         self.events_by_host.setdefault(host, set()).add(event)
         for service in services:
@@ -38,7 +42,7 @@
                 remove_event(self.events_by_service, service, event)
 
     def notify(self, change: statemachine.StateChange) -> None:
-        """Wakes those whom the change concerns."""
+        """Wakes the renewals that the change concerns."""
         if change.restored or change.routes:
             for events in self.events_by_host.values():
                 wake_all(events)
@@ -60,7 +64,7 @@
     key: str,
     event: asyncio.Event,
 ) -> None:
-    """Takes the event out, and the name with the last one."""
+    """Removes the event, and the key if it was its last event."""
     events_by_key[key].discard(event)
     if not events_by_key[key]:
         del events_by_key[key]
--- a/mangobay/renewals.py
+++ b/mangobay/renewals.py
@@ -1,4 +1,4 @@
-"""What a renewal says of its node, and what the node lacks."""
+"""What a lease renewal reports, and what the node needs in the grant."""
 
 import dataclasses
 import typing
@@ -8,7 +8,7 @@
 
 
 def make_member_change(renewal: messages.LeaseRenew) -> messages.MemberChange:
-    """Returns the entry that says the same as the renewal."""
+    """Returns the log entry for the member data in a renewal."""
     member = messages.Member(
         host=renewal.host,
         incarnation=renewal.incarnation,
@@ -26,7 +26,7 @@
 def newly_served(
     record: messages.MemberRecord | None, change: messages.MemberChange
 ) -> set[ids.ServiceName]:
-    """Returns the services that a process has not served so far."""
+    """Returns the services that the process has not served before."""
     served = {item.name for item in change.serves}
     if record is not None and statemachine.is_same_process(
         record, change.member
@@ -38,7 +38,7 @@
 def without_services(
     change: messages.MemberChange, services: set[ids.ServiceName]
 ) -> messages.MemberChange:
-    """Returns the change of a process that does not serve some services."""
+    """Returns the change without some of the served services."""
     kept = [item for item in change.serves if item.name not in services]
     return dataclasses.replace(change, serves=kept)
 
@@ -46,10 +46,10 @@
 def relevant_services(
     machine: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> set[ids.ServiceName]:
-    """Returns the services whose views concern the node.
+    """Returns the services whose views the node needs.
 
-    A service that it no longer serves stays among them as long as it acts
-    by a view of it: it has to learn that it is out.
+    A service that the node no longer serves is included as long as the node
+    uses a view of it, since it has to learn that it is no longer a member.
     """
     services = {ids.ServiceName(name) for name in renewal.interests}
     if renewal.every_service:
@@ -62,7 +62,7 @@
 def make_table_update(
     machine: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> messages.TableUpdate:
-    """Returns the rows that the node lacks."""
+    """Returns the row changes that the node needs."""
     return machine.update_since(
         renewal.revision, renewal.interests, renewal.new_interests
     )
@@ -70,11 +70,11 @@
 
 @dataclasses.dataclass(slots=True)
 class ViewUpdate:
-    """What a node is told of views.
+    """The changes of views in one grant.
 
     Attributes:
-      full_views: views in place of those that it acts by.
-      steps: the way to others from those that it acts by.
+      full_views: views that replace those of the node.
+      steps: steps from the node's views to newer ones.
     """
 
     full_views: list[messages.ServiceView] = dataclasses.field(
@@ -88,15 +88,15 @@
     active: set[ids.ServiceName],
     renewal: messages.LeaseRenew,
 ) -> ViewUpdate:
-    """Returns what has changed in the views that a node acts by.
+    """Returns the changes to the views that a node uses.
 
-    Only its members are told that a view has become active, for they alone
-    act on it; each view would otherwise go to all its callers twice.
+    Only the members of a view are told that it became active, since only they
+    act on it. Otherwise every caller would get each view twice.
 
     Args:
-      machine: the replicated state.
+      machine: the replicated state machine.
       active: services whose newest view is active.
-      renewal: of the node.
+      renewal: the node's renewal.
     """
     update = ViewUpdate()
     for view, ack in outdated_views(machine, active, renewal):
@@ -121,7 +121,7 @@
     active: set[ids.ServiceName],
     renewal: messages.LeaseRenew,
 ) -> typing.Iterator[tuple[messages.ServiceView, messages.ViewAck | None]]:
-    """Yields the views that a node has to be told of, and what it acts by."""
+    """Yields the views to send to a node, and its acks of older ones."""
     acks = {ack.service: ack for ack in renewal.views}
     for service in sorted(relevant_services(machine, renewal)):
         view = machine.views.get(service)
@@ -143,8 +143,9 @@
     """Returns the steps from a node's view to the newest.
 
     Returns:
-      None where there are none, they are not known, lead to former views that
-      the node does not hold, or are no shorter than the whole view.
+      the steps, or None if the node has no older view, the steps are not kept,
+      the node needs former views that it does not have, or there are more
+      steps than members in the view.
     """
     if ack is None or ack.version == view.version:
         return None
@@ -161,7 +162,7 @@
 def may_own_slots(
     renewal: messages.LeaseRenew, view: messages.ServiceView
 ) -> bool:
-    """Returns whether the node may own keys by a view."""
+    """Returns whether the node may own slots under a view."""
     if renewal.keyless:
         return False
     return any(member.host == renewal.host for member in view.members)
@@ -170,10 +171,10 @@
 def view_for_node(
     renewal: messages.LeaseRenew, view: messages.ServiceView, active: bool
 ) -> messages.ServiceView:
-    """Returns a view as the node needs it.
+    """Returns a view as it is sent to the node.
 
-    Only members take slots over and ask who was a member before. To the many
-    who call the service the former views would be most of every push.
+    Only members take over slots and so need the former views. For the many
+    callers of a service they would be most of the bytes of each update.
     """
     if not may_own_slots(renewal, view):
         view = views.without_former_views(view)
@@ -183,7 +184,7 @@
 def newer_routes(
     machine: statemachine.ConfigStateMachine, renewal: messages.LeaseRenew
 ) -> messages.RoutesChange:
-    """Returns the routes document where the node has an older one."""
+    """Returns the routes document, an empty one if the node has it."""
     if renewal.routes >= machine.routes.version:
         return messages.RoutesChange()
     return machine.routes
@@ -201,7 +202,7 @@
     active: set[ids.ServiceName],
     renewal: messages.LeaseRenew,
 ) -> bool:
-    """Returns whether an answer would tell the node anything new."""
+    """Returns whether a grant would contain anything new for the node."""
     if renewal.new_interests:
         return True
     if is_drain_requested(machine, renewal) and not renewal.leaving:
--- a/mangobay/routes.py
+++ b/mangobay/routes.py
@@ -1,8 +1,8 @@
-"""Routes documents: which requests go to which services, and how.
+"""Routes documents and the routing of HTTP requests to services.
 
-A second source of what the sheet says.  The sheet names operations; a route
-names a host name and the beginning of a path, and may split its requests over
-several services.
+Routes are an alternative to the sheet. The sheet lists operations; a route
+matches a host name and a path prefix, and may split its requests among several
+services by weight.
 """
 
 import collections.abc
@@ -15,11 +15,11 @@
 from mangobay.generated import messages
 
 MAX_TIMEOUT_SECONDS = 600.0
-"""Seconds; a request held longer than ten minutes is forgotten by its caller."""
+"""Upper bound of a route's timeout; callers give up after ten minutes."""
 
 
 class RetrySafety(enum.Enum):
-    """What may be repeated."""
+    """Whether the requests of a route may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -27,10 +27,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class WeightedService:
-    """One service of a route.
+    """One of the services that a route splits its requests among.
 
     Attributes:
-      weight: its share is this part of the sum of the weights.
+      service: name of the service.
+      weight: weight of the service; its share of the requests is this divided
+        by the sum of the weights.
     """
 
     service: ids.ServiceName
@@ -39,18 +41,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Where some requests go, and what is promised of them.
+    """The services and the limits of the requests that match a route.
 
     Attributes:
-      name: unique in the document.
-      hostname: of the requests, in lower case.
-      prefix: the beginning of their paths; ends with a slash.
-      retry_safety: what may be repeated.
-      timeout: longest time a request is kept waiting, seconds.
-      target_latency: an answer within it has its full worth, seconds.
-      priority: 0 is the most important.
-      weighted_services: where they go; one, or several by weight.
-      max_attempts: backend servers that one request may be sent to.
+      name: name of the route, unique in the document.
+      hostname: host name of the requests, in lower case.
+      prefix: path prefix of the requests; ends with a slash.
+      retry_safety: whether the requests may be repeated.
+      timeout: longest time until the response, seconds.
+      target_latency: latency up to which a response has its full value,
+        seconds.
+      priority: priority of the requests; 0 is the most important.
+      weighted_services: the services that get the requests.
+      max_attempts: most backend servers that one request is sent to.
     """
 
     name: str
@@ -66,11 +69,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """What the document says of a service.
+    """The settings of a service in a routes document.
 
     Attributes:
+      name: name of the service.
       health_path: path of its health check.
-      max_connections: most that one of its backend servers takes.
+      max_connections: most connections to one of its backend servers.
     """
 
     name: ids.ServiceName
@@ -80,13 +84,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Limits:
-    """Bounds on what callers may send.
+    """Limits on the requests of callers.
 
     Attributes:
-      max_header_bytes: of a request's head.
-      max_body_bytes: of its body.
-      header_timeout: seconds for the head to come.
-      idle_timeout: seconds that a connection may stand idle.
+      max_header_bytes: largest request line and headers, bytes.
+      max_body_bytes: largest request body, bytes.
+      header_timeout: seconds until the headers must be complete.
+      idle_timeout: seconds that a connection may be idle.
     """
 
     max_header_bytes: int
@@ -97,7 +101,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Document:
-    """One version of the routes, whole."""
+    """One version of the routes document."""
 
     version: ids.RoutesVersion
     routes: tuple[Route, ...]
@@ -106,7 +110,7 @@
 
 
 def validate(document: Document) -> list[findings.Finding]:
-    """Returns what forbids to put the document in force, in its order."""
+    """Returns the errors that make the document invalid, in its order."""
     known_services = {service.name for service in document.services}
     problems = []
     for route in document.routes:
@@ -121,7 +125,7 @@
 def route_errors(
     route: Route, known_services: typing.AbstractSet[ids.ServiceName]
 ) -> collections.abc.Iterator[str]:
-    """Yields what is wrong with a route."""
+    """Yields the errors of a route."""
     if not route.weighted_services:
         yield "names no service"
     for weighted in route.weighted_services:
@@ -143,21 +147,24 @@
     messages.Importance.NORMAL,
     messages.Importance.BACKGROUND,
 )
-"""By priority; what ranks lower than the last is as important as that."""
+"""Importance by priority; lower priorities get the last one."""
 
 
 FULL_TIME_SHARE = 0.97
-"""Share of a route's longest time below which some of it was spent."""
+"""Share of a route's full time below which a caller has waited before."""
 MAX_OPERATIONS = 64
-"""Operations kept for one route."""
+"""Operations cached for one route."""
 
 
 class RouteState:
-    """A route as requests are judged by it.
+    """A route with the state that routes its requests.
 
     Attributes:
-      route: as the document has it.
-      operations: by part and method, as the rest of the system knows them.
+      route: the route of the document.
+      operations: cached operations by index of the service and method.
+      current_weights: current weight of each service for the round robin.
+      max_time_left: longest time until a caller's deadline, seconds.
+      total_weight: sum of the weights.
     """
 
     __slots__ = (
@@ -178,11 +185,11 @@
         )
 
     def has_waited_before(self, time_left: float) -> bool:
-        """Returns whether a caller has waited for this before.
+        """Returns whether the caller has already spent time on this request.
 
-        Callers give a route's requests the same time at first; one that comes
-        back after a refusal, or whose call is part of a longer request, has
-        less left.  What was spent on it is lost if it is refused now.
+        Callers give all new requests of a route the same time. A request that
+        is retried after a refusal, or that is part of a longer one, has less
+        time left. The time spent on it is lost if it is refused now.
 
         Args:
           time_left: seconds that the caller still waits.
@@ -193,11 +200,12 @@
         return time_left < FULL_TIME_SHARE * self.max_time_left
 
     def next_operation(self, method: str) -> messages.Operation | None:
-        """Returns where the next request goes, None where no part has weight.
+        """Returns the operation of the next request, None if all weights are 0.
 
-        Smooth weighted round robin: over any run of requests each part is at
-        most one request off its share.  Drawn by lot, a part of one in ten
-        would be a third off over a hundred requests of one node.
+        Services are chosen by smooth weighted round robin, so over any sequence
+        of requests each is at most one request off its share. With a random
+        choice, a service with a share of one in ten would be a third off over
+        a hundred requests of one node.
         """
         if len(self.route.weighted_services) == 1:
             return self.get_operation(0, method)
@@ -213,14 +221,14 @@
         return self.get_operation(best, method)
 
     def get_operation(self, index: int, method: str) -> messages.Operation:
-        """Returns what the rest of the system knows of a part's requests."""
+        """Returns the operation of requests to the service at an index."""
         key = (index, method)
         operation = self.operations.get(key)
         if operation is None:
             operation = make_operation(
                 self.route, self.route.weighted_services[index], method
             )
-            # Callers choose the method: a hundred made-up ones must not stay.
+            # Callers choose the method, so the cache has to be bounded.
             if len(self.operations) < MAX_OPERATIONS:
                 self.operations[key] = operation
         return operation
@@ -229,7 +237,7 @@
 def make_operation(
     route: Route, weighted: WeightedService, method: str
 ) -> messages.Operation:
-    """Returns what the product knows of the requests of a route's part."""
+    """Returns the operation of a route's requests to one service."""
     importance = IMPORTANCE_BY_PRIORITY[
         min(max(route.priority, 0), len(IMPORTANCE_BY_PRIORITY) - 1)
     ]
@@ -247,10 +255,11 @@
 
 
 class RouteTable:
-    """The routes of one document by host name and prefix.
+    """Finds the route of a request by host name and path.
 
     Attributes:
-      document: what it was made of.
+      document: the routes document.
+      routes_by_hostname: routes by host name and path prefix.
     """
 
     def __init__(self, document: Document):
@@ -274,7 +283,7 @@
         return None
 
     def services(self) -> set[ids.ServiceName]:
-        """Returns every service that some route goes to."""
+        """Returns the services of all routes."""
         return {
             weighted.service
             for route in self.document.routes
@@ -283,7 +292,7 @@
 
 
 def parse_hostname(host_header: str) -> str:
-    """Returns the host name in a Host field, without a port."""
+    """Returns the host name in a Host header, without the port."""
     name, colon, port = host_header.rpartition(":")
     if colon and port.isdecimal():
         host_header = name
--- a/mangobay/routespublisher.py
+++ b/mangobay/routespublisher.py
@@ -1,4 +1,4 @@
-"""Routes documents at the control hosts: any of them answers an operator."""
+"""Publishing and fetching of routes documents at any control host."""
 
 import asyncio
 import hashlib
@@ -14,12 +14,16 @@
 Outcome = messages.RoutesOutcome
 
 FORWARD_TIMEOUT_SECONDS = 0.8
-"""Wait for the leader's answer; operators go on to another host after 1 s."""
+"""Timeout for the leader's reply.
+
+Operators turn to another control host after 1 s.
+"""
 DIGEST_BYTES = 16
+"""Bytes of the digest of a routes document."""
 
 
 class Group(leases.Group, typing.Protocol):
-    """What is needed of `consensus.Group`, besides what leases need."""
+    """The part of `consensus.Group` that the publisher uses."""
 
 
 def make_routes_change(
@@ -28,9 +32,9 @@
     """Returns the log entry that puts a document in force.
 
     Args:
-      version: of the document.
-      base: the version that it builds on.
-      document: the same bytes each time the operator sends it.
+      version: version of the document.
+      base: the version that it replaces.
+      document: the encoded document; the same bytes for each resend.
     """
     digest = hashlib.blake2b(
         b"%d %d " % (version, base) + document, digest_size=DIGEST_BYTES
@@ -50,10 +54,10 @@
 
 
 class RoutesPublisher:
-    """Puts routes documents in force, and tells the newest.
+    """Puts routes documents in force, and returns the one in force.
 
-    A control host that does not lead asks the leader: a redirect would need
-    the operator to reach it, who may be cut off from just that host.
+    A control host that is not the leader forwards requests to the leader. A
+    redirect would not work for an operator that cannot reach the leader.
     """
 
     def __init__(
@@ -68,19 +72,19 @@
         self.lock = asyncio.Lock()
 
     async def put(self, change: messages.RoutesChange) -> Outcome:
-        """Returns what became of a checked document."""
+        """Publishes a validated document and returns the outcome."""
         reply = await self.ask_leader(messages.RoutesPut(change=change))
         return reply.outcome
 
     async def fetch_newest(self) -> messages.RoutesChange | None:
-        """Returns the document in force, None where that is not certain."""
+        """Returns the document in force, None if no leader confirmed it."""
         reply = await self.ask_leader(messages.RoutesFetch())
         return reply.current if reply.outcome is Outcome.ACCEPTED else None
 
     async def ask_leader(
         self, body: messages.RoutesPut | messages.RoutesFetch
     ) -> messages.RoutesReply:
-        """Returns the leader's answer, this host's own where it leads."""
+        """Handles a request here if this host leads, else at the leader."""
         if self.group.leading.is_set():
             return await self.handle_request(body)
         uncertain = messages.RoutesReply(outcome=Outcome.UNCERTAIN)
@@ -94,13 +98,15 @@
         except (errors.PeerError, TimeoutError):
             return uncertain
         if not isinstance(reply, messages.RoutesReply):
-            raise errors.PeerProtocolError("no answer about routes")
+            raise errors.PeerProtocolError(
+                "expected a RoutesReply to a routes request"
+            )
         return reply
 
     async def handle_request(
         self, body: messages.RoutesPut | messages.RoutesFetch
     ) -> messages.RoutesReply:
-        """Answers as the leader, also another control host."""
+        """Handles a request as the leader, also from another control host."""
         try:
             match body:
                 case messages.RoutesPut():
@@ -115,12 +121,12 @@
             return messages.RoutesReply(outcome=Outcome.UNCERTAIN)
 
     async def accept(self, change: messages.RoutesChange) -> Outcome:
-        """Puts a document in force, or says that another is.
+        """Puts a document in force unless its base is outdated.
 
         Raises:
           errors.NotLeaderError: nothing was changed.
-          errors.UncertainError: it may yet take effect; sent again, it gets
-            its true answer.
+          errors.LeadershipLostError: the document may still be committed; sent
+            again, it gets its actual outcome.
         """
         async with self.lock:
             await self.group.confirm_leadership()
--- a/mangobay/sheetacceptance.py
+++ b/mangobay/sheetacceptance.py
@@ -1,4 +1,4 @@
-"""How a sheet becomes a revision: compared, agreed on, answered once."""
+"""Acceptance of sheets at the leader, each as a new revision."""
 
 import asyncio
 import dataclasses
@@ -15,19 +15,22 @@
 from mangobay.generated import messages
 
 MAX_COMPARISONS = 3
-"""Under one leader the table moves only here, under the lock; entries of a
-former leader can move it a few times at most."""
+"""Attempts to compare and commit a sheet.
+
+Under one leader the operation table changes only here, under the lock. Entries
+of a former leader can change it a few times at most.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SheetResult:
-    """The answer to a sheet.
+    """The result of an accepted sheet.
 
     Attributes:
-      revision: the revision that holds it.
-      changed: rows that were new or differed.
-      removed: rows that went.
-      repeated: the same sheet had been accepted before.
+      revision: the revision at which the sheet was accepted.
+      changed: number of added or changed rows.
+      removed: number of removed rows.
+      repeated: whether the same sheet had been accepted before.
     """
 
     revision: ids.Revision
@@ -37,7 +40,7 @@
 
 
 class SheetAcceptor:
-    """Takes sheets in at the leader, one after the other."""
+    """Accepts sheets at the leader, one after the other."""
 
     def __init__(
         self, machine: statemachine.ConfigStateMachine, group: leases.Group
@@ -52,19 +55,20 @@
         version: ids.SheetVersion,
         operator: str,
     ) -> SheetResult:
-        """Returns once the sheet is committed.
+        """Commits the sheet and returns its result.
 
         Raises:
-          errors.ConflictError: the version is taken by another content.
-          errors.VersionSpentError: it was used long ago; nothing was changed.
+          errors.ConflictError: another sheet has the same version.
+          errors.VersionUsedError: the version was used by a sheet that the
+            history has dropped; nothing was changed.
           errors.NotLeaderError: nothing was changed.
-          errors.UncertainError: the sheet may yet take effect; sent again, it
-            gets its true answer.
+          errors.LeadershipLostError: the sheet may still be committed; sent
+            again, it gets its actual result.
         """
         async with self.lock:
             for _ in range(MAX_COMPARISONS):
-                # Compared with a table that a newer leader has changed, the
-                # entry would only be refused when it is applied.
+                # A difference to a table that a newer leader has changed
+                # would only be refused when the entry is applied.
                 await self.group.confirm_leadership()
                 if version in self.machine.history_by_version:
                     return self.make_result(checked_sheet, version)
@@ -84,10 +88,10 @@
         version: ids.SheetVersion,
         operator: str,
     ) -> messages.SheetChange:
-        """Returns the entry that makes the sheet out of the table."""
+        """Returns the log entry that changes the table to the sheet."""
         base = self.machine.revision
         rows = list(self.machine.operations())
-        # A large sheet takes longer than a heartbeat may be late.
+        # Comparing a large sheet takes longer than a heartbeat may be late.
         difference = await asyncio.to_thread(
             operationtable.difference, rows, checked_sheet.operations
         )
@@ -107,10 +111,15 @@
         version: ids.SheetVersion,
         proposed_index: ids.LogIndex | None = None,
     ) -> SheetResult:
-        """Returns what became of the sheet; `index` is of the own entry.
+        """Returns the result of the sheet.
+
+        Args:
+          checked_sheet: the sheet.
+          version: version of the sheet.
+          proposed_index: log index of the entry that was just proposed.
 
         Raises:
-          errors.ConflictError: the version is taken by another content.
+          errors.ConflictError: another sheet has the same version.
         """
         item = self.machine.history_by_version[version]
         if item.digest != checked_sheet.digest:
--- a/mangobay/snapshottransfer.py
+++ b/mangobay/snapshottransfer.py
@@ -1,8 +1,9 @@
-"""How a snapshot gets from the leader to a host that its log cannot serve.
+"""Snapshot transfer from the leader to followers behind its log's start.
 
-It goes in parts, each of which is answered and counts as a heartbeat. Sent
-as one message, that of a large system would not fit a frame, and a follower
-silent for as long as it takes would cost a leader without others its quorum.
+The leader sends a snapshot in parts. The follower replies to each part, and
+each part counts as a heartbeat. In a single message, the snapshot of a large
+system would exceed the frame limit, and a follower that is silent for the
+whole transfer could cost the leader its quorum.
 """
 
 import asyncio
@@ -19,17 +20,18 @@
     from mangobay import consensus, progress
 
 MAX_PART_BYTES = 256 * 1024
+"""Bytes of a snapshot in one message."""
 
 
 @dataclasses.dataclass(slots=True)
 class OutgoingSnapshot:
-    """A snapshot on its way to one follower.
+    """A snapshot that is being sent to one follower.
 
     Attributes:
-      last_index: of the snapshot.
-      data: the whole of it, encoded.
-      checksum: of `data`.
-      offset: what the follower holds, bytes.
+      last_index: log index of the last entry that the snapshot covers.
+      data: the encoded snapshot.
+      checksum: XXH3 checksum of `data`.
+      offset: number of bytes that the follower has received.
     """
 
     last_index: ids.LogIndex
@@ -39,20 +41,20 @@
 
     @property
     def is_fully_sent(self) -> bool:
-        """Whether only the news that it is installed is awaited."""
+        """Whether all parts are received and only the install is pending."""
         return self.offset >= len(self.data)
 
 
 @dataclasses.dataclass(slots=True)
 class IncomingSnapshot:
-    """A snapshot on its way to this host.
+    """A snapshot that this host is receiving.
 
     Attributes:
-      last_index: of the snapshot.
-      size: of the whole of it, bytes.
-      checksum: of the whole of it.
-      data: what has come.
-      install_task: runs once everything has come.
+      last_index: log index of the last entry that the snapshot covers.
+      size: size of the complete snapshot, bytes.
+      checksum: XXH3 checksum of the complete snapshot.
+      data: bytes received so far.
+      install_task: installs the snapshot once it is complete.
     """
 
     last_index: ids.LogIndex
@@ -62,7 +64,7 @@
     install_task: asyncio.Task | None = None
 
     def is_same_snapshot(self, body: messages.SnapshotPut) -> bool:
-        """Returns whether a part is of this snapshot, to the byte."""
+        """Returns whether a part belongs to exactly this snapshot."""
         return (
             self.last_index == body.last_index
             and self.size == body.size
@@ -73,7 +75,7 @@
 def make_snapshot_put(
     group: "consensus.Group", follower: "progress.Follower"
 ) -> messages.SnapshotPut:
-    """Returns the next part for a host behind the log's start."""
+    """Returns the next part for a follower behind the log's start."""
     if follower.outgoing_snapshot is None:
         data = group.log.snapshot_data
         follower.outgoing_snapshot = OutgoingSnapshot(
@@ -98,7 +100,7 @@
 def process_reply(
     follower: "progress.Follower", reply: messages.SnapshotReply
 ) -> None:
-    """Takes in how much a follower holds, or that it has installed it."""
+    """Records a follower's progress, or that it installed the snapshot."""
     outgoing = follower.outgoing_snapshot
     if outgoing is None:
         return
@@ -113,7 +115,7 @@
 async def handle_snapshot_put(
     group: "consensus.Group", body: messages.SnapshotPut
 ) -> messages.SnapshotReply:
-    """Keeps a part of a leader's snapshot; the group's lock is held."""
+    """Stores a part of the leader's snapshot; the caller holds the lock."""
     if not await election.accept_leader(group, body):
         return make_snapshot_reply(group, 0, 0)
     if body.last_index <= group.commit_index:
@@ -136,7 +138,7 @@
 def make_snapshot_reply(
     group: "consensus.Group", last_index: int, received: int
 ) -> messages.SnapshotReply:
-    """Returns this host's answer to a part."""
+    """Returns this host's reply to a part."""
     return messages.SnapshotReply(
         term=ids.Term(group.term),
         last_index=ids.LogIndex(last_index),
@@ -147,13 +149,15 @@
 
 
 async def install(group: "consensus.Group", incoming: IncomingSnapshot) -> None:
-    """Replaces log and machine by a snapshot that has come whole."""
+    """Replaces the log and the state machine by a complete snapshot."""
     try:
         data = bytes(incoming.data)
         if xxhash.xxh3_64_intdigest(data) != incoming.checksum:
-            raise errors.PeerProtocolError("a snapshot has a bad checksum")
-        # Without the lock: what decodes and syncs for long must not keep
-        # this host from answering the leader's heartbeats.
+            raise errors.PeerProtocolError(
+                "the received snapshot has a bad checksum"
+            )
+        # Decoding and syncing to disk take long. They run without the lock so
+        # that this host still replies to the leader's heartbeats.
         snapshot = await group.log.stage_received(data)
         async with group.lock:
             if snapshot.last_index > group.commit_index:
@@ -162,10 +166,12 @@
         group.abort_run()
     except (errors.PeerProtocolError, capnp.KjException) as error:
         logs.log_event(
-            logs.Component.GROUP, "snapshot not installed", why=str(error)
+            logs.Component.GROUP,
+            "the received snapshot was not installed",
+            why=str(error),
         )
     finally:
-        # From the first byte again, if it was not installed.
+        # After a failed install, the transfer restarts from the first byte.
         if group.incoming_snapshot is incoming:
             group.incoming_snapshot = None
 
@@ -173,7 +179,7 @@
 async def replace_state(
     group: "consensus.Group", snapshot: messages.Snapshot, data: bytes
 ) -> None:
-    """Takes in a staged snapshot; the lock is held.
+    """Installs a staged snapshot; the caller holds the lock.
 
     Raises:
       errors.StorageError: the disk failed.
--- a/mangobay/statemachine.py
+++ b/mangobay/statemachine.py
@@ -1,7 +1,8 @@
-"""The replicated state of the control group: configuration and members.
+"""The replicated state machine of the control group.
 
-Every control host applies the same entries in the same order, so `apply`
-reads no clock, no settings and nothing else that differs between hosts.
+It holds the configuration and the members. Every control host applies the
+same log entries in the same order, so `apply` reads no clock, no settings and
+nothing else that differs between hosts.
 """
 
 import collections.abc
@@ -16,13 +17,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateChange:
-    """What an entry changed, for those who wait for news.
+    """What a log entry or a snapshot changed.
 
     Attributes:
-      services: whose rows or view changed.
-      hosts: whose record or drain request changed.
-      routes: the routes document was replaced.
-      restored: the whole state was replaced by a snapshot.
+      services: services whose rows or view changed.
+      hosts: hosts whose member record or drain request changed.
+      routes: whether the routes document was replaced.
+      restored: whether a snapshot replaced the whole state.
     """
 
     services: frozenset[ids.ServiceName] = frozenset()
@@ -36,44 +37,46 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One operation and the revision that last changed it."""
+    """An operation and the revision that last changed it."""
 
     operation: messages.Operation
     revision: ids.Revision
 
 
 MAX_HISTORY_ITEMS = 10_000
-"""Sheets named in the history; older ones are only remembered as spent.
+"""Sheets in the history; of older ones only the version is remembered.
 
-Not a setting: control hosts that cut at different lengths would accept
-different sheets.
+This is not a setting: control hosts that trim at different lengths would
+accept different sheets.
 """
 
 MAX_REMOVED_OPERATIONS = 10_000
-"""Removed operations remembered, so that nodes learn of them row by row."""
+"""Removed operations remembered, so that nodes get them as differences."""
 
 
 class ConfigStateMachine:
-    """Applies committed entries; implements `consensus.Machine`.
+    """Applies committed entries; implements `consensus.StateMachine`.
 
-    Messages that it holds are replaced, never changed in place, so that
+    Messages in the state are replaced, never changed in place, so that
     snapshots and grants can share them.
 
     Attributes:
-      revision: of the table; the log index of the last accepted sheet.
-      rows: the table, by service and operation.
-      removed_at_revision: the revision that removed an operation, by service.
-      min_base_revision: differences can be given from this revision on.
-      history: the newest accepted sheets, oldest first.
-      history_by_version: the accepted sheet of each version in the history.
-      used_versions: versions of sheets that the history no longer names.
-      dropped_history_items: how many sheets the history no longer names.
-      members: every host that is not gone.
+      revision: revision of the operation table, which is the log index of the
+        last accepted sheet.
+      rows: the operation table, by service and operation.
+      removed_at_revision: the revision that removed an operation, by service
+        and operation.
+      min_base_revision: oldest revision from which a difference can be made.
+      history: the most recently accepted sheets, oldest first.
+      history_by_version: the same sheets by version.
+      used_versions: versions of sheets that the history has dropped.
+      dropped_history_items: number of sheets that the history has dropped.
+      members: record of each host that has not been declared gone.
       views: the newest view of each service that ever had a member.
-      view_steps: the newest steps to each of them; a restart forgets them.
+      view_steps: the most recent steps of each view; not part of snapshots.
       draining: hosts that an operator asked to leave.
-      routes: the newest routes document; version 0 before the first.
-      accepted_routes: fingerprint of every accepted one, by version.
+      routes: the routes document in force; version 0 before the first.
+      accepted_routes: digest of every accepted routes document, by version.
       change_listeners: called after each change.
     """
 
@@ -99,7 +102,7 @@
         self.change_listeners: list[ChangeListener] = []
 
     def apply(self, entry: messages.LogEntry) -> None:
-        """Applies one committed entry; entries of the group change nothing."""
+        """Applies one committed entry; the group's own entries change nothing."""
         match entry.body:
             case messages.SheetChange() as change:
                 changed = self.apply_sheet(entry.index, change)
@@ -114,7 +117,7 @@
         self.notify_listeners(changed)
 
     def notify_listeners(self, change: StateChange) -> None:
-        """Calls the watchers unless nothing changed."""
+        """Calls the listeners unless nothing changed."""
         if change == StateChange():
             return
         for listener in self.change_listeners:
@@ -123,20 +126,21 @@
     def apply_sheet(
         self, index: ids.LogIndex, change: messages.SheetChange
     ) -> StateChange:
-        """Accepts the sheet, or nothing of it.
+        """Accepts the whole sheet, or nothing of it.
 
-        The proposer reads the result from `versions`: its own revision, that
-        of an equal sheet, that of another content, or none.
+        The proposer reads the result from `history_by_version`: the revision
+        of its own entry, of an earlier equal sheet or of a sheet of other
+        content, or no item if the base was outdated.
         """
-        # Two operators may race under one version on two connections: both
-        # entries are committed, and the first in the log wins on every host.
+        # Two operators may send sheets of the same version at once. Both
+        # entries are committed; the first in the log wins on every host.
         if (
             change.version in self.history_by_version
             or self.used_versions.contains(change.version)
         ):
             return StateChange()
-        # Rows compared with an older table would bring its other rows back
-        # in part: the proposer compares again.
+        # A difference to an older table would bring back some of its rows.
+        # The proposer compares again.
         if change.base != self.revision:
             return StateChange()
         self.revision = ids.Revision(index)
@@ -169,9 +173,9 @@
         removed[reference.name] = self.revision
 
     def trim_removed(self) -> None:
-        """Forgets the older half of too many removed operations.
+        """Discards the older half of too many removed operations.
 
-        A node that is behind one of them gets its rows whole instead.
+        A node at an older revision than those gets all rows instead.
         """
         revisions = [
             revision
@@ -194,7 +198,7 @@
                 del self.removed_at_revision[service]
 
     def add_to_history(self, change: messages.SheetChange) -> None:
-        """Adds the sheet to the history, which also decides later races."""
+        """Adds the sheet to the history, so that its version counts as used."""
         item = messages.HistoryItem(
             revision=self.revision,
             version=change.version,
@@ -209,7 +213,7 @@
         self.trim_history()
 
     def trim_history(self) -> None:
-        """Names no more than the newest sheets."""
+        """Drops the oldest sheets beyond MAX_HISTORY_ITEMS."""
         old = self.history[:-MAX_HISTORY_ITEMS]
         if not old:
             return
@@ -222,12 +226,12 @@
     def apply_member(
         self, index: ids.LogIndex, change: messages.MemberChange
     ) -> StateChange:
-        """Makes the new views of every service that the change touches."""
+        """Updates the member and the views of all services that it affects."""
         host = change.member.host
         former = self.members.get(host)
         if change.gone:
-            # A host that came back meanwhile is another incarnation: the end
-            # of the old one must not take the new one out.
+            # A host that restarted meanwhile has a new incarnation, which the
+            # end of the old one must not remove.
             if former is None or not is_same_process(former, change.member):
                 return StateChange()
             del self.members[host]
@@ -236,8 +240,8 @@
         else:
             if former is not None and is_unchanged(former, change):
                 return StateChange()
-            # A drain asks one run of the process to leave; its next run
-            # would otherwise leave again as soon as it came up.
+            # A drain applies to one incarnation. The next one would otherwise
+            # leave again as soon as it started.
             if former is not None and not is_same_process(
                 former, change.member
             ):
@@ -266,10 +270,10 @@
         member: messages.Member,
         slots: int | None,
     ) -> bool:
-        """Puts the member into the service's view, or out when slots is None.
+        """Adds the member to the service's view; removes it if slots is None.
 
         Returns:
-          whether that makes a new view.
+          whether the view changed.
         """
         old = self.views.get(service, messages.ServiceView(service=service))
         gone = slots is None
@@ -288,7 +292,7 @@
         return True
 
     def apply_drain(self, change: messages.DrainChange) -> StateChange:
-        """Notes that an operator asked a host to leave."""
+        """Records that an operator asked a host to leave."""
         if change.host not in self.members or change.host in self.draining:
             return StateChange()
         self.draining.add(change.host)
@@ -297,8 +301,8 @@
     def apply_routes(self, change: messages.RoutesChange) -> StateChange:
         """Puts a routes document in force, or refuses it.
 
-        Of two that build on the same version the first in the log wins, on
-        every host; the proposer reads from `accepted_routes` which it was.
+        Of two documents with the same base version, the first in the log wins
+        on every host. The proposer reads from `accepted_routes` which it was.
         """
         current = self.routes.version
         if change.base != current or change.version <= current:
@@ -312,7 +316,7 @@
         return self.accepted_routes.get(change.version) == change.digest
 
     def snapshot(self) -> messages.Snapshot:
-        """Returns the whole state; the group adds index, term and voters."""
+        """Returns the whole state; the caller adds index, term and voters."""
         return messages.Snapshot(
             operations=list(self.operations()),
             history=list(self.history),
@@ -329,7 +333,7 @@
         )
 
     def restore(self, snapshot: messages.Snapshot) -> None:
-        """Replaces the whole state."""
+        """Replaces the whole state by a snapshot."""
         self.history = list(snapshot.history)
         self.history_by_version = {item.version: item for item in self.history}
         self.used_versions = usedversions.UsedVersions(snapshot.spent_versions)
@@ -337,8 +341,8 @@
         self.revision = (
             self.history[-1].revision if self.history else NO_REVISION
         )
-        # A snapshot does not say which revision changed a row, so a node
-        # behind it gets its rows whole.
+        # A snapshot does not hold the revision of each row, so a node at an
+        # older revision gets all rows.
         self.min_base_revision = self.revision
         self.rows = {}
         self.removed_at_revision = {}
@@ -355,7 +359,7 @@
         self.notify_listeners(StateChange(restored=True))
 
     def operations(self) -> typing.Iterator[messages.Operation]:
-        """Yields the table ordered by service and name."""
+        """Yields all operations, ordered by service and name."""
         for service in sorted(self.rows):
             for name in sorted(self.rows[service]):
                 yield self.rows[service][name].operation
@@ -366,12 +370,13 @@
         services: collections.abc.Collection[ids.ServiceName],
         new_services: collections.abc.Collection[ids.ServiceName],
     ) -> messages.TableUpdate:
-        """Returns what a node at `base` lacks of the services.
+        """Returns the changes since revision `base` to the services' rows.
 
         Args:
-          base: the node's revision; 0 or one before `floor` gives all rows.
-          services: what the node holds rows of.
-          new_services: those of them whose rows it does not hold yet.
+          base: the node's revision; the update holds all rows if it is 0 or
+            older than `min_base_revision`.
+          services: services whose rows the node needs.
+          new_services: those of them of which the node has no rows yet.
         """
         send_all = base == NO_REVISION or base < self.min_base_revision
         update = messages.TableUpdate(
@@ -399,12 +404,12 @@
 def is_same_process(
     record: messages.MemberRecord, member: messages.Member
 ) -> bool:
-    """Returns whether both are the same run of the same host."""
+    """Returns whether both have the same incarnation."""
     return record.member.incarnation == member.incarnation
 
 
 def is_unchanged(
     record: messages.MemberRecord, change: messages.MemberChange
 ) -> bool:
-    """Returns whether the change says nothing new."""
+    """Returns whether the change equals the current record."""
     return record.member == change.member and record.serves == change.serves
--- a/mangobay/usedversions.py
+++ b/mangobay/usedversions.py
@@ -1,4 +1,4 @@
-"""Versions of sheets that the history no longer names."""
+"""Versions of accepted sheets that the history has dropped."""
 
 import collections.abc
 
@@ -7,29 +7,29 @@
 from mangobay import ids
 
 MAX_VERSIONS = 1_000_000
-"""Versions remembered; 17 days at 59,000 changes a day, in 8 MB."""
+"""Versions remembered: 17 days of 59,000 changes a day, in 8 MB."""
 TRIM_BATCH_SIZE = 10_000
-"""Forgotten together, so that forgetting moves the memory seldom."""
+"""Versions discarded at once, so that the array is rarely moved."""
 FINGERPRINT_BYTES = 8
-"""Bytes of a fingerprint."""
+"""Bytes of one fingerprint."""
 
 
 def fingerprint(version: ids.SheetVersion) -> bytes:
-    """Returns what is remembered of a version."""
+    """Returns the hash of a version."""
     return xxhash.xxh3_64_digest(version.encode())
 
 
 class UsedVersions:
-    """Fingerprints of versions, oldest first.
+    """Fingerprints of used versions, oldest first.
 
-    An operator may send a sheet again long after its answer was lost. Taken
-    for a new one, it would bring back rows that later sheets replaced. So a
-    version is refused for long after the history dropped it; a version that
-    only shares its fingerprint (one in 10^13 at a million) is refused too,
-    which its operator mends with another name.
+    An operator may resend a sheet long after the response was lost. Accepted
+    as a new sheet, it would bring back rows that later sheets replaced. So
+    its version is refused long after the history has dropped it. A version
+    that only has the same fingerprint (one in 10^13 with a million of them)
+    is refused too; the operator then has to choose another version.
 
     Attributes:
-      fingerprints: the fingerprints.
+      fingerprints: the concatenated fingerprints.
     """
 
     def __init__(self, data: bytes = b""):
@@ -39,7 +39,7 @@
         return len(self.fingerprints) // FINGERPRINT_BYTES
 
     def add(self, versions: collections.abc.Iterable[ids.SheetVersion]) -> None:
-        """Remembers versions; beyond MOST the oldest are forgotten."""
+        """Adds versions and discards the oldest beyond MAX_VERSIONS."""
         self.fingerprints += b"".join(map(fingerprint, versions))
         if len(self) > MAX_VERSIONS + TRIM_BATCH_SIZE:
             del self.fingerprints[
--- a/mangobay/viewactivity.py
+++ b/mangobay/viewactivity.py
@@ -1,4 +1,7 @@
-"""Which views are active: nobody can act by an older one any more."""
+"""Tracks which views are active.
+
+A view is active once no process can use an older view of the service any more.
+"""
 
 import typing
 
@@ -7,33 +10,34 @@
 
 
 class ProcessId(typing.NamedTuple):
-    """One run of a process, which may act by an old view until its lease ends."""
+    """A process; it may use an outdated view until its lease ends."""
 
     host: ids.HostId
     incarnation: ids.Incarnation
 
 
 UNKNOWN_PROCESS = ProcessId(ids.HostId(""), ids.Incarnation(""))
-"""Stands for whoever a new leader has not heard of yet."""
+"""Stands for all processes that a new leader has not heard from yet."""
 
 
 def process_id_of(member: messages.Member | messages.LeaseRenew) -> ProcessId:
-    """Returns the run of the process that the message tells of."""
+    """Returns the process that the message describes."""
     return ProcessId(member.host, member.incarnation)
 
 
 class ViewActivity:
-    """For each service, who may still act by a view before the newest.
+    """Processes that may still use an outdated view of a service.
 
-    A view is active once each of them acknowledged it, or the version that
-    put them on the list, or lost its lease. Who is on the list stays there
-    through later views: a process dropped two views ago that has heard of
-    neither could otherwise run a key that its newest owner calls unknown.
+    The newest view of a service is active once each of these processes has
+    acknowledged the version that made it pending or a later one, or has lost
+    its lease. A process stays pending through later views: one that was
+    removed two views ago and knows of neither view could otherwise run a key
+    for which the newest owner already replies `unknown`.
 
     Attributes:
-      newest_versions: newest version of each service.
-      pending_acks: by service, the version each process must acknowledge.
-      services_by_process: by process, the services that wait for it.
+      newest_versions: newest view version of each service.
+      pending_acks: by service, the version that each process must acknowledge.
+      services_by_process: by process, the services that wait for its ack.
       active_services: services whose newest view is active.
     """
 
@@ -50,7 +54,7 @@
         view: messages.ServiceView,
         live_processes: typing.Container[ProcessId],
     ) -> None:
-        """Takes in a new view; only `living` processes are waited for."""
+        """Adds a new view, which waits for former members that are live."""
         if self.newest_versions.get(view.service) == view.version:
             return
         self.newest_versions[view.service] = view.version
@@ -67,13 +71,13 @@
         process: ProcessId,
         version: ids.ViewVersion,
     ) -> None:
-        """Keeps the service's view from being active until the owner knows."""
+        """Makes the service's view wait until the process acknowledges it."""
         pending = self.pending_acks.setdefault(service, {})
         pending[process] = max(version, pending.get(process, version))
         self.services_by_process.setdefault(process, set()).add(service)
 
     def record_ack(self, process: ProcessId, ack: messages.ViewAck) -> bool:
-        """Takes in a version that a process acts by.
+        """Records the view version that a process uses.
 
         Returns:
           whether the service's newest view became active.
@@ -93,7 +97,7 @@
         return self.activate_if_acked(ack.service)
 
     def record_lease_end(self, process: ProcessId) -> set[ids.ServiceName]:
-        """The process cannot hold a lease any more.
+        """Records that the process has no lease any more.
 
         Returns:
           the services whose newest view became active.
@@ -108,19 +112,23 @@
     def remove_pending(
         self, service: ids.ServiceName, process: ProcessId
     ) -> None:
-        """Takes a process off the list of a service."""
+        """Stops waiting for the process to acknowledge a view of the service."""
         del self.pending_acks[service][process]
         self.services_by_process[process].discard(service)
         if not self.services_by_process[process]:
             del self.services_by_process[process]
 
     def clear_pending(self, service: ids.ServiceName) -> None:
-        """Empties the list of a service."""
+        """Stops waiting for all processes to acknowledge a view of the service."""
         for process in list(self.pending_acks.get(service, ())):
             self.remove_pending(service, process)
 
     def activate_if_acked(self, service: ids.ServiceName) -> bool:
-        """Returns whether the newest view has just become active."""
+        """Marks the newest view as active if no process is pending.
+
+        Returns:
+          whether the view has just become active.
+        """
         if self.pending_acks.get(service):
             return False
         self.pending_acks.pop(service, None)
