--- a/mangobay/interests.py
+++ b/mangobay/interests.py
@@ -72,7 +72,7 @@
         return sorted(self.wanted - self.known)[:MAX_NEW_INTERESTS]
 
     def is_resolved(self, service: ids.ServiceName) -> bool:
-        """Returns whether it is known if the control group has the service.
+        """Returns whether the control group is known to have or lack the service.
 
         The caller is about to use the service, so this counts as a use.
         """
--- a/mangobay/leases.py
+++ b/mangobay/leases.py
@@ -315,7 +315,11 @@
             await self.check_expiry(last_check_at)
 
     async def check_expiry(self, last_check_at: float) -> None:
-        """Checks for expired leases; `last_check_at` is a loop time."""
+        """Checks once for expired leases.
+
+        Args:
+          last_check_at: loop time of the previous check.
+        """
         if not self.check_leadership():
             return
         # After a pause of this process, renewals may be unread in its sockets,
--- a/mangobay/snapshottransfer.py
+++ b/mangobay/snapshottransfer.py
@@ -2,8 +2,8 @@
 
 The leader sends a snapshot in parts. The follower replies to each part, and
 each part counts as a heartbeat. In a single message, the snapshot of a large
-system would exceed the frame limit, and a follower that is silent for the
-whole transfer could cost the leader its quorum.
+system would exceed the frame limit, and a leader that needs the follower for
+its quorum would lose it while the follower receives the message.
 """
 
 import asyncio
--- a/mangobay/viewactivity.py
+++ b/mangobay/viewactivity.py
@@ -54,7 +54,7 @@
         view: messages.ServiceView,
         live_processes: typing.Container[ProcessId],
     ) -> None:
-        """Adds a new view, which waits for former members that are live."""
+        """Tracks a new view; live former members have to acknowledge it."""
         if self.newest_versions.get(view.service) == view.version:
             return
         self.newest_versions[view.service] = view.version
--- a/mangobay/views.py
+++ b/mangobay/views.py
@@ -125,7 +125,8 @@
     result = dict(current)
     for view in full_views:
         current_view = result.get(view.service)
-        # A new leader may not know yet that a view is active.
+        # A new leader may not know yet that a view is active. The node
+        # then keeps its own view.
         if current_view is None or is_newer(view, current_view):
             result[view.service] = view
     for update in steps:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease on the node's own clock."""
+"""Tests of the lease on the node's own clock."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 
 @pytest.mark.looptime
 class TestLease:
-    """When it ends."""
+    """When a lease ends."""
 
-    async def test_a_slow_answer_shortens_it(self):
-        """The grant takes three seconds of a lease of four to arrive.
+    async def test_a_slow_grant_shortens_the_lease(self):
+        """A grant with a ttl of four seconds takes three seconds to arrive.
 
-        Control counts from when it granted.  A node that counted from when
-        the answer came would act for its keys beside the next owner.
+        The control group counts from when it sent the grant. A node that
+        counted from its arrival would act for its keys beside the next owner.
         """
         node_lease = lease.Lease()
         asked_at = clock.now()
@@ -25,7 +25,7 @@
         await asyncio.sleep(1)
         assert not node_lease.is_valid()
 
-    async def test_an_older_grant_does_not_shorten_it(self):
+    async def test_an_older_grant_does_not_shorten_the_lease(self):
         node_lease = lease.Lease()
         node_lease.extend(clock.now(), 4)
         node_lease.extend(clock.now() - 2, 4)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""The leader's side of leases."""
+"""Tests of the leader's side of leases."""
 
 import asyncio
 import contextlib
@@ -39,7 +39,7 @@
 
 
 async def renew_until(table, until, *renewals):
-    """Renews for the hosts once a second until the loop time."""
+    """Sends the renewals once a second until the given loop time."""
     while clock.now() < until:
         for renewal in renewals:
             await table.renew(renewal)
@@ -47,16 +47,16 @@
 
 
 class TestFlapping:
-    """Backend servers that come and go."""
+    """Hosts that join and leave repeatedly."""
 
-    async def test_a_host_that_comes_and_goes_is_kept_out_longer(
+    async def test_joins_of_a_flapping_host_are_held_ever_longer(
         self, table, state, group
     ):
-        """A backend server announces itself and vanishes every second.
+        """A backend server announces itself and disappears every second.
 
-        The first joins are agreed on, then it is kept out, longer each time:
-        in ten minutes it makes few entries. Its node keeps its lease all
-        along, and once the backend server stays it becomes a member again.
+        The first joins are committed, later ones are held, longer each time,
+        so that ten minutes make few log entries. The node keeps its lease, and
+        once the backend server stays, the host becomes a member again.
         """
         while clock.now() < 600:
             for services in ((), ("quotes",)):
@@ -68,9 +68,7 @@
         await renew_until(table, 800, controlfakes.make_renewal("a", "quotes"))
         assert [m.host for m in state.views["quotes"].members] == ["a"]
 
-    async def test_a_host_that_restarts_now_and_then_is_not_kept_out(
-        self, table, state
-    ):
+    async def test_rare_restarts_are_not_held(self, table, state):
         for run in range(20):
             await table.renew(
                 controlfakes.make_renewal("a", "quotes", incarnation=str(run))
@@ -79,11 +77,11 @@
             assert member.incarnation == str(run)
             await asyncio.sleep(flapping.RESET_SECONDS + 1)
 
-    async def test_one_that_leaves_is_out_at_once(self, table, state):
-        """A host that may not join again yet is told to take no more work.
+    async def test_leaving_is_never_held(self, table, state):
+        """A host whose next join would be held stops serving.
 
-        Only its joins are held back: it is out of the view with the first
-        renewal that says so, whatever came before.
+        Only joins are held: the host is removed from the view by the first
+        renewal without the service.
         """
         for _ in range(flapping.UNDAMPED_JOINS):
             await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -92,9 +90,9 @@
 
 
 class TestGrants:
-    """When a lease is granted, and with what."""
+    """When a lease is granted, and the contents of the grant."""
 
-    async def test_a_new_host_joins_and_gets_what_it_lacks(self, table, group):
+    async def test_a_new_host_gets_its_rows_and_views(self, table, group):
         group.append(
             controlfakes.make_sheet_change(
                 "1",
@@ -108,12 +106,12 @@
         assert [view.service for view in grant.views] == ["quotes"]
         assert grant.views[0].active
 
-    async def test_only_members_are_told_of_former_views(self, table, group):
-        """A service's hosts restart all day; hundreds of nodes call it.
+    async def test_only_members_get_former_views(self, table, group):
+        """A host of a service restarts often, and many nodes call the service.
 
-        The former views are for whoever takes its slots over. Told to every
-        caller they would be most of each push; without them the view does
-        not claim to reach back to the first one.
+        Only members that take over slots need the former views. For callers
+        they would be most of each update. Without them the view must not
+        claim that its lineage is complete.
         """
         for run in "1234":
             group.append(
@@ -131,13 +129,13 @@
         assert len(view.formers) == 3
         assert view.lineage_whole
 
-    async def test_a_leader_that_is_cut_off_grants_nothing(self, table, group):
-        """The leader is cut off silently and still believes that it leads.
+    async def test_a_leader_without_quorum_grants_nothing(self, table, group):
+        """A partitioned leader does not notice that it has lost its quorum.
 
-        A node beside it renews. No quorum confirms, so the renewal stays
-        unanswered and the node's lease runs out, before the other side
-        gives its slots to another. When the cut ends, the answer is a
-        refusal that names the new leader.
+        A node on its side renews. No quorum confirms the leader, so there is
+        no reply and the node's lease ends before the other side gives its
+        slots to another owner. After the partition, the reply is a refusal
+        that names the new leader.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         group.lose_quorum()
@@ -154,13 +152,13 @@
         assert not grant.granted
         assert grant.leader == "c2"
 
-    async def test_a_leader_of_another_term_drops_a_held_renewal(
+    async def test_a_waiting_renewal_of_an_older_term_is_refused(
         self, table, group
     ):
-        """Leadership is lost and won again while a renewal is held.
+        """Leadership is lost and won again while a renewal waits.
 
-        What was noted for the renewal belongs to the former term; a grant
-        that the new term knows nothing of would not delay the node's end.
+        The renewal was recorded in the former term. The new term would not
+        count a grant to it when it computes the end of the node's lease.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         renewal_task = asyncio.create_task(
@@ -174,7 +172,9 @@
         group.term = ids.Term(3)
         assert not (await renewal_task).granted
 
-    async def test_a_change_answers_a_held_renewal_at_once(self, table, group):
+    async def test_only_a_relevant_change_ends_the_wait_of_a_renewal(
+        self, table, group
+    ):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         renewal = controlfakes.make_renewal("a", "quotes", hold_ms=900)
         renewal.views = [
@@ -202,11 +202,11 @@
             and not table.notifier.events_by_host
         )
 
-    async def test_a_replaced_run_of_a_host_gets_nothing(self, table, state):
-        """A host restarts; a renewal of its dead run arrives late.
+    async def test_a_replaced_process_gets_no_lease(self, table, state):
+        """A host restarts; a renewal of its old process arrives late.
 
-        Taken in, it would put the dead run into the view again, and the
-        living one would put it out: a new view with every renewal.
+        If it were accepted, the two processes would replace each other in the
+        view with every renewal.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(
@@ -216,7 +216,7 @@
         assert not late.granted
         assert state.members["a"].member.incarnation == "2"
 
-    async def test_a_drained_host_is_told_until_it_leaves(self, table, group):
+    async def test_a_grant_tells_a_host_to_drain(self, table, group):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         group.append(messages.DrainChange(host="a"))
         renewal = controlfakes.make_renewal(
@@ -226,9 +226,9 @@
 
 
 class TestExpiry:
-    """When a silent host is declared gone."""
+    """When a host is removed because its lease has expired."""
 
-    async def test_a_silent_host_is_gone_after_ttl_and_margin(
+    async def test_a_silent_host_is_removed_after_ttl_and_margin(
         self, table, state
     ):
         async with controlfakes.running_task(table):
@@ -239,14 +239,14 @@
             assert "a" not in state.members
             assert state.views["quotes"].members == []
 
-    async def test_a_new_leader_waits_before_it_declares_anybody_gone(
+    async def test_a_new_leader_waits_ttl_and_margin_before_removals(
         self, table, state, group
     ):
-        """The leader changes 4.5 s after a host's last grant here.
+        """The term changes 4.5 s after a host's last grant here.
 
-        The host may have renewed at the former leader just before the new
-        term began. Its lease is then still good, so the new leader waits
-        the whole ttl and margin from the start of its own term.
+        The host may have renewed at another leader just before the new term
+        began. Its lease would then still be valid, so the new leader waits
+        for ttl and margin from the start of its own term.
         """
         async with controlfakes.running_task(table):
             await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -257,14 +257,13 @@
             await asyncio.sleep(1)
             assert "a" not in state.members
 
-    async def test_a_flapping_host_gives_views_that_only_go_forward(
+    async def test_restarts_make_views_with_increasing_versions(
         self, table, state
     ):
-        """A host restarts every half second, each time as a new run.
+        """A host restarts every half second, each time as a new process.
 
-        Each run makes one newer view that follows on the one before. A run
-        that was replaced never comes back, and once the host stays up the
-        view becomes active.
+        Each process makes one newer view. A replaced process never returns,
+        and once the host stays up the view becomes active.
         """
         async with controlfakes.running_task(table):
             versions = []
@@ -293,11 +292,13 @@
             assert "quotes" in table.view_activity.active_services
             assert "a" in state.members
 
-    async def test_a_leader_that_stood_still_judges_nobody(self, table, state):
-        """The leader's process is stopped for ten seconds and goes on.
+    async def test_a_leader_removes_nobody_right_after_a_pause(
+        self, table, state
+    ):
+        """The leader's process is paused for ten seconds.
 
-        Renewals lie unread in its sockets, and by its clock every host was
-        silent for too long. It counts from now on instead.
+        Renewals are unread in its sockets, and by its clock every lease has
+        expired. It must count from the end of the pause instead.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         stopped = clock.now()
@@ -310,9 +311,9 @@
 
 
 class TestActivity:
-    """When nobody can act by an older view any more."""
+    """When a view becomes active."""
 
-    async def test_a_view_is_active_once_each_former_member_knows_it(
+    async def test_a_view_is_active_once_all_former_members_acknowledge_it(
         self, table, state
     ):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -330,14 +331,12 @@
         )
         assert grant.views[0].active
 
-    async def test_a_view_that_becomes_active_is_told_to_its_members_only(
-        self, table
-    ):
-        """A second host of a service joins; the first one learns of it.
+    async def test_only_members_learn_that_a_view_is_active(self, table):
+        """A second host of a service joins, and the first acknowledges the view.
 
-        With that the view is active, which its members need to know before
-        they give up on lost keys. Hundreds of callers have no use for it:
-        their held renewals stay held.
+        The view is then active, which its members need to know before they
+        give up on lost keys. Callers do not need it, so their waiting renewals
+        must go on waiting.
         """
         for host in "ab":
             await table.renew(controlfakes.make_renewal(host, "quotes"))
@@ -360,14 +359,14 @@
         assert not renewal_task.done()
         assert not (await renewal_task).views
 
-    async def test_one_dropped_two_views_ago_is_still_waited_for(
+    async def test_a_member_removed_two_views_ago_still_has_to_acknowledge(
         self, table, state
     ):
-        """Host a stops serving and is not heard of; then b and c change.
+        """Host a stops serving and does not acknowledge it; then c joins.
 
-        The newest view follows on one of which a was no member, yet a may
-        act by the first until it acknowledges a later view or its lease
-        ends. Until then the newest view must not be called active.
+        Host a is not a member of the view before the newest. It may still use
+        the first view until it acknowledges a later one or its lease ends.
+        Until then the newest view must not become active.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(controlfakes.make_renewal("b", "quotes"))
@@ -388,13 +387,13 @@
         )
         assert "quotes" in table.view_activity.active_services
 
-    async def test_a_new_leader_calls_no_view_active_from_memory(
+    async def test_a_new_leader_waits_before_a_view_becomes_active(
         self, table, state, group
     ):
-        """The leader changes while a view waits for its former members.
+        """The term changes while a view waits for acknowledgements.
 
-        The new leader does not know who was waited for. It waits ttl and
-        margin: whoever still has a lease has by then renewed with it.
+        The new leader does not know which ones are missing. It waits for ttl
+        and margin: by then each process with a lease has renewed with it.
         """
         async with controlfakes.running_task(table):
             await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -415,7 +414,7 @@
 
 
 class TestInForce:
-    """Where a revision is in force."""
+    """On which hosts a revision is in force."""
 
     async def test_stragglers_are_named(self, table, group):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -439,11 +438,11 @@
 
 
 class FakeNodes:
-    """Nodes that keep a renewal at the leader and take what they are told.
+    """Nodes that each keep a renewal at the leader and apply its grants.
 
     Attributes:
-      update_bytes: of all grants that told of views.
-      update_count: grants that told of views.
+      update_bytes: bytes of all grants with changes of views.
+      update_count: number of grants with changes of views.
     """
 
     def __init__(self, table, node_count):
@@ -453,7 +452,7 @@
         self.update_count = 0
 
     async def renew_forever(self, host):
-        """Renews for one node for ever."""
+        """Renews for one node until cancelled."""
         versions = {}
         while True:
             renewal = controlfakes.make_renewal(
@@ -477,7 +476,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self):
-        """Runs every node; all of them hold the newest view on entry."""
+        """Runs all nodes; on entry all of them have the newest view."""
         tasks = [
             asyncio.create_task(self.renew_forever(f"h{number:04}"))
             for number in range(self.node_count)
@@ -492,13 +491,13 @@
 
 
 class TestLargeFleet:
-    """What a change of a view costs the leader and the network."""
+    """Cost of a view change for the leader and the network."""
 
     @pytest.mark.parametrize("nodes", [20, 200, 1000])
-    async def test_a_change_costs_a_node_the_same_in_a_fleet_of_any_size(
+    async def test_bytes_of_a_change_do_not_depend_on_the_node_count(
         self, table, group, nodes
     ):
-        """Guards against bytes that grow with nodes times members."""
+        """Guards against bytes that grow with the product of nodes and members."""
         fleet = FakeNodes(table, nodes)
         async with fleet.running():
             group.append(
@@ -508,10 +507,8 @@
             assert fleet.update_count >= nodes - 1
             assert fleet.update_bytes / fleet.update_count < 600
 
-    async def test_changes_of_a_short_time_are_told_together(
-        self, table, group
-    ):
-        """Guards against an answer to every node for each of many changes."""
+    async def test_changes_within_a_short_time_share_grants(self, table, group):
+        """Guards against a grant to every node for each of many changes."""
         fleet = FakeNodes(table, 200)
         async with fleet.running():
             for number in range(100):
@@ -525,8 +522,10 @@
             assert fleet.update_count <= coalescing.MAX_GRANTS_PER_SECOND * 2.8
             assert fleet.update_count <= 200 * 12
 
-    async def test_a_node_that_owns_keys_is_told_at_once(self, table, group):
-        """Guards against keyed calls to an owner that is known to be gone."""
+    async def test_changes_for_a_node_with_keys_are_not_delayed(
+        self, table, group
+    ):
+        """Guards against keyed calls to an owner that is known to be removed."""
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
@@ -545,10 +544,10 @@
             assert clock.now() - changed_at < 0.01
         assert group.machine.views["quotes"].version > version
 
-    async def test_a_keyless_node_is_not_told_that_a_view_is_active(
+    async def test_a_keyless_node_does_not_learn_that_a_view_is_active(
         self, table, group
     ):
-        """Guards against a second answer to every member for each change."""
+        """Guards against a second grant to every member for each change."""
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
--- a/tests/test_leases_random.py
+++ b/tests/test_leases_random.py
@@ -1,4 +1,4 @@
-"""Leases, views and nodes together under random faults, on virtual time."""
+"""Tests of leases and views with nodes under random faults, in virtual time."""
 
 import asyncio
 import random
@@ -21,11 +21,11 @@
 pytestmark = pytest.mark.looptime
 
 MIN_CHECKS = 500
-"""Checks of a run; one that made no more has shown little."""
+"""Checks that a run must exceed to be meaningful."""
 RUN_SECONDS = 45
 MAX_RUN_SECONDS = 4 * RUN_SECONDS
 CI_SEEDS = (*range(6), 240)
-"""Seed 240 made 482 checks in the first 45 seconds."""
+"""Seed 240 makes 482 checks in 45 s and so has to run longer."""
 SOAK_SEEDS = range(6, 300)
 HOSTS = ("a", "b", "c", "d")
 SERVICES = ("quotes", "prices")
@@ -33,7 +33,7 @@
 
 
 class Node:
-    """A run of a node's client behind a network that can be cut."""
+    """A node's control client behind a network that can fail."""
 
     def __init__(self, host, incarnation, simulation):
         self.simulation = simulation
@@ -57,7 +57,7 @@
         self.task = asyncio.create_task(self.client.run())
 
     async def send_request(self, address, body, timeout):
-        """Carries a renewal: late, or not at all."""
+        """Delivers a renewal late, or not at all."""
         async with asyncio.timeout(timeout):
             await self.simulate_network()
             grant = await self.simulation.tables[address].renew(body)
@@ -73,7 +73,7 @@
 
 
 class LeaseSimulation:
-    """Two control hosts over one state, one of them leading, and nodes."""
+    """Two control hosts with one shared state, one of them leading, and nodes."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -90,7 +90,7 @@
         self.elect(CONTROL_ADDRESSES[0], 1)
 
     def elect(self, address, term):
-        """Cuts the former leader off, which is not told, and elects one."""
+        """Isolates the former leader, which does not notice, and elects one."""
         for group in self.groups.values():
             group.lose_quorum()
         group = self.groups[address]
@@ -102,20 +102,20 @@
         group.has_quorum.set()
 
     def start_node(self, host):
-        """Starts the next run of a host; a former one may be living still."""
+        """Starts a new incarnation of a host; an old one may still run."""
         node = Node(host, f"{len(self.nodes)}", self)
         self.nodes.append(node)
         self.serve_random_services(node)
 
     def serve_random_services(self, node):
-        """Has a node serve some of the services."""
+        """Makes a node serve a random choice of the services."""
         names = self.rng.sample(SERVICES, self.rng.randint(0, 2))
         node.client.serves = [
             messages.ServedService(name=name, slots=4) for name in sorted(names)
         ]
 
     def inject_fault(self, term):
-        """Does one random thing."""
+        """Injects one random fault."""
         self.fault_count += 1
         node = self.rng.choice(self.nodes)
         match self.rng.randrange(6):
@@ -131,7 +131,7 @@
                 self.serve_random_services(node)
 
     def check_active_views(self):
-        """No process that may act stands behind a view called active."""
+        """Checks that no member with a lease is older than an active view."""
         for service in SERVICES:
             views = [
                 node.client.views.value.get(service) for node in self.nodes
@@ -146,13 +146,13 @@
                     assert not ack.member or view.version >= max(active)
 
     def should_continue(self, now):
-        """Whether the run is too short, or has not checked enough yet."""
+        """Returns whether the run needs more time or more checks."""
         return now < RUN_SECONDS or (
             self.check_count <= MIN_CHECKS and now < MAX_RUN_SECONDS
         )
 
     async def run(self):
-        """Runs the control hosts, the nodes and the faults."""
+        """Runs the control hosts and nodes and injects faults."""
         table_tasks = [
             asyncio.create_task(table.run()) for table in self.tables.values()
         ]
@@ -173,21 +173,21 @@
 
 
 class TestRandomFaults:
-    """What `active` promises to those who take over slots."""
+    """The guarantee of an active view under random faults."""
 
     @pytest.mark.parametrize("seed", CI_SEEDS)
-    async def test_nobody_acts_behind_an_active_view(self, seed):
-        """Nodes restart, are cut off and change services; leaders change.
+    async def test_no_member_uses_a_view_older_than_an_active_one(self, seed):
+        """Nodes restart, are isolated and change services; leaders change.
 
-        A view that any node was told is active lets new owners set floors.
-        So no process that holds a lease on its own clock may still be a
-        member by an older view: it could run a key twice.
+        An active view lets new owners set slot floors, below which they reply
+        `unknown` to keys. So no process with a valid lease may still be a
+        member under an older view: it could run such a key.
         """
         await self.run(seed)
 
     @pytest.mark.soak
     @pytest.mark.parametrize("seed", SOAK_SEEDS)
-    async def test_nobody_acts_in_many_runs(self, seed):
+    async def test_no_member_uses_an_outdated_view_in_many_runs(self, seed):
         await self.run(seed)
 
     async def run(self, seed) -> None:
--- a/tests/test_statemachine.py
+++ b/tests/test_statemachine.py
@@ -1,4 +1,4 @@
-"""The replicated state of the control group."""
+"""Tests of the replicated state machine of the control group."""
 
 import controlfakes
 
@@ -7,7 +7,7 @@
 
 
 def apply(state, *bodies):
-    """Applies bodies as the next entries; returns their indices."""
+    """Applies bodies as the next entries; returns their log indices."""
     start = getattr(apply, "index", 0) if state.history else 0
     start = max([start, *(v.version for v in state.views.values())])
     indices = []
@@ -26,11 +26,11 @@
     """Which sheets are accepted."""
 
     def test_equal_versions_race_and_the_first_in_the_log_wins(self):
-        """Two operators send different sheets under version 7 at once.
+        """Two operators send different sheets of version 7 at once.
 
-        Both entries are committed, the second even compared with the table
-        of the first. The first is in force; the second changes nothing on
-        any host, and `versions` names the winner, revision 1.
+        Both entries are committed, the second with the first as its base. The
+        first is in force; the second must change nothing on any host, and
+        `history_by_version` holds the first, at revision 1.
         """
         state = statemachine.ConfigStateMachine()
         first = controlfakes.make_sheet_change(
@@ -46,10 +46,10 @@
         assert len(state.history) == 1
 
     def test_a_sheet_resent_after_later_ones_never_reverts_them(self):
-        """The answer to version 1 is lost; version 2 is accepted meanwhile.
+        """An operator resends version 1 after version 2 was accepted.
 
-        The operator sends version 1 again. It keeps its first revision, and
-        version 2 stays in force.
+        The response to version 1 was lost. The resent sheet keeps its first
+        revision, and version 2 stays in force.
         """
         state = statemachine.ConfigStateMachine()
         old = controlfakes.make_sheet_change(
@@ -65,10 +65,10 @@
         assert state.history_by_version["1"].revision == 1
 
     def test_rows_compared_with_an_older_table_are_refused(self):
-        """Two sheets of different versions are compared with one table.
+        """Two sheets of different versions have the same base revision.
 
-        The second entry holds only what differs from a table that is no
-        longer in force: applied, it would mix both sheets. Nothing of it is.
+        The second entry holds the difference to a table that is not in force
+        any more. Applied, it would mix both sheets, so all of it is refused.
         """
         state = statemachine.ConfigStateMachine()
         apply(
@@ -110,9 +110,9 @@
 
 
 class TestMembers:
-    """The views that membership makes."""
+    """Views that result from membership changes."""
 
-    def test_each_change_makes_a_view_that_follows_on_the_former(self):
+    def test_each_member_change_makes_one_new_view(self):
         state = statemachine.ConfigStateMachine()
         first, second, _ = apply(
             state,
@@ -125,12 +125,12 @@
         assert member_ids(view.members) == [("a", "1"), ("b", "1")]
         assert member_ids(views.former_members(view)) == [("a", "1")]
 
-    def test_a_service_whose_members_all_died_still_has_a_former_view(self):
-        """Both nodes of a service die; later they come back.
+    def test_a_service_without_members_keeps_its_last_former_view(self):
+        """All nodes of a service die; later one comes back.
 
-        Between, the service has no members. The new owners must know that
-        keys may have run under the last living view, or a repeated booking
-        would run again; so that view stays the former one.
+        In between the service has no members. The last view with members has
+        to stay the former view: without it the new owners would not know that
+        keys may have run, and would run a repeated booking again.
         """
         state = statemachine.ConfigStateMachine()
         indices = apply(
@@ -147,11 +147,11 @@
         assert view.lineage_whole
         assert member_ids(views.former_members(view)) == [("b", "1")]
 
-    def test_the_end_of_an_old_run_leaves_the_new_one_in(self):
-        """A host restarts just before the leader declares its old run gone.
+    def test_removing_an_old_incarnation_keeps_the_new_one(self):
+        """A host restarts just before the leader removes its old incarnation.
 
-        The new run is committed first. The late entry names the old
-        incarnation and must not take the new one out of the view.
+        The new incarnation is committed first. The later entry, which removes
+        the old one, must not remove the new one from the view.
         """
         state = statemachine.ConfigStateMachine()
         apply(
@@ -164,11 +164,11 @@
         assert member_ids(view.members) == [("a", "2")]
         assert member_ids(views.former_members(view)) == [("a", "1")]
 
-    def test_a_host_returns_under_its_address_with_another_service(self):
-        """A host is given another backend server and comes back.
+    def test_a_host_that_serves_another_service_leaves_the_former_view(self):
+        """A host restarts at the same address with another backend server.
 
-        Callers of its former service must not reach it under the old
-        address: it leaves that view and joins the other in one entry.
+        Callers of its former service must not reach it at that address, so it
+        leaves one view and joins the other in a single entry.
         """
         state = statemachine.ConfigStateMachine()
         _, index = apply(
@@ -180,7 +180,7 @@
         assert state.views["quotes"].version == index
         assert member_ids(state.views["prices"].members) == [("a", "2")]
 
-    def test_a_leaving_host_stays_a_member_until_it_is_gone(self):
+    def test_a_leaving_host_stays_a_member(self):
         state = statemachine.ConfigStateMachine()
         apply(
             state,
@@ -190,7 +190,7 @@
         assert state.views["quotes"].members[0].leaving
         assert not views.former_members(state.views["quotes"])[0].leaving
 
-    def test_a_drain_ends_with_the_run_that_it_asked_to_leave(self):
+    def test_a_drain_ends_with_the_incarnation(self):
         state = statemachine.ConfigStateMachine()
         apply(state, controlfakes.make_member_join("a", "quotes"))
         apply(state, messages.DrainChange(host="a"))
@@ -202,10 +202,10 @@
 
 
 class TestBounds:
-    """What would grow with every sheet for ever."""
+    """Bounds on state that grows with each sheet."""
 
     def accept_sheets(self, state, count, removing=False):
-        """Accepts sheets, each with a row of its own."""
+        """Accepts sheets, each with its own row."""
         for number in range(1, count + 1):
             last = controlfakes.make_operation(f"row{number - 1}")
             sheet = controlfakes.make_sheet_change(
@@ -218,12 +218,12 @@
                 messages.LogEntry(index=state.revision + 1, term=1, body=sheet)
             )
 
-    def test_a_sheet_of_long_ago_is_refused_and_not_applied(self, monkeypatch):
-        """Version v1 left the history; its operator sends it again.
+    def test_a_version_dropped_from_the_history_is_refused(self, monkeypatch):
+        """An operator resends version v1 after the history has dropped it.
 
-        Its answer was lost days ago. Taken for a new version, its rows would
-        replace those of every sheet since. It changes nothing, also on a
-        control host that started from a snapshot.
+        Accepted as a new version, its rows would replace those of all later
+        sheets. It must change nothing, also on a control host that started
+        from a snapshot.
         """
         monkeypatch.setattr(statemachine, "MAX_HISTORY_ITEMS", 3)
         state = statemachine.ConfigStateMachine()
@@ -241,14 +241,14 @@
             assert each.revision == 5
             assert all(row.tries != 9 for row in each.operations())
 
-    def test_forgotten_removals_cost_a_node_behind_them_its_whole_rows(
+    def test_a_node_older_than_the_trimmed_removals_gets_all_rows(
         self, monkeypatch
     ):
-        """A node slept through more removals than are remembered.
+        """A node has missed more removals than are remembered.
 
-        A difference would leave rows in its table that were removed long
-        ago, and calls would go on to them. It gets all rows; a node that is
-        not so far behind still gets the difference.
+        A difference would leave removed rows in its table, and calls to them
+        would go on. It gets all rows; a node that is less far behind still
+        gets the difference.
         """
         monkeypatch.setattr(statemachine, "MAX_REMOVED_OPERATIONS", 4)
         state = statemachine.ConfigStateMachine()
@@ -263,7 +263,7 @@
 class TestSnapshots:
     """The whole state in one message."""
 
-    def test_everything_comes_back(self):
+    def test_a_restored_state_equals_the_original(self):
         state = statemachine.ConfigStateMachine()
         apply(
             state,
@@ -281,12 +281,11 @@
         assert restored.history_by_version == state.history_by_version
         assert restored.revision == state.revision
 
-    def test_a_node_behind_the_snapshot_gets_its_rows_whole(self):
-        """A control host restarts from a snapshot made at revision 2.
+    def test_a_node_older_than_the_snapshot_gets_all_rows(self):
+        """A control host restarts from a snapshot of revision 2.
 
-        A node that still is at revision 1 renews there. Which rows changed
-        since is no longer known, so it gets all of them, removed ones left
-        out.
+        A node at revision 1 renews there. The snapshot does not hold which rows
+        changed since, so the node gets all rows, without the removed ones.
         """
         state = statemachine.ConfigStateMachine()
         apply(
--- a/tests/test_usedversions.py
+++ b/tests/test_usedversions.py
@@ -1,19 +1,19 @@
-"""Versions of sheets that the history no longer names."""
+"""Tests of the versions that the history has dropped."""
 
 from mangobay import usedversions
 
 
 class TestUsedVersions:
-    """What is remembered, and for how long."""
+    """Which versions are remembered."""
 
-    def test_used_versions_are_known_and_others_are_not(self):
+    def test_only_used_versions_are_contained(self):
         versions = usedversions.UsedVersions()
         versions.add(f"v{number}" for number in range(500))
         restored = usedversions.UsedVersions(bytes(versions.fingerprints))
         assert all(restored.contains(f"v{number}") for number in range(500))
         assert not any(restored.contains(f"w{number}") for number in range(500))
 
-    def test_bytes_across_two_fingerprints_are_no_version(self):
+    def test_a_match_across_two_fingerprints_does_not_count(self):
         first, second = (
             usedversions.fingerprint("a"),
             usedversions.fingerprint("b"),
@@ -22,7 +22,7 @@
         versions.fingerprints[:0] = second[:4] + first[:4]
         assert not versions.contains("a")
 
-    def test_the_oldest_are_forgotten(self, monkeypatch):
+    def test_the_oldest_versions_are_discarded(self, monkeypatch):
         monkeypatch.setattr(usedversions, "MAX_VERSIONS", 10)
         monkeypatch.setattr(usedversions, "TRIM_BATCH_SIZE", 5)
         versions = usedversions.UsedVersions()
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -1,4 +1,4 @@
-"""Views of a service, and the steps between them."""
+"""Tests of views and the steps between them."""
 
 import controlfakes
 import pytest
@@ -25,7 +25,7 @@
 
 
 class TestSteps:
-    """Which way leads from an older view to the newest."""
+    """Steps from an older view to the newest."""
 
     def test_steps_lead_from_any_kept_version_to_the_newest_view(self, state):
         apply(
@@ -44,7 +44,7 @@
             assert view.version == newest.version
             assert view.members == newest.members
 
-    def test_no_way_leads_from_a_version_that_is_not_kept(self, state):
+    def test_there_are_no_steps_from_a_version_that_is_not_kept(self, state):
         for number in range(views.MIN_RETAINED_STEPS * 2):
             apply(
                 state,
@@ -56,7 +56,7 @@
         assert state.view_steps.since("quotes", 10_000) is None
         assert state.view_steps.since("prices", 1) is None
 
-    def test_after_a_snapshot_the_way_starts_anew(self, state):
+    def test_a_restored_state_starts_without_steps(self, state):
         restored = statemachine.ConfigStateMachine()
         restored.restore(state.snapshot())
         version = state.views["quotes"].version
@@ -67,7 +67,7 @@
         assert step.member.host == "d"
 
     def test_kept_steps_are_bounded_by_the_members(self, state):
-        """Guards against memory that grows with the age of a service."""
+        """Guards against memory that grows with each view of a service."""
         for number in range(1000):
             apply(
                 state,
@@ -80,7 +80,7 @@
         )
         assert len(state.view_steps.by_service["quotes"]) == max_steps
 
-    def test_several_steps_of_a_host_are_told_as_its_last(self, state):
+    def test_only_the_last_step_of_a_host_is_kept(self, state):
         apply(
             state,
             controlfakes.make_member_gone("b"),
@@ -92,7 +92,7 @@
         assert step.member.incarnation == "2"
 
     def test_steps_by_host_end_with_the_newest_version(self, state):
-        """Guards against nodes that are told the same steps twice."""
+        """Guards against nodes that get the same steps twice."""
         apply(
             state,
             controlfakes.make_member_join("a", "quotes", incarnation="2"),
