--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -212,8 +212,8 @@
         await table.renew(
             controlfakes.make_renewal("a", "quotes", incarnation="2")
         )
-        late = await table.renew(controlfakes.make_renewal("a", "quotes"))
-        assert not late.granted
+        late_grant = await table.renew(controlfakes.make_renewal("a", "quotes"))
+        assert not late_grant.granted
         assert state.members["a"].member.incarnation == "2"
 
     async def test_a_grant_tells_a_host_to_drain(self, table, group):
@@ -467,8 +467,8 @@
             versions.update(
                 (view.service, view.version) for view in grant.views
             )
-            for steps in grant.view_steps:
-                versions[steps.service] = steps.steps[-1].version
+            for update in grant.view_steps:
+                versions[update.service] = update.steps[-1].version
             if grant.views or grant.view_steps:
                 self.update_count += 1
                 envelope = messages.Envelope(body=grant)
@@ -498,19 +498,19 @@
         self, table, group, nodes
     ):
         """Guards against bytes that grow with the product of nodes and members."""
-        fleet = FakeNodes(table, nodes)
-        async with fleet.running():
+        fake_nodes = FakeNodes(table, nodes)
+        async with fake_nodes.running():
             group.append(
                 controlfakes.make_member_join("h0001", "quotes", slots=71)
             )
             await asyncio.sleep(0.8)
-            assert fleet.update_count >= nodes - 1
-            assert fleet.update_bytes / fleet.update_count < 600
+            assert fake_nodes.update_count >= nodes - 1
+            assert fake_nodes.update_bytes / fake_nodes.update_count < 600
 
     async def test_changes_within_a_short_time_share_grants(self, table, group):
         """Guards against a grant to every node for each of many changes."""
-        fleet = FakeNodes(table, 200)
-        async with fleet.running():
+        fake_nodes = FakeNodes(table, 200)
+        async with fake_nodes.running():
             for number in range(100):
                 group.append(
                     controlfakes.make_member_join(
@@ -519,8 +519,11 @@
                 )
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.8)
-            assert fleet.update_count <= coalescing.MAX_GRANTS_PER_SECOND * 2.8
-            assert fleet.update_count <= 200 * 12
+            assert (
+                fake_nodes.update_count
+                <= coalescing.MAX_GRANTS_PER_SECOND * 2.8
+            )
+            assert fake_nodes.update_count <= 200 * 12
 
     async def test_changes_for_a_node_with_keys_are_not_delayed(
         self, table, group
