--- a/mangobay/interests.py
+++ b/mangobay/interests.py
@@ -48,7 +48,7 @@
     def add_served(
         self, services: collections.abc.Iterable[ids.ServiceName]
     ) -> None:
-        """Subscribes to services for good, since this host may own their keys."""
+        """Subscribes to services for good, as this host may own their keys."""
         self.served.update(services)
         self.wanted.update(self.served)
 
@@ -72,7 +72,7 @@
         return sorted(self.wanted - self.known)[:MAX_NEW_INTERESTS]
 
     def is_resolved(self, service: ids.ServiceName) -> bool:
-        """Returns whether the control group is known to have or lack the service.
+        """Returns whether a service is known, or was recently found unknown.
 
         The caller is about to use the service, so this counts as a use.
         """
--- a/mangobay/leases.py
+++ b/mangobay/leases.py
@@ -110,7 +110,7 @@
         machine.change_listeners.append(self.on_state_change)
 
     async def renew(self, renewal: messages.LeaseRenew) -> messages.LeaseGrant:
-        """Replies to a renewal once there is a change or its wait time is up."""
+        """Replies to a renewal once there is a change or its time is up."""
         if not self.check_leadership():
             return self.make_refusal()
         if viewactivity.process_id_of(renewal) in self.replaced_processes:
--- a/mangobay/routes.py
+++ b/mangobay/routes.py
@@ -134,7 +134,9 @@
         if weighted.weight < 0:
             yield f"the weight of {weighted.service} is below 0"
     if not 0 < route.timeout <= MAX_TIMEOUT_SECONDS:
-        yield f"the timeout must be above 0 and at most {MAX_TIMEOUT_SECONDS:g} s"
+        yield (
+            f"the timeout must be above 0 and at most {MAX_TIMEOUT_SECONDS:g} s"
+        )
     if route.max_attempts < 1:
         yield "must allow at least one attempt"
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
@@ -151,7 +153,7 @@
 
 
 FULL_TIME_SHARE = 0.97
-"""Share of a route's full time below which a caller has waited before."""
+"""Share of `max_time_left` below which a caller has waited before."""
 MAX_OPERATIONS = 64
 """Operations cached for one route."""
 
--- a/mangobay/statemachine.py
+++ b/mangobay/statemachine.py
@@ -71,7 +71,7 @@
       history_by_version: the same sheets by version.
       used_versions: versions of sheets that the history has dropped.
       dropped_history_items: number of sheets that the history has dropped.
-      members: record of each host that has not been declared gone.
+      members: record of each member host.
       views: the newest view of each service that ever had a member.
       view_steps: the most recent steps of each view; not part of snapshots.
       draining: hosts that an operator asked to leave.
@@ -102,7 +102,7 @@
         self.change_listeners: list[ChangeListener] = []
 
     def apply(self, entry: messages.LogEntry) -> None:
-        """Applies one committed entry; the group's own entries change nothing."""
+        """Applies one committed entry; the group's own ones change nothing."""
         match entry.body:
             case messages.SheetChange() as change:
                 changed = self.apply_sheet(entry.index, change)
--- a/mangobay/viewactivity.py
+++ b/mangobay/viewactivity.py
@@ -112,14 +112,14 @@
     def remove_pending(
         self, service: ids.ServiceName, process: ProcessId
     ) -> None:
-        """Stops waiting for the process to acknowledge a view of the service."""
+        """Stops waiting for the process to acknowledge the service's view."""
         del self.pending_acks[service][process]
         self.services_by_process[process].discard(service)
         if not self.services_by_process[process]:
             del self.services_by_process[process]
 
     def clear_pending(self, service: ids.ServiceName) -> None:
-        """Stops waiting for all processes to acknowledge a view of the service."""
+        """Stops waiting for any process to acknowledge the service's view."""
         for process in list(self.pending_acks.get(service, ())):
             self.remove_pending(service, process)
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -332,7 +332,7 @@
         assert grant.views[0].active
 
     async def test_only_members_learn_that_a_view_is_active(self, table):
-        """A second host of a service joins, and the first acknowledges the view.
+        """A second host of a service joins; the first acknowledges the view.
 
         The view is then active, which its members need to know before they
         give up on lost keys. Callers do not need it, so their waiting renewals
@@ -497,7 +497,7 @@
     async def test_bytes_of_a_change_do_not_depend_on_the_node_count(
         self, table, group, nodes
     ):
-        """Guards against bytes that grow with the product of nodes and members."""
+        """Guards against bytes that grow with nodes times members."""
         fake_nodes = FakeNodes(table, nodes)
         async with fake_nodes.running():
             group.append(
@@ -528,7 +528,7 @@
     async def test_changes_for_a_node_with_keys_are_not_delayed(
         self, table, group
     ):
-        """Guards against keyed calls to an owner that is known to be removed."""
+        """Guards against keyed calls to an owner known to be removed."""
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
--- a/tests/test_leases_random.py
+++ b/tests/test_leases_random.py
@@ -73,7 +73,7 @@
 
 
 class LeaseSimulation:
-    """Two control hosts with one shared state, one of them leading, and nodes."""
+    """Two control hosts with one shared state, one leading, and nodes."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -194,7 +194,8 @@
         simulation = LeaseSimulation(seed)
         await simulation.run()
         print(
-            f"seed {seed}: {simulation.fault_count} faults, {simulation.check_count} checks"
+            f"seed {seed}: {simulation.fault_count} faults,"
+            f" {simulation.check_count} checks"
         )
         assert simulation.fault_count > 20
         assert simulation.check_count > MIN_CHECKS
