--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""The leader's side of leases."""
+"""Tests of the leader's side of leases."""
 
 import asyncio
 import contextlib
@@ -39,7 +39,7 @@
 
 
 async def renew_until(table, until, *renewals):
-    """Renews for the hosts once a second until the loop time."""
+    """Sends the renewals once a second until the given loop time."""
     while clock.now() < until:
         for renewal in renewals:
             await table.renew(renewal)
@@ -47,16 +47,16 @@
 
 
 class TestFlapping:
-    """Backend servers that come and go."""
+    """Hosts that join and leave repeatedly."""
 
-    async def test_a_host_that_comes_and_goes_is_kept_out_longer(
+    async def test_joins_of_a_flapping_host_are_held_ever_longer(
         self, table, state, group
     ):
-        """A backend server announces itself and vanishes every second.
+        """A backend server announces itself and disappears every second.
 
-        The first joins are agreed on, then it is kept out, longer each time:
-        in ten minutes it makes few entries. Its node keeps its lease all
-        along, and once the backend server stays it becomes a member again.
+        The first joins are committed, later ones are held, longer each time,
+        so that ten minutes make few log entries. The node keeps its lease, and
+        once the backend server stays, the host becomes a member again.
         """
         while clock.now() < 600:
             for services in ((), ("quotes",)):
@@ -68,9 +68,7 @@
         await renew_until(table, 800, controlfakes.make_renewal("a", "quotes"))
         assert [m.host for m in state.views["quotes"].members] == ["a"]
 
-    async def test_a_host_that_restarts_now_and_then_is_not_kept_out(
-        self, table, state
-    ):
+    async def test_rare_restarts_are_not_held(self, table, state):
         for run in range(20):
             await table.renew(
                 controlfakes.make_renewal("a", "quotes", incarnation=str(run))
@@ -79,11 +77,11 @@
             assert member.incarnation == str(run)
             await asyncio.sleep(flapping.RESET_SECONDS + 1)
 
-    async def test_one_that_leaves_is_out_at_once(self, table, state):
-        """A host that may not join again yet is told to take no more work.
+    async def test_leaving_is_never_held(self, table, state):
+        """A host whose next join would be held stops serving.
 
-        Only its joins are held back: it is out of the view with the first
-        renewal that says so, whatever came before.
+        Only joins are held: the host is removed from the view by the first
+        renewal without the service.
         """
         for _ in range(flapping.UNDAMPED_JOINS):
             await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -92,9 +90,9 @@
 
 
 class TestGrants:
-    """When a lease is granted, and with what."""
+    """When a lease is granted, and the contents of the grant."""
 
-    async def test_a_new_host_joins_and_gets_what_it_lacks(self, table, group):
+    async def test_a_new_host_gets_its_rows_and_views(self, table, group):
         group.append(
             controlfakes.make_sheet_change(
                 "1",
@@ -108,60 +106,62 @@
         assert [view.service for view in grant.views] == ["quotes"]
         assert grant.views[0].active
 
-    async def test_only_members_are_told_of_former_views(self, table, group):
-        """A service's hosts restart all day; hundreds of nodes call it.
+    async def test_only_members_get_former_views(self, table, group):
+        """A host of a service restarts often, and many nodes call the service.
 
-        The former views are for whoever takes its slots over. Told to every
-        caller they would be most of each push; without them the view does
-        not claim to reach back to the first one.
+        Only members that take over slots need the former views. For callers
+        they would be most of each update. Without them the view must not
+        claim that its lineage is complete.
         """
         for run in "1234":
             group.append(
                 controlfakes.make_member_join("a", "quotes", incarnation=run)
             )
         caller = controlfakes.make_renewal("b", "prices", interests=["quotes"])
-        told = {v.service: v for v in (await table.renew(caller)).views}
-        assert [m.host for m in told["quotes"].members] == ["a"]
-        assert not told["quotes"].formers
-        assert not told["quotes"].lineage_whole
+        views_by_service = {
+            v.service: v for v in (await table.renew(caller)).views
+        }
+        assert [m.host for m in views_by_service["quotes"].members] == ["a"]
+        assert not views_by_service["quotes"].formers
+        assert not views_by_service["quotes"].lineage_whole
         member = controlfakes.make_renewal("a", "quotes", incarnation="4")
         (view,) = (await table.renew(member)).views
         assert len(view.formers) == 3
         assert view.lineage_whole
 
-    async def test_a_leader_that_is_cut_off_grants_nothing(self, table, group):
-        """The leader is cut off silently and still believes that it leads.
+    async def test_a_leader_without_quorum_grants_nothing(self, table, group):
+        """A partitioned leader does not notice that it has lost its quorum.
 
-        A node beside it renews. No quorum confirms, so the renewal stays
-        unanswered and the node's lease runs out, before the other side
-        gives its slots to another. When the cut ends, the answer is a
-        refusal that names the new leader.
+        A node on its side renews. No quorum confirms the leader, so there is
+        no reply and the node's lease ends before the other side gives its
+        slots to another owner. After the partition, the reply is a refusal
+        that names the new leader.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         group.lose_quorum()
-        asking = asyncio.create_task(
+        renewal_task = asyncio.create_task(
             table.renew(controlfakes.make_renewal("a", "quotes"))
         )
         await asyncio.sleep(60)
-        assert not asking.done()
+        assert not renewal_task.done()
         group.leading.clear()
         group.term = ids.Term(2)
         group.leader = ids.HostId("c2")
         group.has_quorum.set()
-        grant = await asking
+        grant = await renewal_task
         assert not grant.granted
         assert grant.leader == "c2"
 
-    async def test_a_leader_of_another_term_drops_a_held_renewal(
+    async def test_a_waiting_renewal_of_an_older_term_is_refused(
         self, table, group
     ):
-        """Leadership is lost and won again while a renewal is held.
+        """Leadership is lost and won again while a renewal waits.
 
-        What was noted for the renewal belongs to the former term; a grant
-        that the new term knows nothing of would not delay the node's end.
+        The renewal was recorded in the former term. The new term would not
+        count a grant to it when it computes the end of the node's lease.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
-        held = asyncio.create_task(
+        renewal_task = asyncio.create_task(
             table.renew(
                 controlfakes.make_renewal(
                     "a", "quotes", hold_ms=900, acks=[("quotes", 1, True)]
@@ -170,13 +170,17 @@
         )
         await asyncio.sleep(0.1)
         group.term = ids.Term(3)
-        assert not (await held).granted
+        assert not (await renewal_task).granted
 
-    async def test_a_change_answers_a_held_renewal_at_once(self, table, group):
+    async def test_only_a_relevant_change_ends_the_wait_of_a_renewal(
+        self, table, group
+    ):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
-        ask = controlfakes.make_renewal("a", "quotes", hold_ms=900)
-        ask.views = [messages.ViewAck(service="quotes", version=1, active=True)]
-        held = asyncio.create_task(table.renew(ask))
+        renewal = controlfakes.make_renewal("a", "quotes", hold_ms=900)
+        renewal.views = [
+            messages.ViewAck(service="quotes", version=1, active=True)
+        ]
+        renewal_task = asyncio.create_task(table.renew(renewal))
         await asyncio.sleep(0.2)
         group.append(
             controlfakes.make_sheet_change(
@@ -184,13 +188,13 @@
             )
         )
         await asyncio.sleep(0.1)
-        assert not held.done()
+        assert not renewal_task.done()
         group.append(
             controlfakes.make_sheet_change(
                 "2", controlfakes.make_operation("sign"), base=2
             )
         )
-        grant = await held
+        grant = await renewal_task
         assert clock.now() < 0.4
         assert [row.name for row in grant.table.changed] == ["sign"]
         assert (
@@ -198,33 +202,33 @@
             and not table.notifier.events_by_host
         )
 
-    async def test_a_replaced_run_of_a_host_gets_nothing(self, table, state):
-        """A host restarts; a renewal of its dead run arrives late.
+    async def test_a_replaced_process_gets_no_lease(self, table, state):
+        """A host restarts; a renewal of its old process arrives late.
 
-        Taken in, it would put the dead run into the view again, and the
-        living one would put it out: a new view with every renewal.
+        If it were accepted, the two processes would replace each other in the
+        view with every renewal.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(
             controlfakes.make_renewal("a", "quotes", incarnation="2")
         )
-        late = await table.renew(controlfakes.make_renewal("a", "quotes"))
-        assert not late.granted
+        late_grant = await table.renew(controlfakes.make_renewal("a", "quotes"))
+        assert not late_grant.granted
         assert state.members["a"].member.incarnation == "2"
 
-    async def test_a_drained_host_is_told_until_it_leaves(self, table, group):
+    async def test_a_grant_tells_a_host_to_drain(self, table, group):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         group.append(messages.DrainChange(host="a"))
-        ask = controlfakes.make_renewal(
+        renewal = controlfakes.make_renewal(
             "a", "quotes", hold_ms=900, acks=[("quotes", 1, True)]
         )
-        assert (await table.renew(ask)).drain
+        assert (await table.renew(renewal)).drain
 
 
 class TestExpiry:
-    """When a silent host is declared gone."""
+    """When a host is removed because its lease has expired."""
 
-    async def test_a_silent_host_is_gone_after_ttl_and_margin(
+    async def test_a_silent_host_is_removed_after_ttl_and_margin(
         self, table, state
     ):
         async with controlfakes.running_task(table):
@@ -235,14 +239,14 @@
             assert "a" not in state.members
             assert state.views["quotes"].members == []
 
-    async def test_a_new_leader_waits_before_it_declares_anybody_gone(
+    async def test_a_new_leader_waits_ttl_and_margin_before_removals(
         self, table, state, group
     ):
-        """The leader changes 4.5 s after a host's last grant here.
+        """The term changes 4.5 s after a host's last grant here.
 
-        The host may have renewed at the former leader just before the new
-        term began. Its lease is then still good, so the new leader waits
-        the whole ttl and margin from the start of its own term.
+        The host may have renewed at another leader just before the new term
+        began. Its lease would then still be valid, so the new leader waits
+        for ttl and margin from the start of its own term.
         """
         async with controlfakes.running_task(table):
             await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -253,14 +257,13 @@
             await asyncio.sleep(1)
             assert "a" not in state.members
 
-    async def test_a_flapping_host_gives_views_that_only_go_forward(
+    async def test_restarts_make_views_with_increasing_versions(
         self, table, state
     ):
-        """A host restarts every half second, each time as a new run.
+        """A host restarts every half second, each time as a new process.
 
-        Each run makes one newer view that follows on the one before. A run
-        that was replaced never comes back, and once the host stays up the
-        view becomes active.
+        Each process makes one newer view. A replaced process never returns,
+        and once the host stays up the view becomes active.
         """
         async with controlfakes.running_task(table):
             versions = []
@@ -289,11 +292,13 @@
             assert "quotes" in table.view_activity.active_services
             assert "a" in state.members
 
-    async def test_a_leader_that_stood_still_judges_nobody(self, table, state):
-        """The leader's process is stopped for ten seconds and goes on.
+    async def test_a_leader_removes_nobody_right_after_a_pause(
+        self, table, state
+    ):
+        """The leader's process is paused for ten seconds.
 
-        Renewals lie unread in its sockets, and by its clock every host was
-        silent for too long. It counts from now on instead.
+        Renewals are unread in its sockets, and by its clock every lease has
+        expired. It must count from the end of the pause instead.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         stopped = clock.now()
@@ -306,9 +311,9 @@
 
 
 class TestActivity:
-    """When nobody can act by an older view any more."""
+    """When a view becomes active."""
 
-    async def test_a_view_is_active_once_each_former_member_knows_it(
+    async def test_a_view_is_active_once_all_former_members_acknowledge_it(
         self, table, state
     ):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -326,14 +331,12 @@
         )
         assert grant.views[0].active
 
-    async def test_a_view_that_becomes_active_is_told_to_its_members_only(
-        self, table
-    ):
-        """A second host of a service joins; the first one learns of it.
+    async def test_only_members_learn_that_a_view_is_active(self, table):
+        """A second host of a service joins; the first acknowledges the view.
 
-        With that the view is active, which its members need to know before
-        they give up on lost keys. Hundreds of callers have no use for it:
-        their held renewals stay held.
+        The view is then active, which its members need to know before they
+        give up on lost keys. Callers do not need it, so their waiting renewals
+        must go on waiting.
         """
         for host in "ab":
             await table.renew(controlfakes.make_renewal(host, "quotes"))
@@ -343,27 +346,27 @@
         )
         acks = [(view.service, view.version, True) for view in grant.views]
         acks = [acks[0], acks[1][:2]]
-        asked = controlfakes.make_renewal(
+        renewal = controlfakes.make_renewal(
             "c", "prices", acks=acks, hold_ms=900, **caller
         )
-        held = asyncio.create_task(table.renew(asked))
+        renewal_task = asyncio.create_task(table.renew(renewal))
         await asyncio.sleep(0.1)
         grant = await table.renew(
             controlfakes.make_renewal("a", "quotes", acks=[acks[1]])
         )
         assert [view.active for view in grant.views] == [True]
         await asyncio.sleep(0.1)
-        assert not held.done()
-        assert not (await held).views
+        assert not renewal_task.done()
+        assert not (await renewal_task).views
 
-    async def test_one_dropped_two_views_ago_is_still_waited_for(
+    async def test_a_member_removed_two_views_ago_still_has_to_acknowledge(
         self, table, state
     ):
-        """Host a stops serving and is not heard of; then b and c change.
+        """Host a stops serving and does not acknowledge it; then c joins.
 
-        The newest view follows on one of which a was no member, yet a may
-        act by the first until it acknowledges a later view or its lease
-        ends. Until then the newest view must not be called active.
+        Host a is not a member of the view before the newest. It may still use
+        the first view until it acknowledges a later one or its lease ends.
+        Until then the newest view must not become active.
         """
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(controlfakes.make_renewal("b", "quotes"))
@@ -384,13 +387,13 @@
         )
         assert "quotes" in table.view_activity.active_services
 
-    async def test_a_new_leader_calls_no_view_active_from_memory(
+    async def test_a_new_leader_waits_before_a_view_becomes_active(
         self, table, state, group
     ):
-        """The leader changes while a view waits for its former members.
+        """The term changes while a view waits for acknowledgements.
 
-        The new leader does not know who was waited for. It waits ttl and
-        margin: whoever still has a lease has by then renewed with it.
+        The new leader does not know which ones are missing. It waits for ttl
+        and margin: by then each process with a lease has renewed with it.
         """
         async with controlfakes.running_task(table):
             await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -411,7 +414,7 @@
 
 
 class TestInForce:
-    """Where a revision is in force."""
+    """On which hosts a revision is in force."""
 
     async def test_stragglers_are_named(self, table, group):
         await table.renew(controlfakes.make_renewal("a", "quotes"))
@@ -424,10 +427,10 @@
         await table.renew(
             controlfakes.make_renewal("a", "quotes", revision=entry.index)
         )
-        result = await table.revision_reports.wait_until_in_force(
+        status = await table.revision_reports.wait_until_in_force(
             entry.index, 0.5
         )
-        assert (result.host_count, result.stragglers) == (2, ["b"])
+        assert (status.host_count, status.stragglers) == (2, ["b"])
         await table.renew(
             controlfakes.make_renewal("b", "quotes", revision=entry.index)
         )
@@ -435,11 +438,11 @@
 
 
 class FakeNodes:
-    """Nodes that keep a renewal at the leader and take what they are told.
+    """Nodes that each keep a renewal at the leader and apply its grants.
 
     Attributes:
-      update_bytes: of all grants that told of views.
-      update_count: grants that told of views.
+      update_bytes: bytes of all grants with changes of views.
+      update_count: number of grants with changes of views.
     """
 
     def __init__(self, table, node_count):
@@ -449,21 +452,23 @@
         self.update_count = 0
 
     async def renew_forever(self, host):
-        """Renews for one node for ever."""
-        held = {}
+        """Renews for one node until cancelled."""
+        versions = {}
         while True:
-            ask = controlfakes.make_renewal(
+            renewal = controlfakes.make_renewal(
                 host,
                 "quotes",
                 hold_ms=900,
-                acks=held.items(),
+                acks=versions.items(),
                 every_service=True,
                 keyless=True,
             )
-            grant = await self.table.renew(ask)
-            held.update((view.service, view.version) for view in grant.views)
-            for told in grant.view_steps:
-                held[told.service] = told.steps[-1].version
+            grant = await self.table.renew(renewal)
+            versions.update(
+                (view.service, view.version) for view in grant.views
+            )
+            for update in grant.view_steps:
+                versions[update.service] = update.steps[-1].version
             if grant.views or grant.view_steps:
                 self.update_count += 1
                 envelope = messages.Envelope(body=grant)
@@ -471,8 +476,8 @@
 
     @contextlib.asynccontextmanager
     async def running(self):
-        """Runs every node; all of them hold the newest view on entry."""
-        following = [
+        """Runs all nodes; on entry all of them have the newest view."""
+        tasks = [
             asyncio.create_task(self.renew_forever(f"h{number:04}"))
             for number in range(self.node_count)
         ]
@@ -481,33 +486,31 @@
         try:
             yield
         finally:
-            for task in following:
+            for task in tasks:
                 task.cancel()
 
 
 class TestLargeFleet:
-    """What a change of a view costs the leader and the network."""
+    """Cost of a view change for the leader and the network."""
 
     @pytest.mark.parametrize("nodes", [20, 200, 1000])
-    async def test_a_change_costs_a_node_the_same_in_a_fleet_of_any_size(
+    async def test_bytes_of_a_change_do_not_depend_on_the_node_count(
         self, table, group, nodes
     ):
         """Guards against bytes that grow with nodes times members."""
-        fleet = FakeNodes(table, nodes)
-        async with fleet.running():
+        fake_nodes = FakeNodes(table, nodes)
+        async with fake_nodes.running():
             group.append(
                 controlfakes.make_member_join("h0001", "quotes", slots=71)
             )
             await asyncio.sleep(0.8)
-            assert fleet.update_count >= nodes - 1
-            assert fleet.update_bytes / fleet.update_count < 600
+            assert fake_nodes.update_count >= nodes - 1
+            assert fake_nodes.update_bytes / fake_nodes.update_count < 600
 
-    async def test_changes_of_a_short_time_are_told_together(
-        self, table, group
-    ):
-        """Guards against an answer to every node for each of many changes."""
-        fleet = FakeNodes(table, 200)
-        async with fleet.running():
+    async def test_changes_within_a_short_time_share_grants(self, table, group):
+        """Guards against a grant to every node for each of many changes."""
+        fake_nodes = FakeNodes(table, 200)
+        async with fake_nodes.running():
             for number in range(100):
                 group.append(
                     controlfakes.make_member_join(
@@ -516,51 +519,56 @@
                 )
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.8)
-            assert fleet.update_count <= coalescing.MAX_GRANTS_PER_SECOND * 2.8
-            assert fleet.update_count <= 200 * 12
+            assert (
+                fake_nodes.update_count
+                <= coalescing.MAX_GRANTS_PER_SECOND * 2.8
+            )
+            assert fake_nodes.update_count <= 200 * 12
 
-    async def test_a_node_that_owns_keys_is_told_at_once(self, table, group):
-        """Guards against keyed calls to an owner that is known to be gone."""
+    async def test_changes_for_a_node_with_keys_are_not_delayed(
+        self, table, group
+    ):
+        """Guards against keyed calls to an owner known to be removed."""
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
         async with FakeNodes(table, 200).running():
-            ask = controlfakes.make_renewal(
+            renewal = controlfakes.make_renewal(
                 "b",
                 "quotes",
                 acks=[("quotes", group.machine.views["quotes"].version, True)],
                 hold_ms=900,
             )
-            held = asyncio.create_task(table.renew(ask))
+            renewal_task = asyncio.create_task(table.renew(renewal))
             await asyncio.sleep(0.01)
             group.append(controlfakes.make_member_gone("a"))
-            began = clock.now()
-            await held
-            assert clock.now() - began < 0.01
+            changed_at = clock.now()
+            await renewal_task
+            assert clock.now() - changed_at < 0.01
         assert group.machine.views["quotes"].version > version
 
-    async def test_a_keyless_node_is_not_told_that_a_view_is_active(
+    async def test_a_keyless_node_does_not_learn_that_a_view_is_active(
         self, table, group
     ):
-        """Guards against a second answer to every member for each change."""
+        """Guards against a second grant to every member for each change."""
         await table.renew(controlfakes.make_renewal("a", "quotes"))
         await table.renew(controlfakes.make_renewal("b", "quotes"))
         version = group.machine.views["quotes"].version
-        ask = controlfakes.make_renewal(
+        renewal = controlfakes.make_renewal(
             "b",
             "quotes",
             acks=[("quotes", version)],
             hold_ms=900,
             keyless=True,
         )
-        held = asyncio.create_task(table.renew(ask))
+        renewal_task = asyncio.create_task(table.renew(renewal))
         await asyncio.sleep(0.1)
         await table.renew(
             controlfakes.make_renewal("a", "quotes", acks=[("quotes", version)])
         )
         assert "quotes" in table.view_activity.active_services
         await asyncio.sleep(0.1)
-        assert not held.done()
-        grant = await held
+        assert not renewal_task.done()
+        grant = await renewal_task
         assert not grant.views
         assert not grant.view_steps
