--- a/mangobay/compaction.py
+++ b/mangobay/compaction.py
@@ -18,7 +18,7 @@
     group.voters.restore_snapshot(snapshot)
     entries = [record.entry for record in group.log.records]
     group.voters.add_entries(
-        [e for e in entries if e.index > snapshot.last_index]
+        [entry for entry in entries if entry.index > snapshot.last_index]
     )
     if snapshot.last_index:
         group.machine.restore(snapshot)
--- a/mangobay/consensus.py
+++ b/mangobay/consensus.py
@@ -142,8 +142,8 @@
                 self.task_group = tasks
                 for follower in self.followers.all:
                     tasks.create_task(replication.replicate(self, follower))
-        except BaseExceptionGroup as failed:
-            raise failed.exceptions[0] from None
+        except BaseExceptionGroup as error_group:
+            raise error_group.exceptions[0] from None
         finally:
             self.stop()
 
@@ -187,10 +187,12 @@
 
     def start_background_task(
         self,
-        work: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any],
+        coroutine: collections.abc.Coroutine[
+            typing.Any, typing.Any, typing.Any
+        ],
     ) -> asyncio.Task:
         """Starts work for another control host that only `stop` cancels."""
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self.background_tasks.add(task)
         task.add_done_callback(self.discard_task)
         return task
@@ -222,10 +224,10 @@
             case messages.VoteRequest():
                 return await election.handle_vote_request(self, body)
             case messages.AppendRequest():
-                answer = await replication.handle_append_request(self, body)
+                reply = await replication.handle_append_request(self, body)
                 if body.leaving and body.term == self.term:
                     stepdown.handle_leader_leaving(self)
-                return answer
+                return reply
             case messages.SnapshotPut():
                 return await snapshottransfer.handle_snapshot_put(self, body)
         raise errors.PeerProtocolError(
@@ -274,10 +276,10 @@
         """
         if self.role is not election.Role.LEADER:
             raise self.not_leader_error()
-        confirmed = self.waiters.add_confirmation()
+        confirmation = self.waiters.add_confirmation()
         self.resolve_confirmations()
         self.followers.wake_all()
-        await confirmed
+        await confirmation
 
     def not_leader_error(self) -> errors.NotLeaderError:
         """Returns the error that names the leader, when it is known."""
@@ -298,8 +300,8 @@
 
     def reset_election_timer(self) -> None:
         """Waits a new random election timeout before the next campaign."""
-        wait = self.settings.election_timeout * (1 + self.rng.random())
-        self.campaign_at = self.now() + wait
+        timeout = self.settings.election_timeout * (1 + self.rng.random())
+        self.campaign_at = self.now() + timeout
 
     def schedule_first_campaign(self) -> None:
         """Sets the first campaign of a process that has just started.
@@ -308,8 +310,8 @@
         an election.  Where somebody leads, the others say so in the poll that
         goes before a campaign, and nothing is disturbed.
         """
-        spread = FIRST_CAMPAIGN_SHARE * self.settings.election_timeout
-        self.campaign_at = self.now() + spread * (0.2 + self.rng.random())
+        max_delay = FIRST_CAMPAIGN_SHARE * self.settings.election_timeout
+        self.campaign_at = self.now() + max_delay * (0.2 + self.rng.random())
 
     async def flush_log(self) -> None:
         """Syncs what the leader appended; what comes meanwhile shares a sync."""
@@ -339,8 +341,10 @@
         """Makes term, vote and what is known to be committed durable."""
         # A leader's commit can be ahead of its own disk; a log that ends
         # before the saved commit would be refused as damaged.
-        known = min(self.commit_index, self.log.synced_index)
-        await self.log.save_hard_state(term, ids.DiskId(voted_for), known)
+        durable_commit = min(self.commit_index, self.log.synced_index)
+        await self.log.save_hard_state(
+            term, ids.DiskId(voted_for), durable_commit
+        )
 
     def step_down(self) -> None:
         """Becomes a follower; tells everyone who waits on this leader."""
@@ -370,13 +374,13 @@
 
     def check_single_leader(self, term: int, identity: ids.DiskId) -> None:
         """Asserts that a term has one leader, as far as this host sees."""
-        seen_term, seen = self.leader_of_term
+        known_term, known_leader = self.leader_of_term
         invariants.check(
             invariants.Invariant.ONE_LEADER_A_TERM,
-            term != seen_term or identity == seen,
-            f"term {term} is led by {seen} and by {identity}",
+            term != known_term or identity == known_leader,
+            f"term {term} is led by {known_leader} and by {identity}",
         )
-        if term > seen_term:
+        if term > known_term:
             self.leader_of_term = (term, identity)
 
     def advance_commit_index(self) -> None:
@@ -402,11 +406,11 @@
             or self.commit_index < self.term_start_index
         ):
             return
-        reached = self.quorum_value(
+        confirmed_round = self.quorum_value(
             progress.Measure.CONFIRMED_ROUND,
             own_value=self.waiters.newest_round,
         )
-        self.waiters.resolve_confirmations(reached)
+        self.waiters.resolve_confirmations(confirmed_round)
 
     def quorum_value(
         self, measure: progress.Measure, own_value: float
@@ -434,6 +438,8 @@
             self.machine.apply(entry)
             self.applied_index = entry.index
             self.waiters.resolve_proposal(entry)
-        span = self.applied_index - self.log.snapshot.last_index
-        if span >= self.settings.snapshot_entries:
+        entries_since_snapshot = (
+            self.applied_index - self.log.snapshot.last_index
+        )
+        if entries_since_snapshot >= self.settings.snapshot_entries:
             self.snapshot_due.set()
--- a/mangobay/disk.py
+++ b/mangobay/disk.py
@@ -29,8 +29,8 @@
       directory: where the files live.
     """
 
-    def __init__(self, folder: str):
-        self.directory = pathlib.Path(folder)
+    def __init__(self, directory: str):
+        self.directory = pathlib.Path(directory)
         self.lock: typing.IO | None = None
 
     def __str__(self) -> str:
@@ -91,11 +91,11 @@
 
     def sync_directory(self) -> None:
         """Returns once the names of the files would survive too."""
-        number = os.open(self.directory, os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(self.directory, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(number)
+            os.fsync(descriptor)
         finally:
-            os.close(number)
+            os.close(descriptor)
 
     def has_space(self) -> bool:
         """Returns whether the disk takes writes."""
--- a/mangobay/election.py
+++ b/mangobay/election.py
@@ -52,11 +52,11 @@
             and is_eligible_candidate(group, request)
         )
         return make_vote_reply(group, granted)
-    newer = request.term > group.term
-    free = request.term == group.term and not group.log.hard_state.voted_for
-    if (newer or free) and is_eligible_candidate(group, request):
+    is_newer_term = request.term > group.term
+    can_vote = request.term == group.term and not group.log.hard_state.voted_for
+    if (is_newer_term or can_vote) and is_eligible_candidate(group, request):
         await group.enter_term(request.term, request.identity)
-    elif newer:
+    elif is_newer_term:
         await group.enter_term(request.term)
     granted = (
         request.term == group.term
@@ -85,8 +85,8 @@
     """Whether a candidate's log holds everything that this host's does."""
     if request.founding:
         return has_empty_log(group) and not group.settings.join
-    theirs = (request.last_term, request.last_index)
-    return theirs >= (group.log.last_term, group.log.last_index)
+    candidate_last = (request.last_term, request.last_index)
+    return candidate_last >= (group.log.last_term, group.log.last_index)
 
 
 def has_live_leader(group: "consensus.Group") -> bool:
@@ -95,8 +95,8 @@
     # campaign would depose a leader that everyone else hears.
     if group.role is Role.LEADER:
         return True
-    silent = group.now() - group.leader_contact_at
-    return silent < group.settings.election_timeout
+    silent_seconds = group.now() - group.leader_contact_at
+    return silent_seconds < group.settings.election_timeout
 
 
 async def run_election_timer(group: "consensus.Group") -> None:
@@ -110,11 +110,11 @@
                 await membership.persist_voter_commit(group)
         elif group.now() < group.campaign_at:
             # A leader that says farewell puts the campaign forward.
-            wait = min(
+            delay = min(
                 group.campaign_at - group.now(),
                 group.settings.heartbeat_interval,
             )
-            await asyncio.sleep(max(wait, MIN_SLEEP_SECONDS))
+            await asyncio.sleep(max(delay, MIN_SLEEP_SECONDS))
         else:
             group.reset_election_timer()
             await campaign(group)
@@ -125,13 +125,13 @@
     # Behind a silent cut nothing tells the leader that another was
     # elected: its callers would wait for ever.  Confirmations need a
     # round of their own, so a late check costs time, never truth.
-    heard = group.quorum_value(
+    quorum_contact_at = group.quorum_value(
         progress.Measure.LAST_CONTACT, own_value=group.now()
     )
-    since = max(heard, group.elected_at)
+    last_quorum_at = max(quorum_contact_at, group.elected_at)
     if (
         group.role is Role.LEADER
-        and group.now() - since > group.settings.election_timeout
+        and group.now() - last_quorum_at > group.settings.election_timeout
     ):
         logs.log_event(logs.Component.GROUP, "lost its quorum", term=group.term)
         group.step_down()
@@ -150,42 +150,42 @@
     if not founding and not group.voters.is_voter(group.identity):
         return
     term = group.term + 1
-    ballots = await collect_votes(
+    replies = await collect_votes(
         group, make_vote_request(group, term, founding, True)
     )
-    await adopt_newest_term(group, ballots)
-    if not has_won(group, ballots, founding):
+    await adopt_newest_term(group, replies)
+    if not has_won(group, replies, founding):
         return
     async with group.lock:
         if group.term != term - 1 or has_live_leader(group):
             return
         await group.enter_term(term, group.identity)
         group.role = Role.CANDIDATE
-        ask = make_vote_request(group, term, founding, False)
-    ballots = await collect_votes(group, ask)
-    await adopt_newest_term(group, ballots)
+        request = make_vote_request(group, term, founding, False)
+    replies = await collect_votes(group, request)
+    await adopt_newest_term(group, replies)
     async with group.lock:
         if group.term != term or group.role is not Role.CANDIDATE:
             return
-        if not has_won(group, ballots, founding):
+        if not has_won(group, replies, founding):
             group.role = Role.FOLLOWER
             return
         group.become_leader()
         group.append(
-            make_first_voters(group, ballots) if founding else messages.Noop()
+            make_first_voters(group, replies) if founding else messages.Noop()
         )
 
 
 async def adopt_newest_term(
-    group: "consensus.Group", ballots: VoteReplies
+    group: "consensus.Group", replies: VoteReplies
 ) -> None:
     """Enters the newest term that a voter has seen."""
     # Otherwise the only host with the longest log could stay refused for
     # ever, for its term, by voters that cannot be elected for their logs.
-    newest = max([b.term for b in ballots.values()], default=0)
+    newest_term = max([reply.term for reply in replies.values()], default=0)
     async with group.lock:
-        if newest > group.term:
-            await group.enter_term(newest)
+        if newest_term > group.term:
+            await group.enter_term(newest_term)
 
 
 def make_vote_request(
@@ -204,72 +204,74 @@
 
 
 async def collect_votes(
-    group: "consensus.Group", ask: messages.VoteRequest
+    group: "consensus.Group", request: messages.VoteRequest
 ) -> VoteReplies:
     """Returns the answers that came in time, by address."""
-    ballots: VoteReplies = {}
-    patience = group.settings.election_timeout / 2
+    replies: VoteReplies = {}
+    timeout = group.settings.election_timeout / 2
 
-    async def one(address: options.Address) -> None:
-        ballot = await group.send_request(address, ask, patience)
-        if isinstance(ballot, messages.VoteReply):
-            ballots[address] = ballot
-        if has_won(group, ballots, ask.founding):
-            enough.set()
+    async def request_vote(address: options.Address) -> None:
+        reply = await group.send_request(address, request, timeout)
+        if isinstance(reply, messages.VoteReply):
+            replies[address] = reply
+        if has_won(group, replies, request.founding):
+            decided.set()
 
-    enough = asyncio.Event()
+    decided = asyncio.Event()
     async with asyncio.TaskGroup() as tasks:
-        asked = [
-            tasks.create_task(one(other.address))
-            for other in group.followers.all
+        vote_tasks = [
+            tasks.create_task(request_vote(follower.address))
+            for follower in group.followers.all
         ]
-        tasks.create_task(set_when_done(asked, enough))
+        tasks.create_task(set_when_done(vote_tasks, decided))
         # A dead host answers at the timeout; the others need not wait.
-        await enough.wait()
-        for task in asked:
+        await decided.wait()
+        for task in vote_tasks:
             task.cancel()
-    return ballots
+    return replies
 
 
 async def set_when_done(
-    tasks: "list[asyncio.Task[None]]", enough: asyncio.Event
+    tasks: "list[asyncio.Task[None]]", event: asyncio.Event
 ) -> None:
     """Sets the event once every task has ended."""
     if tasks:
         await asyncio.wait(tasks)
-    enough.set()
+    event.set()
 
 
 def has_won(
-    group: "consensus.Group", ballots: VoteReplies, founding: bool
+    group: "consensus.Group", replies: VoteReplies, founding: bool
 ) -> bool:
     """Whether the votes make this host leader."""
-    granted = {b.identity for b in ballots.values() if b.granted}
+    granted = {reply.identity for reply in replies.values() if reply.granted}
     granted.add(group.identity)
     if founding:
         return len(granted) == len(group.settings.hosts)
-    vote = group.voters.quorum_value(
-        group.commit_index, lambda disk: disk in granted
+    quorum_vote = group.voters.quorum_value(
+        group.commit_index, lambda identity: identity in granted
     )
-    return vote > 0
+    return quorum_vote > 0
 
 
 def make_first_voters(
-    group: "consensus.Group", ballots: VoteReplies
+    group: "consensus.Group", replies: VoteReplies
 ) -> messages.VoterChange:
     """Returns the first entry: every host with the disk that voted for it."""
     logs.log_event(
-        logs.Component.GROUP, "founds a new group", hosts=len(ballots) + 1
+        logs.Component.GROUP, "founds a new group", hosts=len(replies) + 1
     )
     voters = [
-        messages.Peer(host=b.host, identity=b.identity, address=str(address))
-        for address, b in ballots.items()
-        if b.granted
+        messages.Peer(
+            host=reply.host, identity=reply.identity, address=str(address)
+        )
+        for address, reply in replies.items()
+        if reply.granted
     ]
-    me = messages.Peer(
+    own_peer = messages.Peer(
         host=group.host, identity=group.identity, address=str(group.address)
     )
-    return messages.VoterChange(voters=[me, *voters])
+    return messages.VoterChange(voters=[own_peer, *voters])
 
 
 async def accept_leader(
--- a/mangobay/joining.py
+++ b/mangobay/joining.py
@@ -63,17 +63,20 @@
     group: "consensus.Group", transport: "peers.Transport"
 ) -> typing.NoReturn:
     """Asks to be let in whenever this host is no voter, until cancelled."""
-    known = set(group.settings.hosts) - {group.address}
+    known_addresses = set(group.settings.hosts) - {group.address}
     while True:
         if group.is_voter:
             await asyncio.sleep(VOTER_CHECK_SECONDS)
             continue
-        answers = await asyncio.gather(
-            *(request_join(group, transport, address) for address in known)
+        replies = await asyncio.gather(
+            *(
+                request_join(group, transport, address)
+                for address in known_addresses
+            )
         )
-        for told in answers:
-            known |= told
-        known.discard(group.address)
+        for addresses in replies:
+            known_addresses |= addresses
+        known_addresses.discard(group.address)
         await asyncio.sleep(JOIN_INTERVAL_SECONDS)
 
 
--- a/mangobay/membership.py
+++ b/mangobay/membership.py
@@ -26,28 +26,28 @@
     for follower in group.followers.all:
         if not can_promote(group, follower):
             continue
-        place = make_voter_change(group, follower.to_peer())
-        if place is None:
+        change = make_voter_change(group, follower.to_peer())
+        if change is None:
             continue
         logs.log_event(
             logs.Component.GROUP,
             "voter changes",
             host=follower.host,
             address=str(follower.address),
-            voters=len(place.voters),
+            voters=len(change.voters),
         )
-        group.append(place)
+        group.append(change)
         return
 
 
 def can_promote(group: "consensus.Group", follower: progress.Follower) -> bool:
     """Whether a follower is no voter yet, answers and has caught up."""
-    silent = group.now() - follower.last_contact_at
+    silent_seconds = group.now() - follower.last_contact_at
     return (
         bool(follower.identity)
         and not group.voters.is_voter(follower.identity)
         and follower.match_index >= group.commit_index
-        and silent <= group.settings.election_timeout
+        and silent_seconds <= group.settings.election_timeout
     )
 
 
@@ -63,13 +63,13 @@
     current = group.voters.newest()
     if any(voter.address == peer.address for voter in current):
         return with_voter(current, peer)
-    wanted = group.settings.voters
-    if not wanted or len(current) < wanted:
+    max_voters = group.settings.voters
+    if not max_voters or len(current) < max_voters:
         return with_voter(current, peer)
-    gone = find_replaceable_voter(group, current)
-    if gone is None:
+    replaced = find_replaceable_voter(group, current)
+    if replaced is None:
         return None
-    kept = [voter for voter in current if voter.identity != gone.identity]
+    kept = [voter for voter in current if voter.identity != replaced.identity]
     return messages.VoterChange(voters=[*kept, peer])
 
 
@@ -77,21 +77,26 @@
     group: "consensus.Group", current: list[messages.Peer]
 ) -> messages.Peer | None:
     """Returns the voter to replace, None where all were heard lately."""
-    latest = group.now() - group.settings.replace_after
-    if group.elected_at > latest:
+    replaceable_before = group.now() - group.settings.replace_after
+    if group.elected_at > replaceable_before:
         # A new leader has heard nobody yet.
         return None
     others = [voter for voter in current if voter.identity != group.identity]
-    heard = {
+    last_contacts = {
         voter.identity: group.followers.value_of(
             voter.identity, progress.Measure.LAST_CONTACT
         )
         for voter in others
     }
-    silent = min(others, key=lambda voter: heard[voter.identity], default=None)
-    if silent is None or heard[silent.identity] > latest:
+    longest_silent = min(
+        others, key=lambda voter: last_contacts[voter.identity], default=None
+    )
+    if (
+        longest_silent is None
+        or last_contacts[longest_silent.identity] > replaceable_before
+    ):
         return None
-    return silent
+    return longest_silent
 
 
 def with_voter(
--- a/mangobay/recordlog.py
+++ b/mangobay/recordlog.py
@@ -50,32 +50,32 @@
     torn_bytes: int
 
 
-def checksum(length: int, first: int, payload: bytes) -> int:
+def checksum(length: int, first_index: int, payload: bytes) -> int:
     """Returns the checksum over a frame's payload and its other fields."""
     return xxhash.xxh3_64_intdigest(
-        CHECKSUM_PREFIX.pack(length, first) + payload
+        CHECKSUM_PREFIX.pack(length, first_index) + payload
     )
 
 
-def encode_frame(first: int, records: list[bytes]) -> bytes:
+def encode_frame(first_index: int, records: list[bytes]) -> bytes:
     """Returns the frame of some records, `first` the index of the first."""
     payload = b"".join(LENGTH.pack(len(record)) + record for record in records)
-    digest = checksum(len(payload), first, payload)
-    return HEADER.pack(MAGIC, len(payload), digest, first) + payload
+    digest = checksum(len(payload), first_index, payload)
+    return HEADER.pack(MAGIC, len(payload), digest, first_index) + payload
 
 
 def decode_frame(data: bytes, offset: int) -> Frame | None:
     """Returns the frame that starts there, None when none whole does."""
-    end = offset + HEADER.size
-    if end > len(data):
+    payload_start = offset + HEADER.size
+    if payload_start > len(data):
         return None
-    magic, length, digest, first = HEADER.unpack_from(data, offset)
-    if magic != MAGIC or end + length > len(data):
+    magic, length, digest, first_index = HEADER.unpack_from(data, offset)
+    if magic != MAGIC or payload_start + length > len(data):
         return None
-    payload = data[end : end + length]
-    if checksum(length, first, payload) != digest:
+    payload = data[payload_start : payload_start + length]
+    if checksum(length, first_index, payload) != digest:
         return None
-    return Frame(first, split_records(payload), HEADER.size + length)
+    return Frame(first_index, split_records(payload), HEADER.size + length)
 
 
 def split_records(payload: bytes) -> tuple[bytes, ...]:
@@ -90,7 +90,7 @@
     return tuple(records)
 
 
-def scan(data: bytes, name: str) -> Scan:
+def scan(data: bytes, path: str) -> Scan:
     """Returns the frames of a log file and how much of its tail is torn.
 
     Raises:
@@ -102,20 +102,20 @@
     while offset < len(data):
         frame = decode_frame(data, offset)
         if frame is None:
-            check_torn_tail(data, offset, name)
+            check_torn_tail(data, offset, path)
             break
         if frames and frame.first_index != frames[-1].first_index + len(
             frames[-1].records
         ):
             raise errors.CorruptLogError(
-                f"{name}: gap before the entry {frame.first_index} at byte {offset}"
+                f"{path}: gap before the entry {frame.first_index} at byte {offset}"
             )
         frames.append(frame)
         offset += frame.size
     return Scan(frames, offset, len(data) - offset)
 
 
-def check_torn_tail(data: bytes, offset: int, name: str) -> None:
+def check_torn_tail(data: bytes, offset: int, path: str) -> None:
     """Refuses a bad frame that is not the last one.
 
     Raises:
@@ -123,11 +123,11 @@
     """
     # What follows a damaged frame was synced and perhaps acknowledged: to cut
     # there would lose committed entries.  A torn write has nothing after it.
-    after = data.find(MAGIC, offset + 1)
-    while after >= 0:
-        if decode_frame(data, after) is not None:
+    next_frame = data.find(MAGIC, offset + 1)
+    while next_frame >= 0:
+        if decode_frame(data, next_frame) is not None:
             raise errors.CorruptLogError(
-                f"{name}: damaged at byte {offset}, a whole record follows at"
-                f" byte {after}; nothing was cut"
+                f"{path}: damaged at byte {offset}, a whole record follows at"
+                f" byte {next_frame}; nothing was cut"
             )
-        after = data.find(MAGIC, after + 1)
+        next_frame = data.find(MAGIC, next_frame + 1)
--- a/mangobay/replication.py
+++ b/mangobay/replication.py
@@ -66,7 +66,7 @@
     term = group.term
     sent_round = group.waiters.newest_round
     sent_at = group.now()
-    patience = group.settings.election_timeout / 2
+    timeout = group.settings.election_timeout / 2
     if (
         follower.outgoing_snapshot
         or group.log.term_at(follower.next_index - 1) is None
@@ -76,7 +76,7 @@
         )
     else:
         body = make_append_request(group, follower)
-    reply = await group.send_request(follower.address, body, patience)
+    reply = await group.send_request(follower.address, body, timeout)
     if not isinstance(reply, FollowerReply):
         return False
     if reply.term > group.term:
@@ -122,12 +122,12 @@
     group: "consensus.Group", follower: progress.Follower
 ) -> messages.AppendRequest:
     """Returns the next entries; none makes it a heartbeat."""
-    previous = follower.next_index - 1
+    previous_index = follower.next_index - 1
     return messages.AppendRequest(
         term=ids.Term(group.term),
         leader=group.host,
-        prev_index=ids.LogIndex(previous),
-        prev_term=ids.Term(group.log.term_at(previous) or 0),
+        prev_index=ids.LogIndex(previous_index),
+        prev_term=ids.Term(group.log.term_at(previous_index) or 0),
         entries=group.log.batch(follower.next_index, MAX_BATCH_BYTES),
         commit=ids.LogIndex(group.commit_index),
         identity=group.identity,
@@ -149,21 +149,21 @@
         return make_append_reply(
             group, False, find_conflict_hint(group, body.prev_index)
         )
-    last = body.prev_index + len(body.entries)
+    last_index = body.prev_index + len(body.entries)
     await append_entries(group, body.entries)
-    group.commit_and_apply(min(body.commit, last))
+    group.commit_and_apply(min(body.commit, last_index))
     await membership.persist_voter_commit(group)
-    return make_append_reply(group, True, last)
+    return make_append_reply(group, True, last_index)
 
 
 def make_append_reply(
-    group: "consensus.Group", matched: bool, last: int
+    group: "consensus.Group", matched: bool, last_index: int
 ) -> messages.AppendReply:
     """Returns this host's answer to a leader."""
     return messages.AppendReply(
         term=ids.Term(group.term),
         matched=matched,
-        last_index=ids.LogIndex(last),
+        last_index=ids.LogIndex(last_index),
         identity=group.identity,
         host=group.host,
     )
@@ -193,7 +193,11 @@
 ) -> None:
     """Adds the entries that the log does not hold yet; cuts what differs."""
     log = group.log
-    new = [e for e in entries if e.index > group.log.snapshot.last_index]
+    new = [
+        entry
+        for entry in entries
+        if entry.index > group.log.snapshot.last_index
+    ]
     while new and log.term_at(new[0].index) == new[0].term:
         new.pop(0)
     if new and new[0].index <= log.last_index:
--- a/mangobay/stepdown.py
+++ b/mangobay/stepdown.py
@@ -26,19 +26,19 @@
     """
     if not group.leading.is_set():
         return
-    farewells = []
+    requests = []
     for follower in group.followers.all:
         if group.log.term_at(follower.next_index - 1) is None:
             continue
         body = replication.make_append_request(group, follower)
         body.leaving = True
-        farewells.append((follower.address, body))
+        requests.append((follower.address, body))
     group.step_down()
-    patience = group.settings.election_timeout / 2
+    timeout = group.settings.election_timeout / 2
     await asyncio.gather(
         *(
-            group.send_request(address, body, patience)
-            for address, body in farewells
+            group.send_request(address, body, timeout)
+            for address, body in requests
         )
     )
 
@@ -48,5 +48,5 @@
     # A host that still counts the farewell as a sign of life would refuse
     # its vote to whoever campaigns first.
     group.leader_contact_at = -math.inf
-    spread = CAMPAIGN_SPREAD_SHARE * group.settings.election_timeout
-    group.campaign_at = group.now() + spread * group.rng.random()
+    max_delay = CAMPAIGN_SPREAD_SHARE * group.settings.election_timeout
+    group.campaign_at = group.now() + max_delay * group.rng.random()
--- a/mangobay/storage.py
+++ b/mangobay/storage.py
@@ -103,8 +103,8 @@
 
     def load_log(self, data: bytes) -> None:
         """Takes in the log file; cuts a torn tail."""
-        name = f"{self.disk}/{LOG_FILE}"
-        scan = recordlog.scan(data, name)
+        path = f"{self.disk}/{LOG_FILE}"
+        scan = recordlog.scan(data, path)
         if scan.torn_bytes:
             logs.log_event(
                 logs.Component.STORAGE, "cut a torn tail", bytes=scan.torn_bytes
@@ -128,29 +128,29 @@
             self.replace_file(LOG_FILE, b"", with_checksum=False)
         if self.first_index > self.snapshot.last_index + 1:
             raise errors.CorruptLogError(
-                f"{name}: starts at {self.first_index}, the snapshot ends at"
+                f"{path}: starts at {self.first_index}, the snapshot ends at"
                 f" {self.snapshot.last_index}"
             )
         # Damage in the very last frame looks like a torn write.  What was
         # known to be committed tells them apart.
         if self.last_index < self.hard_state.commit:
             raise errors.CorruptLogError(
-                f"{name}: ends at {self.last_index}, but {self.hard_state.commit}"
+                f"{path}: ends at {self.last_index}, but {self.hard_state.commit}"
                 " was committed"
             )
         self.synced_index = self.last_index
 
     def discard_replaced_entries(self) -> None:
         """Forgets the log when the snapshot does not continue it."""
-        last = self.snapshot.last_index
-        if not last:
+        last_index = self.snapshot.last_index
+        if not last_index:
             return
-        if self.term_at(last, log_only=True) == self.snapshot.last_term:
+        if self.term_at(last_index, log_only=True) == self.snapshot.last_term:
             return
-        if self.records and self.first_index <= last:
+        if self.records and self.first_index <= last_index:
             self.records = []
         if not self.records:
-            self.first_index = last + 1
+            self.first_index = last_index + 1
 
     def read_checked(self, name: str) -> bytes | None:
         """Returns what a file holds, None when there is no such file."""
@@ -244,23 +244,25 @@
         """
         self.check_usable()
         start = self.synced_index + 1
-        last = self.last_index
-        if start > last:
+        last_index = self.last_index
+        if start > last_index:
             return
-        records = [r.data for r in self.records[start - self.first_index :]]
-        created = start == self.first_index
+        records = [
+            record.data for record in self.records[start - self.first_index :]
+        ]
+        is_new_file = start == self.first_index
         await self.run_disk_work(
-            lambda: self.write_frame(start, records, created)
+            lambda: self.write_frame(start, records, is_new_file)
         )
-        self.synced_index = last
+        self.synced_index = last_index
 
     def write_frame(
-        self, start: int, records: list[bytes], created: bool
+        self, start: int, records: list[bytes], is_new_file: bool
     ) -> None:
         """Appends one frame and syncs it."""
         self.disk.append(LOG_FILE, recordlog.encode_frame(start, records))
         self.disk.sync(LOG_FILE)
-        if created:
+        if is_new_file:
             self.disk.sync_directory()
 
     async def save_hard_state(
@@ -290,18 +292,21 @@
         del self.records[start - self.first_index :]
         await self.rewrite_log(min(self.synced_index, start - 1))
 
-    async def rewrite_log(self, last: int) -> None:
+    async def rewrite_log(self, last_index: int) -> None:
         """Writes the log file anew, with the entries up to `last`."""
         # Cutting the file in place and adding the kept part of a frame again
         # would, in a crash between the two, lose acknowledged entries.
         kept = [
-            r.data for r in self.records[: max(0, last - self.first_index + 1)]
+            record.data
+            for record in self.records[
+                : max(0, last_index - self.first_index + 1)
+            ]
         ]
         data = recordlog.encode_frame(self.first_index, kept) if kept else b""
         await self.run_disk_work(
             lambda: self.replace_file(LOG_FILE, data, with_checksum=False)
         )
-        self.synced_index = max(last, self.snapshot.last_index)
+        self.synced_index = max(last_index, self.snapshot.last_index)
 
     async def stage(self, snapshot: messages.Snapshot) -> bytes:
         """Writes a snapshot that nothing uses yet; returns it encoded.
@@ -313,12 +318,12 @@
           errors.StorageError: the disk is full or failed.
         """
 
-        def work() -> bytes:
+        def encode_and_write() -> bytes:
             data = messages.encode_snapshot(snapshot)
             self.write_file(STAGED_FILE, data)
             return data
 
-        return await self.run_disk_work(work)
+        return await self.run_disk_work(encode_and_write)
 
     async def stage_received(self, data: bytes) -> messages.Snapshot:
         """Does the same with an encoded snapshot; returns it decoded.
@@ -327,12 +332,12 @@
           errors.StorageError: the disk is full or failed.
         """
 
-        def work() -> messages.Snapshot:
+        def decode_and_write() -> messages.Snapshot:
             snapshot = messages.decode_snapshot(data)
             self.write_file(RECEIVED_FILE, data)
             return snapshot
 
-        return await self.run_disk_work(work)
+        return await self.run_disk_work(decode_and_write)
 
     async def install_staged(
         self,
@@ -356,9 +361,9 @@
         self.snapshot = snapshot
         self.snapshot_data = data
         self.discard_replaced_entries()
-        cut = max(self.first_index, snapshot.last_index + 1 - trailing)
-        del self.records[: cut - self.first_index]
-        self.first_index = cut
+        first_kept = max(self.first_index, snapshot.last_index + 1 - trailing)
+        del self.records[: first_kept - self.first_index]
+        self.first_index = first_kept
         # What the snapshot replaced counts as synced no more: entries that
         # come in its place would never be written, yet be acknowledged.
         self.synced_index = min(self.synced_index, self.last_index)
@@ -381,12 +386,14 @@
 
     def make_error(self) -> errors.StorageError:
         """Returns the error that tells of the first failure."""
-        kind = errors.DiskFullError if self.disk_full else errors.StorageError
-        return kind(self.failure)
+        error_class = (
+            errors.DiskFullError if self.disk_full else errors.StorageError
+        )
+        return error_class(self.failure)
 
-    def record_failure(self, error: OSError, why: str) -> None:
+    def record_failure(self, error: OSError, failure: str) -> None:
         """Refuses every later write."""
-        self.failure = why
+        self.failure = failure
         self.disk_full = error.errno in disk_module.FULL_ERRNOS
         logs.log_event(logs.Component.STORAGE, "disk failed", why=str(error))
 
--- a/mangobay/voters.py
+++ b/mangobay/voters.py
@@ -51,60 +51,80 @@
         """Takes in the voters of a snapshot, in place of what came before."""
         if not snapshot.voters.voters:
             return
-        later = [c for c in self.configs if c.index > snapshot.last_index]
+        later = [
+            config
+            for config in self.configs
+            if config.index > snapshot.last_index
+        ]
         base = VoterConfig(snapshot.last_index, snapshot.voters)
         self.configs = [base, *later]
 
     def truncate(self, index: int) -> None:
         """Drops the changes of entries that were cut from the log."""
-        self.configs = [c for c in self.configs if c.index < index]
+        self.configs = [
+            config for config in self.configs if config.index < index
+        ]
 
     def voters_at(self, index: int) -> messages.VoterChange:
         """Returns the voters that the log names up to an index."""
-        known = [c.change for c in self.configs if c.index <= index]
-        return known[-1] if known else messages.VoterChange()
-
-    def active_voter_sets(self, commit: int) -> list[messages.VoterChange]:
+        changes = [
+            config.change for config in self.configs if config.index <= index
+        ]
+        return changes[-1] if changes else messages.VoterChange()
+
+    def active_voter_sets(
+        self, commit_index: int
+    ) -> list[messages.VoterChange]:
         """Returns the sets of voters whose majorities make a quorum now."""
-        pending = [c.change for c in self.configs if c.index > commit]
-        settled = [c.change for c in self.configs if c.index <= commit]
-        return settled[-1:] + pending
+        pending = [
+            config.change
+            for config in self.configs
+            if config.index > commit_index
+        ]
+        committed = [
+            config.change
+            for config in self.configs
+            if config.index <= commit_index
+        ]
+        return committed[-1:] + pending
 
     def newest(self) -> list[messages.Peer]:
         """Returns the voters that the last change names."""
         return self.configs[-1].change.voters if self.configs else []
 
-    def has_pending_change(self, commit: int) -> bool:
+    def has_pending_change(self, commit_index: int) -> bool:
         """Whether a change is not known to be committed."""
-        return bool(self.configs) and self.configs[-1].index > commit
+        return bool(self.configs) and self.configs[-1].index > commit_index
 
     def is_voter(self, identity: ids.DiskId) -> bool:
         """Whether the last change names a disk."""
         return any(peer.identity == identity for peer in self.newest())
 
     def quorum_value(
-        self, commit: int, value: typing.Callable[[ids.DiskId], float]
+        self, commit_index: int, value: typing.Callable[[ids.DiskId], float]
     ) -> float:
         """Returns the highest value that a quorum of the voters has reached.
 
         Args:
-          commit: newest index known to be committed.
+          commit_index: newest index known to be committed.
           value: what one voter has reached.
 
         Returns:
           The value; minus infinity when no voters are known.
         """
-        sets = self.active_voter_sets(commit)
-        if not sets:
+        voter_sets = self.active_voter_sets(commit_index)
+        if not voter_sets:
             return float("-inf")
-        return min(majority_value(change.voters, value) for change in sets)
+        return min(
+            majority_value(change.voters, value) for change in voter_sets
+        )
 
     def unanimous_value(
         self, value: typing.Callable[[ids.DiskId], float]
     ) -> float:
         """Returns what every one of the newest voters has reached."""
-        reached = (value(peer.identity) for peer in self.newest())
-        return min(reached, default=float("-inf"))
+        values = (value(peer.identity) for peer in self.newest())
+        return min(values, default=float("-inf"))
 
 
 def majority_value(
--- a/mangobay/waiters.py
+++ b/mangobay/waiters.py
@@ -48,23 +48,23 @@
         if future and not future.done():
             future.set_result(entry)
 
-    def resolve_confirmations(self, reached: float) -> None:
+    def resolve_confirmations(self, confirmed_round: float) -> None:
         """Answers the callers of every round up to the one reached."""
         waiting = []
-        for reader in self.confirmations:
-            if reader.round > reached:
-                waiting.append(reader)
-            elif not reader.future.done():
-                reader.future.set_result(None)
+        for waiter in self.confirmations:
+            if waiter.round > confirmed_round:
+                waiting.append(waiter)
+            elif not waiter.future.done():
+                waiter.future.set_result(None)
         self.confirmations = waiting
 
-    def fail_all(self, why: errors.NotLeaderError) -> None:
+    def fail_all(self, error: errors.NotLeaderError) -> None:
         """Tells everyone that the lead is lost."""
         proposals, self.proposals = self.proposals, {}
         for index, future in proposals.items():
             if not future.done():
                 future.set_exception(errors.LeadershipLostError(index))
-        readers, self.confirmations = self.confirmations, []
-        for reader in readers:
-            if not reader.future.done():
-                reader.future.set_exception(why)
+        confirmations, self.confirmations = self.confirmations, []
+        for waiter in confirmations:
+            if not waiter.future.done():
+                waiter.future.set_exception(error)
