--- a/mangobay/compaction.py
+++ b/mangobay/compaction.py
@@ -1,4 +1,4 @@
-"""Snapshots of the control group: taking them, and starting from one."""
+"""Log compaction of the control group by snapshots."""
 
 import typing
 
@@ -9,11 +9,12 @@
     from mangobay import consensus
 
 TRAILING_DIVISOR = 10
-"""One in so many entries of a snapshot's span is kept in the log behind it."""
+"""The snapshot interval divided by this is the number of entries that a
+compacted log keeps before the snapshot's index."""
 
 
 def restore_from_log(group: "consensus.Group") -> None:
-    """Builds the machine and the voters from what the disk holds."""
+    """Restores the state machine and the voters from storage."""
     snapshot = group.log.snapshot
     group.voters.restore_snapshot(snapshot)
     entries = [record.entry for record in group.log.records]
@@ -27,7 +28,7 @@
 
 
 async def take_snapshots(group: "consensus.Group") -> None:
-    """Cuts the log when it has grown by the span of a snapshot.
+    """Takes a snapshot and compacts the log whenever one is due.
 
     Raises:
       errors.StorageError: the disk failed.
@@ -40,9 +41,10 @@
             if group.applied_index <= group.log.snapshot.last_index:
                 continue
             snapshot = make_snapshot(group)
-        # All hosts come here at the same entry. Did they encode and sync
-        # under the lock, none would answer the leader meanwhile; that of
-        # 23,000 hosts takes longer than an election timeout.
+        # All hosts get here at the same entry. If they encoded and synced
+        # while holding the lock, none would reply to the leader meanwhile,
+        # and the snapshot of 23,000 hosts takes longer than an election
+        # timeout.
         data = await group.log.stage(snapshot)
         async with group.lock:
             if snapshot.last_index <= group.log.snapshot.last_index:
@@ -54,7 +56,7 @@
 
 
 def make_snapshot(group: "consensus.Group") -> messages.Snapshot:
-    """Returns the state of machine and voters; the lock is held."""
+    """Returns a snapshot of state machine and voters; the lock is held."""
     snapshot = group.machine.snapshot()
     snapshot.last_index = ids.LogIndex(group.applied_index)
     snapshot.last_term = ids.Term(group.log.term_at(group.applied_index) or 0)
--- a/mangobay/consensus.py
+++ b/mangobay/consensus.py
@@ -1,4 +1,4 @@
-"""The control group's agreement on one log, in the Raft family."""
+"""Raft consensus of the control hosts on one replicated log."""
 
 import asyncio
 import collections.abc
@@ -29,39 +29,51 @@
 
 FIRST_CAMPAIGN_SHARE = 0.5
 """Share of an election timeout within which a process that has just started
-campaigns: long enough for the others of a group to have started as well."""
+campaigns. It is long enough for the other hosts to have started as well."""
 
 
 class StateMachine(typing.Protocol):
-    """The state that the log builds."""
+    """The replicated state machine to which committed entries are applied."""
 
     def apply(self, entry: messages.LogEntry) -> None:
-        """Takes in one entry; called for every entry, in order, once a run."""
+        """Applies one entry.
+
+        Called in log order, once per entry and process run.
+        """
 
     def snapshot(self) -> messages.Snapshot:
-        """Returns the whole state; the group fills index, term and voters."""
+        """Returns the whole state; the caller sets index, term and voters."""
 
     def restore(self, snapshot: messages.Snapshot) -> None:
         """Replaces the whole state."""
 
 
 class Group:
-    """One control host's part in the group.
+    """The Raft replica of one control host.
 
-    Whatever changes the log or the hard state holds `lock` over its sync, so
-    that each sees the other's result whole; only the leader appends without
-    it, in memory, and never after it has stopped to lead.
+    Code that changes the log or the hard state holds `lock` until the change
+    is synced, so that no change sees another one half done. Only the leader
+    appends without the lock, in memory, and never after it has stepped down.
 
     Attributes:
-      role: what this host is in `term`.
-      commit_index: newest index known to be committed.
-      applied_index: newest index the machine has taken in.
-      leader: name of the current leader, empty when unknown.
-      leader_address: its peer address, empty when unknown.
+      role: the role of this host in `term`.
+      commit_index: index of the newest entry known to be committed.
+      applied_index: index of the newest entry applied to the state machine.
+      leader: name of the current leader, empty if unknown.
+      leader_address: peer address of the leader, empty if unknown.
+      leader_contact_at: loop time of the last request from a leader.
+      campaign_at: loop time at which the election timer fires.
+      elected_at: loop time at which this host became leader.
+      leader_of_term: newest term with a known leader, and the leader's disk.
+      flush_needed: set when the log has entries to sync.
+      leading: set while this host is the leader.
+      snapshot_due: set when the log is long enough for a snapshot.
       followers: the other control hosts.
-      waiters: the callers that wait on this host's lead.
-      incoming_snapshot: a leader's snapshot that is on its way here.
-      term_start_index: index of the first entry of the term that this host leads.
+      waiters: the callers that wait for this host as the leader.
+      incoming_snapshot: the snapshot that the leader is sending, if any.
+      background_tasks: running tasks that only `stop` cancels.
+      term_start_index: index of the first entry that this host appended as the
+        leader of its latest term.
     """
 
     def __init__(
@@ -108,30 +120,30 @@
 
     @property
     def term(self) -> int:
-        """The newest term that this host has heard of."""
+        """The newest term that this host knows."""
         return self.log.hard_state.term
 
     @property
     def identity(self) -> ids.DiskId:
-        """The disk that votes for this host."""
+        """The disk of this host, which is the voter."""
         return self.log.hard_state.identity
 
     @property
     def is_voter(self) -> bool:
-        """Whether this host's disk is agreed on as a voter's."""
+        """Whether a committed configuration names this host's disk a voter."""
         agreed = not self.voters.has_pending_change(self.commit_index)
         return agreed and self.voters.is_voter(self.identity)
 
     def now(self) -> float:
-        """Returns the monotonic time, in seconds."""
+        """Returns the loop time, in seconds."""
         return asyncio.get_running_loop().time()
 
     async def run(self) -> None:
-        """Takes part in the group until cancelled.
+        """Runs elections, replication and snapshots until cancelled.
 
         Raises:
-          errors.StorageError: the disk failed; this host has stopped to lead
-            and claims nothing more.
+          errors.StorageError: the disk failed; this host has stepped down and
+            acknowledges nothing more.
         """
         self.schedule_first_campaign()
         try:
@@ -148,7 +160,7 @@
             self.stop()
 
     def add_follower(self, address: options.Address) -> None:
-        """Takes another control host among the followers."""
+        """Starts replicating to another control host."""
         if address == self.address or self.followers.find(address):
             return
         follower = self.followers.add(address, self.log.last_index + 1)
@@ -156,7 +168,7 @@
             self.task_group.create_task(replication.replicate(self, follower))
 
     def add_voter_followers(self) -> None:
-        """Takes every voter that the log names among the followers."""
+        """Starts replicating to every voter of the newest configuration."""
         for peer in self.voters.newest():
             self.add_follower(options.parse_address(peer.address))
 
@@ -165,22 +177,24 @@
         return [peer.address for peer in self.voters.newest()]
 
     def stop(self) -> None:
-        """Lets nothing more be written or answered."""
+        """Steps down, blocks further writes and cancels background tasks."""
         self.step_down()
-        self.log.failure = self.log.failure or "the group has stopped"
+        self.log.failure = (
+            self.log.failure or "the control group is stopped on this host"
+        )
         for task in self.background_tasks:
             task.cancel()
 
     async def handle(self, body: messages.EnvelopeBody) -> typing.Any:
-        """Answers another control host.
+        """Returns the reply to a request of another control host.
 
         Raises:
-          errors.StorageError: the disk failed: nothing was acknowledged.
-          errors.PeerProtocolError: the message is not for the group.
+          errors.StorageError: the disk failed; nothing was acknowledged.
+          errors.PeerProtocolError: the request is not a consensus request.
         """
-        # A sender that hangs up cancels the caller of this.  Cancelled over a
-        # sync, the log in memory would not know what the disk holds, and the
-        # next write would repeat it.
+        # A sender that disconnects cancels the caller of this method. If that
+        # cancelled a sync, the log in memory would not match the disk, and
+        # the next write would write the same entries again.
         return await asyncio.shield(
             self.start_background_task(self.process_request(body))
         )
@@ -191,20 +205,20 @@
             typing.Any, typing.Any, typing.Any
         ],
     ) -> asyncio.Task:
-        """Starts work for another control host that only `stop` cancels."""
+        """Starts a task that only `stop` cancels."""
         task = asyncio.create_task(coroutine)
         self.background_tasks.add(task)
         task.add_done_callback(self.discard_task)
         return task
 
     def discard_task(self, task: asyncio.Task) -> None:
-        """Forgets an answer, also one whose asker is gone."""
+        """Removes a finished task and marks its exception as retrieved."""
         self.background_tasks.discard(task)
         if not task.cancelled():
             task.exception()
 
     async def process_request(self, body: messages.EnvelopeBody) -> typing.Any:
-        """Answers another control host, to the end."""
+        """Handles a request of another control host with `lock` held."""
         async with self.lock:
             try:
                 self.log.check_usable()
@@ -214,12 +228,12 @@
                 raise
 
     def abort_run(self) -> None:
-        """Ends `run` with the error of the disk."""
+        """Steps down and lets `run` end with the error of the disk."""
         self.step_down()
         self.flush_needed.set()
 
     async def dispatch(self, body: messages.EnvelopeBody) -> typing.Any:
-        """Answers by the kind of message; `lock` is held."""
+        """Passes a request to its handler; the caller holds `lock`."""
         match body:
             case messages.VoteRequest():
                 return await election.handle_vote_request(self, body)
@@ -231,7 +245,7 @@
             case messages.SnapshotPut():
                 return await snapshottransfer.handle_snapshot_put(self, body)
         raise errors.PeerProtocolError(
-            f"{type(body).__name__} is no message for the group"
+            f"{type(body).__name__} is not a consensus request"
         )
 
     async def send_request(
@@ -240,12 +254,12 @@
         body: messages.EnvelopeBody,
         timeout: float,
     ) -> messages.EnvelopeBody | None:
-        """Returns another control host's answer, None when none came.
+        """Returns another control host's reply, None if none arrives in time.
 
         Args:
-          address: where it listens.
+          address: the address it listens on.
           body: the request.
-          timeout: how long to wait, seconds.
+          timeout: seconds to wait for the reply.
         """
         try:
             return await self.transport.send_request(address, body, timeout)
@@ -253,12 +267,13 @@
             return None
 
     async def propose(self, body: messages.LogEntryBody) -> messages.LogEntry:
-        """Adds an entry to the log; returns once it is applied here.
+        """Appends an entry to the log; returns once it is applied here.
 
         Raises:
-          errors.NotLeaderError: nothing was added.
-          errors.UncertainError: added, but leadership was lost before it was
-            committed; it may take effect under a later leader.
+          errors.NotLeaderError: nothing was appended.
+          errors.LeadershipLostError: appended, but this host stepped down
+            before the entry was committed; it may take effect under a later
+            leader.
         """
         if self.role is not election.Role.LEADER:
             raise self.not_leader_error()
@@ -266,13 +281,16 @@
         return await self.waiters.add_proposal(entry.index)
 
     async def confirm_leadership(self) -> None:
-        """Returns once a quorum said, after this call, that this host leads.
+        """Returns once a quorum has confirmed this host's leadership.
 
-        The machine then holds everything that was committed anywhere before
-        the call.  Callers that come together share one round.
+        Only replies to requests sent after the call count. The state machine
+        then holds everything that was committed anywhere before the call, so
+        that reads from it are linearizable. Concurrent callers share a round
+        of requests.
 
         Raises:
-          errors.NotLeaderError: it does not lead, or lost the lead meanwhile.
+          errors.NotLeaderError: this host is not the leader, or stepped down
+            while waiting.
         """
         if self.role is not election.Role.LEADER:
             raise self.not_leader_error()
@@ -282,11 +300,11 @@
         await confirmation
 
     def not_leader_error(self) -> errors.NotLeaderError:
-        """Returns the error that names the leader, when it is known."""
+        """Returns an error that names the leader, if known."""
         return errors.NotLeaderError(self.leader, self.leader_address)
 
     def append(self, body: messages.LogEntryBody) -> messages.LogEntry:
-        """Adds an entry of the own term to the log, in memory."""
+        """Appends an entry of the current term to the log, in memory."""
         entry = messages.LogEntry(
             index=ids.LogIndex(self.log.last_index + 1),
             term=ids.Term(self.term),
@@ -299,22 +317,22 @@
         return entry
 
     def reset_election_timer(self) -> None:
-        """Waits a new random election timeout before the next campaign."""
+        """Restarts the election timer with a new random timeout."""
         timeout = self.settings.election_timeout * (1 + self.rng.random())
         self.campaign_at = self.now() + timeout
 
     def schedule_first_campaign(self) -> None:
-        """Sets the first campaign of a process that has just started.
+        """Sets the election timer of a process that has just started.
 
-        After everything lost power at once nobody leads, and callers wait for
-        an election.  Where somebody leads, the others say so in the poll that
-        goes before a campaign, and nothing is disturbed.
+        The timeout is short, because after a power loss of all hosts there is
+        no leader and callers wait for an election. If there is a leader, the
+        other hosts refuse the pre-vote and the leader is not disturbed.
         """
         max_delay = FIRST_CAMPAIGN_SHARE * self.settings.election_timeout
         self.campaign_at = self.now() + max_delay * (0.2 + self.rng.random())
 
     async def flush_log(self) -> None:
-        """Syncs what the leader appended; what comes meanwhile shares a sync."""
+        """Syncs appended entries; entries appended meanwhile share a sync."""
         while True:
             await self.flush_needed.wait()
             self.flush_needed.clear()
@@ -323,12 +341,12 @@
             self.advance_commit_index()
 
     async def enter_term(self, term: int, voted_for: str = "") -> None:
-        """Follows in a newer term, or votes in the own; synced on return.
+        """Becomes a follower in a newer term, or votes in the current one.
 
-        The caller holds `lock`.
+        Term and vote are durable on return. The caller holds `lock`.
 
         Raises:
-          errors.StorageError: the disk failed; nothing may be told.
+          errors.StorageError: the disk failed; no reply may be sent.
         """
         self.step_down()
         if term > self.term:
@@ -338,19 +356,19 @@
             await self.save_hard_state(term, voted_for)
 
     async def save_hard_state(self, term: int, voted_for: str) -> None:
-        """Makes term, vote and what is known to be committed durable."""
-        # A leader's commit can be ahead of its own disk; a log that ends
-        # before the saved commit would be refused as damaged.
+        """Makes the term, the vote and the commit index durable."""
+        # A leader's commit index can be ahead of its own disk. A log that
+        # ends before the saved commit index would be refused as corrupt.
         durable_commit = min(self.commit_index, self.log.synced_index)
         await self.log.save_hard_state(
             term, ids.DiskId(voted_for), durable_commit
         )
 
     def step_down(self) -> None:
-        """Becomes a follower; tells everyone who waits on this leader."""
+        """Becomes a follower and fails every waiting caller."""
         if self.role is election.Role.LEADER:
             logs.log_event(
-                logs.Component.GROUP, "stops to lead", term=self.term
+                logs.Component.GROUP, "stepped down as leader", term=self.term
             )
             self.leader = ids.HostId("")
             self.leader_address = ""
@@ -360,8 +378,8 @@
         self.waiters.fail_all(self.not_leader_error())
 
     def become_leader(self) -> None:
-        """Leads in the current term; the caller holds `lock`."""
-        logs.log_event(logs.Component.GROUP, "leads", term=self.term)
+        """Becomes leader of the current term; the caller holds `lock`."""
+        logs.log_event(logs.Component.GROUP, "became leader", term=self.term)
         self.check_single_leader(self.term, self.identity)
         self.role = election.Role.LEADER
         self.add_voter_followers()
@@ -373,34 +391,34 @@
         self.leading.set()
 
     def check_single_leader(self, term: int, identity: ids.DiskId) -> None:
-        """Asserts that a term has one leader, as far as this host sees."""
+        """Asserts that this host sees only one leader in a term."""
         known_term, known_leader = self.leader_of_term
         invariants.check(
             invariants.Invariant.ONE_LEADER_A_TERM,
             term != known_term or identity == known_leader,
-            f"term {term} is led by {known_leader} and by {identity}",
+            f"term {term} has two leaders, disks {known_leader} and {identity}",
         )
         if term > known_term:
             self.leader_of_term = (term, identity)
 
     def advance_commit_index(self) -> None:
-        """Commits what a quorum holds durably; only the leader counts."""
+        """Commits the entries that a quorum holds durably, if leader."""
         while self.role is election.Role.LEADER:
             index = self.quorum_value(
                 progress.Measure.MATCH_INDEX, own_value=self.log.synced_index
             )
-            # An entry of an earlier term that a majority holds can still be
-            # overwritten by a host with a later term; one of the own term
-            # cannot, and takes all before it along.
+            # An entry of an earlier term can still be overwritten by a later
+            # leader although a majority holds it. An entry of this leader's
+            # term cannot, and commits all entries before it.
             if index < self.term_start_index or index <= self.commit_index:
                 break
             self.commit_and_apply(int(index))
         self.resolve_confirmations()
 
     def resolve_confirmations(self) -> None:
-        """Answers the callers whose round a quorum has confirmed."""
-        # Before an entry of its own term is committed, a new leader does not
-        # know everything that the former one had committed.
+        """Resumes the callers whose round a quorum has confirmed."""
+        # Until an entry of its own term is committed, a new leader may not
+        # know of every entry that its predecessor committed.
         if (
             self.role is not election.Role.LEADER
             or self.commit_index < self.term_start_index
@@ -415,7 +433,12 @@
     def quorum_value(
         self, measure: progress.Measure, own_value: float
     ) -> float:
-        """Returns what a quorum of the voters has reached."""
+        """Returns the highest value that a quorum of the voters has reached.
+
+        Args:
+          measure: which value of the followers to use.
+          own_value: the value of this host.
+        """
 
         def value(identity: ids.DiskId) -> float:
             if identity == self.identity:
@@ -423,13 +446,14 @@
             return self.followers.value_of(identity, measure)
 
         if not self.commit_index and measure is progress.Measure.MATCH_INDEX:
-            # Were a group founded with one disk still empty, the loss of the
-            # others would leave empty disks only, and those found anew.
+            # The first entry needs every voter. If the group were bootstrapped
+            # with one disk still empty, a loss of the other disks would leave
+            # only empty ones, and those would bootstrap another group.
             return self.voters.unanimous_value(value)
         return self.voters.quorum_value(self.commit_index, value)
 
     def commit_and_apply(self, index: int) -> None:
-        """Takes in that everything up to an index is committed; applies it."""
+        """Raises the commit index and applies the committed entries."""
         if index <= self.commit_index:
             return
         self.commit_index = index
--- a/mangobay/disk.py
+++ b/mangobay/disk.py
@@ -1,4 +1,4 @@
-"""The few operations on files that the control group's storage needs."""
+"""File operations for the storage of the control group."""
 
 import asyncio
 import errno
@@ -11,22 +11,23 @@
 
 LOCK_NAME = "lock"
 FULL_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT})
-"""Error numbers of a disk that takes no more bytes, but is sound."""
+"""Error numbers of a disk that is full but works."""
 PROBE_NAME = "probe"
 PROBE_BYTES = 64 * 1024
-"""Room for some hundred log entries."""
+"""Size of the probe file, enough for some hundred log entries."""
 FULL_POLL_SECONDS = 0.25
-"""Seconds between two looks at a full disk."""
+"""Time between checks whether a full disk has space again."""
 Result = typing.TypeVar("Result")
 
 
 class Disk:
-    """Files of one data folder; nothing lasts before it is synced.
+    """Files of one data directory; changes are durable once synced.
 
-    Raises OSError from every operation that the system refuses.
+    Every operation raises OSError if the operating system refuses it.
 
     Attributes:
-      directory: where the files live.
+      directory: path of the data directory.
+      lock: the open lock file, None if the directory is not locked.
     """
 
     def __init__(self, directory: str):
@@ -37,60 +38,61 @@
         return str(self.directory)
 
     def open(self) -> None:
-        """Makes the folder and keeps other processes out of it.
+        """Creates the directory if necessary and locks it.
 
         Raises:
-          errors.StorageError: another process holds the folder.
+          errors.StorageError: another process holds the lock.
         """
-        # Two processes on one folder would vote twice as one identity, and
-        # two leaders could win one term.  The lock ends with its process.
+        # Two processes in one directory could each vote with the same
+        # identity, so that a term could have two leaders. The operating system
+        # releases the lock when the process ends.
         self.directory.mkdir(parents=True, exist_ok=True)
         self.lock = open(self.directory / LOCK_NAME, "wb")  # noqa: SIM115
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             raise errors.StorageError(
-                f"{self.directory}: another process holds this folder"
+                f"{self.directory}: another process has locked this directory"
             ) from None
         self.sync_directory()
 
     def close(self) -> None:
-        """Lets other processes into the folder."""
+        """Releases the lock on the directory."""
         if self.lock is not None:
             self.lock.close()
             self.lock = None
 
     def read(self, name: str) -> bytes | None:
-        """Returns what a file holds, None when there is no such file."""
+        """Returns the contents of a file, None if there is no such file."""
         try:
             return (self.directory / name).read_bytes()
         except FileNotFoundError:
             return None
 
     def write(self, name: str, data: bytes) -> None:
-        """Makes a file anew."""
+        """Creates or overwrites a file."""
         (self.directory / name).write_bytes(data)
 
     def append(self, name: str, data: bytes) -> None:
-        """Adds to the end of a file."""
+        """Appends to a file."""
         with open(self.directory / name, "ab") as file:
             file.write(data)
 
     def truncate(self, name: str, size: int) -> None:
-        """Shortens a file to `size` bytes."""
+        """Truncates a file to `size` bytes."""
         os.truncate(self.directory / name, size)
 
     def sync(self, name: str) -> None:
-        """Returns once what a file holds would survive a loss of power."""
+        """Makes the contents of a file durable."""
         with open(self.directory / name, "rb") as file:
             os.fsync(file.fileno())
 
     def rename(self, old: str, new: str) -> None:
-        """Gives a file another name, in place of any file of that name."""
+        """Renames a file, replacing any file of the new name."""
         os.rename(self.directory / old, self.directory / new)
 
     def sync_directory(self) -> None:
-        """Returns once the names of the files would survive too."""
+        """Makes the names of the files durable."""
         descriptor = os.open(self.directory, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -98,7 +100,7 @@
             os.close(descriptor)
 
     def has_space(self) -> bool:
-        """Returns whether the disk takes writes."""
+        """Returns whether the disk accepts writes."""
         try:
             self.write(PROBE_NAME, bytes(PROBE_BYTES))
             self.sync(PROBE_NAME)
@@ -111,7 +113,7 @@
         return True
 
     async def offload(self, work: typing.Callable[[], Result]) -> Result:
-        """Runs blocking work off the loop."""
-        # A sync takes milliseconds, at times seconds; on the loop it would
-        # hold up heartbeats and cost the leader its quorum.
+        """Runs blocking work in a thread."""
+        # A sync takes milliseconds, sometimes seconds. In the event loop it
+        # would delay heartbeats and cost the leader its quorum.
         return await asyncio.to_thread(work)
--- a/mangobay/election.py
+++ b/mangobay/election.py
@@ -1,11 +1,11 @@
-"""Elections of the control group: campaigns and votes.
-
-A brand new group is founded by a candidate that every host of the settings
-votes for; its first entry names all their disks.  A majority would not do:
-after the loss of two disks out of three, the two empty hosts would found
-another group and deny what the first had committed.  A host that holds an
-entry never votes for a founder, so as long as one disk of the group is left,
-empty ones only learn.
+"""Leader elections of the control group, with pre-vote.
+
+A new group is bootstrapped by a candidate for which every host of the settings
+votes; the first log entry names the disks of all hosts as voters. A majority
+is not enough: after the loss of two disks out of three, the two empty hosts
+would bootstrap another group and lose what the first one had committed. A host
+whose log has an entry never votes for such a candidate, so as long as one disk
+of the group is left, hosts with empty disks are only learners.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 class Role(enum.Enum):
-    """What a control host is in the current term."""
+    """The role of a control host in the current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -28,22 +28,23 @@
 
 
 MIN_SLEEP_SECONDS = 0.001
-"""Seconds; a sleep shorter than the clock's resolution would spin."""
+"""Shortest sleep. One below the clock's resolution would busy-wait."""
 VoteReplies = dict[options.Address, messages.VoteReply]
 
 
 def has_empty_log(group: "consensus.Group") -> bool:
-    """Whether this host's disk has never held an entry."""
+    """Returns whether this host's disk has never held an entry."""
     return group.log.last_index == 0
 
 
 async def handle_vote_request(
     group: "consensus.Group", request: messages.VoteRequest
 ) -> messages.VoteReply:
-    """Votes, or says how it would; the group's lock is held.
+    """Handles a vote or pre-vote request; the caller holds the lock.
 
     Raises:
-      errors.StorageError: the vote could not be made durable: none is given.
+      errors.StorageError: the vote could not be made durable, so that it is
+        not given.
     """
     if request.prevote:
         granted = (
@@ -70,7 +71,7 @@
 def make_vote_reply(
     group: "consensus.Group", granted: bool
 ) -> messages.VoteReply:
-    """Returns this host's answer to a candidate."""
+    """Returns this host's reply to a candidate."""
     return messages.VoteReply(
         term=ids.Term(group.term),
         granted=granted,
@@ -82,7 +83,11 @@
 def is_eligible_candidate(
     group: "consensus.Group", request: messages.VoteRequest
 ) -> bool:
-    """Whether a candidate's log holds everything that this host's does."""
+    """Returns whether a candidate's log is at least as up to date as ours.
+
+    A candidate that bootstraps a group needs an empty log here instead, and
+    settings that do not tell this host to join a group.
+    """
     if request.founding:
         return has_empty_log(group) and not group.settings.join
     candidate_last = (request.last_term, request.last_index)
@@ -90,9 +95,9 @@
 
 
 def has_live_leader(group: "consensus.Group") -> bool:
-    """Whether a leader is alive as far as this host can tell."""
-    # A host that was cut off comes back with timeouts behind it; its
-    # campaign would depose a leader that everyone else hears.
+    """Returns whether this host leads or has heard a leader recently."""
+    # A partitioned host has timed out repeatedly when it returns. Its
+    # campaign would depose a leader that all other hosts hear.
     if group.role is Role.LEADER:
         return True
     silent_seconds = group.now() - group.leader_contact_at
@@ -100,7 +105,7 @@
 
 
 async def run_election_timer(group: "consensus.Group") -> None:
-    """Campaigns when no leader is heard; checks the quorum while leading."""
+    """Campaigns at timeouts; checks quorum and voters while leading."""
     while True:
         if group.role is Role.LEADER:
             await asyncio.sleep(group.settings.heartbeat_interval)
@@ -109,7 +114,7 @@
             async with group.lock:
                 await membership.persist_voter_commit(group)
         elif group.now() < group.campaign_at:
-            # A leader that says farewell puts the campaign forward.
+            # A leader that announces its step-down sets an earlier campaign.
             delay = min(
                 group.campaign_at - group.now(),
                 group.settings.heartbeat_interval,
@@ -121,10 +126,11 @@
 
 
 def check_quorum(group: "consensus.Group") -> None:
-    """Stops to lead when no quorum answered for an election timeout."""
-    # Behind a silent cut nothing tells the leader that another was
-    # elected: its callers would wait for ever.  Confirmations need a
-    # round of their own, so a late check costs time, never truth.
+    """Steps down if no quorum has replied for an election timeout."""
+    # In a partition that drops packets silently, the leader does not learn
+    # that another one was elected, and its callers would wait forever. A late
+    # check costs only time: a confirmation of leadership needs a round of its
+    # own and never returns stale state.
     quorum_contact_at = group.quorum_value(
         progress.Measure.LAST_CONTACT, own_value=group.now()
     )
@@ -138,10 +144,10 @@
 
 
 async def campaign(group: "consensus.Group") -> None:
-    """Asks for votes, first without raising the term; leads when elected.
+    """Runs a pre-vote, then an election; becomes leader if elected.
 
     Raises:
-      errors.StorageError: the own vote could not be made durable.
+      errors.StorageError: this host's own vote could not be made durable.
     """
     group.add_voter_followers()
     founding = has_empty_log(group)
@@ -179,9 +185,9 @@
 async def adopt_newest_term(
     group: "consensus.Group", replies: VoteReplies
 ) -> None:
-    """Enters the newest term that a voter has seen."""
-    # Otherwise the only host with the longest log could stay refused for
-    # ever, for its term, by voters that cannot be elected for their logs.
+    """Enters the newest term in the replies, if it is newer."""
+    # Otherwise the only host with an up-to-date log could be refused forever
+    # for its old term, by voters that cannot be elected because of their logs.
     newest_term = max([reply.term for reply in replies.values()], default=0)
     async with group.lock:
         if newest_term > group.term:
@@ -191,7 +197,7 @@
 def make_vote_request(
     group: "consensus.Group", term: int, founding: bool, prevote: bool
 ) -> messages.VoteRequest:
-    """Returns what this host asks the others as a candidate."""
+    """Returns the vote or pre-vote request of this host."""
     return messages.VoteRequest(
         term=ids.Term(term),
         candidate=group.host,
@@ -206,7 +212,7 @@
 async def collect_votes(
     group: "consensus.Group", request: messages.VoteRequest
 ) -> VoteReplies:
-    """Returns the answers that came in time, by address."""
+    """Requests votes; returns the replies that came in time, by address."""
     replies: VoteReplies = {}
     timeout = group.settings.election_timeout / 2
 
@@ -224,7 +230,8 @@
             for follower in group.followers.all
         ]
         tasks.create_task(set_when_done(vote_tasks, decided))
-        # A dead host answers at the timeout; the others need not wait.
+        # An unreachable host takes the whole timeout. A decided election
+        # does not wait for it.
         await decided.wait()
         for task in vote_tasks:
             task.cancel()
@@ -234,7 +241,7 @@
 async def set_when_done(
     tasks: "list[asyncio.Task[None]]", event: asyncio.Event
 ) -> None:
-    """Sets the event once every task has ended."""
+    """Sets the event once every task has finished."""
     if tasks:
         await asyncio.wait(tasks)
     event.set()
@@ -243,7 +250,7 @@
 def has_won(
     group: "consensus.Group", replies: VoteReplies, founding: bool
 ) -> bool:
-    """Whether the votes make this host leader."""
+    """Returns whether the granted votes elect this host."""
     granted = {reply.identity for reply in replies.values() if reply.granted}
     granted.add(group.identity)
     if founding:
@@ -257,9 +264,9 @@
 def make_first_voters(
     group: "consensus.Group", replies: VoteReplies
 ) -> messages.VoterChange:
-    """Returns the first entry: every host with the disk that voted for it."""
+    """Returns the first log entry, which names every voting disk."""
     logs.log_event(
-        logs.Component.GROUP, "founds a new group", hosts=len(replies) + 1
+        logs.Component.GROUP, "bootstraps a new group", hosts=len(replies) + 1
     )
     voters = [
         messages.Peer(
@@ -278,7 +285,7 @@
     group: "consensus.Group",
     body: messages.AppendRequest | messages.SnapshotPut,
 ) -> bool:
-    """Follows the sender; returns False when its term is over."""
+    """Follows the sender; returns False if its term is outdated."""
     if body.term < group.term:
         return False
     group.check_single_leader(body.term, body.identity)
--- a/mangobay/joining.py
+++ b/mangobay/joining.py
@@ -1,7 +1,8 @@
-"""How a control host that is no voter yet makes itself known to the group.
+"""Discovery: how a control host that is not a voter finds and joins the group.
 
-Nobody tells a control host who the others are: it knows a few seeds.  It asks
-them, and those they name, until the group has made it a voter.
+The settings of a control host name only a few seeds. The host sends join
+requests to the seeds, and to the hosts named in their replies, until the group
+has made it a voter.
 """
 
 import asyncio
@@ -15,25 +16,25 @@
     from mangobay import consensus, peers
 
 JOIN_INTERVAL_SECONDS = 0.3
-"""Between two rounds of asking while this host is no voter: ten rounds fit
-into the time in which a replaced host should be back."""
+"""Time between join requests while this host is not a voter. Ten rounds fit into
+the time within which a replaced host should be back."""
 VOTER_CHECK_SECONDS = 1.0
-"""Between two looks whether it still is one."""
+"""Time between checks whether this host is still a voter."""
 REPLY_TIMEOUT_SECONDS = 0.25
-"""Seconds for an answer; a seed that is down must not hold up the others."""
+"""Short, so that an unreachable seed does not delay the others."""
 
 
 def group_with_seeds(
     group: settings.ControlGroup, address: options.Address
 ) -> settings.ControlGroup:
-    """Returns the settings with the seeds as the first hosts of the group.
+    """Returns the settings with the seeds as the initial hosts of the group.
 
-    Only the IP numbers of seeds count: control hosts take each other's
-    messages at the same port everywhere.
+    Only the IP addresses of the seeds are used: all control hosts listen for
+    each other on the same port.
 
     Args:
-      group: as the settings file has them.
-      address: where this host takes messages.
+      group: the settings from the file.
+      address: the peer address that this host listens on.
     """
     if not group.seeds:
         return group
@@ -45,7 +46,7 @@
 def node_control_with_seeds(
     control: settings.NodeControl, address: options.Address
 ) -> settings.NodeControl:
-    """Returns a node's settings with the seeds as its control hosts."""
+    """Returns a node's settings with the seeds as control hosts."""
     if not control.seeds:
         return control
     hosts = seed_addresses(control.seeds, address.port)
@@ -55,14 +56,14 @@
 def seed_addresses(
     seeds: tuple[options.Address, ...], port: int
 ) -> tuple[options.Address, ...]:
-    """Returns where the seeds take the messages of processes."""
+    """Returns the peer addresses of the seeds."""
     return tuple(options.Address(seed.ip, port) for seed in seeds)
 
 
 async def run(
     group: "consensus.Group", transport: "peers.Transport"
 ) -> typing.NoReturn:
-    """Asks to be let in whenever this host is no voter, until cancelled."""
+    """Sends join requests while this host is not a voter, until cancelled."""
     known_addresses = set(group.settings.hosts) - {group.address}
     while True:
         if group.is_voter:
@@ -85,7 +86,7 @@
     transport: "peers.Transport",
     address: options.Address,
 ) -> set[options.Address]:
-    """Makes this host known to another one; returns whom that one knows."""
+    """Sends a join request; returns the addresses in the reply."""
     body = messages.GroupJoin(address=str(group.address))
     try:
         reply = await transport.send_request(
@@ -101,15 +102,17 @@
 def handle_join(
     group: "consensus.Group", body: messages.GroupJoin
 ) -> messages.GroupJoinReply:
-    """Takes another control host among the followers; names the voters.
+    """Starts replicating to a joining host; returns the known addresses.
 
     Raises:
-      errors.PeerProtocolError: it names no address.
+      errors.PeerProtocolError: the request has no valid address.
     """
     try:
         group.add_follower(options.parse_address(body.address))
     except ValueError as error:
-        raise errors.PeerProtocolError(f"no address: {error}") from None
+        raise errors.PeerProtocolError(
+            f"join request has no valid address: {error}"
+        ) from None
     addresses = set(group.voter_addresses())
     if group.leader_address:
         addresses.add(group.leader_address)
--- a/mangobay/membership.py
+++ b/mangobay/membership.py
@@ -1,9 +1,10 @@
-"""How a disk that the control group does not know yet becomes a voter.
+"""Membership changes: how a new disk becomes a voter of the control group.
 
-The leader sends its log to every host of its settings.  A host that answers
-with a disk that is no voter, an emptied one or that of an added host, learns;
-once it has caught up, the leader names it a voter, in place of the former
-disk of the same address.  One change is made at a time.
+The leader replicates its log to every control host that it knows. A host whose
+disk is not a voter, because the disk was replaced or the host was added, is a
+learner. Once the learner has caught up, the leader makes its disk a voter in
+place of the former disk of the same address. There is at most one uncommitted
+change at a time.
 """
 
 import typing
@@ -16,7 +17,7 @@
 
 
 def promote_learner(group: "consensus.Group") -> None:
-    """Names a disk that has caught up a voter, one at a time."""
+    """Makes one learner that has caught up a voter, if no change is pending."""
     if (
         not group.leading.is_set()
         or group.commit_index < group.term_start_index
@@ -41,7 +42,7 @@
 
 
 def can_promote(group: "consensus.Group", follower: progress.Follower) -> bool:
-    """Whether a follower is no voter yet, answers and has caught up."""
+    """Returns whether a follower is a live learner that has caught up."""
     silent_seconds = group.now() - follower.last_contact_at
     return (
         bool(follower.identity)
@@ -54,11 +55,13 @@
 def make_voter_change(
     group: "consensus.Group", peer: messages.Peer
 ) -> messages.VoterChange | None:
-    """Returns the voters with a host among them, None while there is no place.
+    """Returns a change that makes a host a voter, None if not possible yet.
 
-    The place of its own address is taken first, then a free one, then that of
-    the voter that has been silent longest.  A host that waits for a place
-    keeps learning, so that it can take one at once.
+    The host replaces the voter of its own address, if there is one. Otherwise
+    it is added while there are fewer voters than the settings ask for, or
+    replaces the voter that has been unreachable for longest. Until then it
+    stays a learner and keeps up with the log, so that it can replace a voter
+    without delay.
     """
     current = group.voters.newest()
     if any(voter.address == peer.address for voter in current):
@@ -76,10 +79,10 @@
 def find_replaceable_voter(
     group: "consensus.Group", current: list[messages.Peer]
 ) -> messages.Peer | None:
-    """Returns the voter to replace, None where all were heard lately."""
+    """Returns the voter to replace, None if all were heard recently."""
     replaceable_before = group.now() - group.settings.replace_after
     if group.elected_at > replaceable_before:
-        # A new leader has heard nobody yet.
+        # A new leader has not heard from anybody yet.
         return None
     others = [voter for voter in current if voter.identity != group.identity]
     last_contacts = {
@@ -102,15 +105,15 @@
 def with_voter(
     current: list[messages.Peer], peer: messages.Peer
 ) -> messages.VoterChange:
-    """Returns the voters with one added, in place of its address's former."""
+    """Returns the voters with one added, in place of that of its address."""
     others = [voter for voter in current if voter.address != peer.address]
     return messages.VoterChange(voters=[*others, peer])
 
 
 async def persist_voter_commit(group: "consensus.Group") -> None:
-    """Makes durable that the newest voters are committed; `lock` is held."""
-    # Without this a host that restarts would ask for a majority of the former
-    # voters too, and a lost disk is one of those.
+    """Makes the commit of the newest voters durable; `lock` is held."""
+    # Otherwise a host that restarts would take the change for uncommitted and
+    # also need a majority of the former voters, which include a lost disk.
     if (
         group.voters.has_pending_change(group.commit_index)
         or not group.voters.configs
--- a/mangobay/progress.py
+++ b/mangobay/progress.py
@@ -1,4 +1,4 @@
-"""How far the other control hosts have come, as the leader knows it."""
+"""The leader's view of the replication progress of the other hosts."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class Measure(enum.Enum):
-    """What of a follower is compared with a quorum; names an attribute."""
+    """Values of a follower that count in a quorum; names of attributes."""
 
     MATCH_INDEX = "match_index"
     LAST_CONTACT = "last_contact_at"
@@ -24,18 +24,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Follower:
-    """What the leader knows of another control host.
+    """The replication progress of another control host.
 
     Attributes:
-      address: where it listens.
-      host: its name, empty until it answered.
-      identity: its disk, empty until it answered.
-      next_index: index of the entry to send next.
-      match_index: newest index that its disk is known to hold.
-      last_contact_at: when the last request was sent that it answered, seconds.
-      confirmed_round: newest round of confirmation that it answered.
+      address: the address it listens on.
+      host: its name, empty before its first reply.
+      identity: its disk, empty before its first reply.
+      next_index: index of the next entry to send.
+      match_index: index of the newest entry that its disk is known to hold.
+      last_contact_at: loop time at which the last answered request was sent.
+      confirmed_round: newest round of leadership confirmation that it answered.
       wake: set when there is something to send.
-      outgoing_snapshot: a snapshot that is on its way there.
+      outgoing_snapshot: the snapshot that is being sent to it, if any.
     """
 
     address: options.Address
@@ -49,7 +49,7 @@
     outgoing_snapshot: "snapshottransfer.OutgoingSnapshot | None" = None
 
     def reset(self, next_index: int) -> None:
-        """Forgets what an earlier term or another disk had confirmed."""
+        """Discards the progress of an earlier term or of another disk."""
         self.next_index = next_index
         self.match_index = 0
         self.last_contact_at = NEVER
@@ -58,48 +58,48 @@
         self.wake.set()
 
     def to_peer(self) -> messages.Peer:
-        """Returns the host as a voter."""
+        """Returns this host as a voter of a configuration."""
         return messages.Peer(
             host=self.host, identity=self.identity, address=str(self.address)
         )
 
 
 class Followers:
-    """The other control hosts.
+    """The progress of all other control hosts.
 
     Attributes:
-      all: one for each other control host of the settings, and for each that
-        has joined.
+      all: one entry for each other control host of the settings, and for each
+        host that has joined.
     """
 
     def __init__(self, addresses: list[options.Address]):
         self.all = [Follower(address) for address in addresses]
 
     def find(self, address: options.Address) -> Follower | None:
-        """Returns the follower at an address, None where there is none."""
+        """Returns the follower at an address, None if there is none."""
         for follower in self.all:
             if follower.address == address:
                 return follower
         return None
 
     def add(self, address: options.Address, next_index: int) -> Follower:
-        """Returns a follower that has joined."""
+        """Adds and returns a follower that has joined."""
         follower = Follower(address, next_index=next_index)
         self.all.append(follower)
         return follower
 
     def reset(self, next_index: int) -> None:
-        """Starts anew with a term that this host leads."""
+        """Discards all progress at the start of this host's leadership."""
         for follower in self.all:
             follower.reset(next_index)
 
     def wake_all(self) -> None:
-        """Wakes the tasks that replicate."""
+        """Wakes all replication tasks."""
         for follower in self.all:
             follower.wake.set()
 
     def value_of(self, identity: ids.DiskId, measure: Measure) -> float:
-        """Returns how far a disk has come; not at all when none has it."""
+        """Returns the value of a disk, `NEVER` if no follower has it."""
         for follower in self.all:
             if follower.identity == identity:
                 return getattr(follower, measure.value)
--- a/mangobay/recordlog.py
+++ b/mangobay/recordlog.py
@@ -1,9 +1,9 @@
-"""Frames of the log file: checksummed, one for each sync.
+"""Encoding of the log file as checksummed frames, one for each sync.
 
-All entries that one sync makes durable share one frame.  A loss of power can
-leave any part of an unsynced write, so only the last frame can be torn; with
-a frame for each entry, a torn write of several could look like a damaged
-middle.
+All entries that one sync makes durable share a frame. A power loss can leave
+any part of an unsynced write, so only the last frame can be torn. With a frame
+for each entry, a torn write of several frames could look like corruption in
+the middle of the file.
 """
 
 import dataclasses
@@ -15,19 +15,19 @@
 
 MAGIC = b"mgbL"
 HEADER = struct.Struct("<4sIQQ")
-"""Magic, payload length in bytes, checksum, index of the first entry."""
+"""Magic bytes, payload length in bytes, checksum, index of the first entry."""
 LENGTH = struct.Struct("<I")
 CHECKSUM_PREFIX = struct.Struct("<IQ")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Frame:
-    """What one sync made durable.
+    """The entries that one sync made durable.
 
     Attributes:
       first_index: index of the first record.
       records: the entries, encoded.
-      size: bytes of the frame in the file.
+      size: size of the frame in the file, in bytes.
     """
 
     first_index: int
@@ -37,12 +37,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scan:
-    """What a log file holds.
+    """The contents of a log file.
 
     Attributes:
-      frames: the whole frames, in order.
-      whole_bytes: bytes up to the end of the last whole frame.
-      torn_bytes: bytes after it.
+      frames: the complete frames, in order.
+      whole_bytes: size of the file up to the end of the last complete frame.
+      torn_bytes: number of bytes after the last complete frame.
     """
 
     frames: list[Frame]
@@ -51,21 +51,21 @@
 
 
 def checksum(length: int, first_index: int, payload: bytes) -> int:
-    """Returns the checksum over a frame's payload and its other fields."""
+    """Returns the checksum of a frame's length, first index and payload."""
     return xxhash.xxh3_64_intdigest(
         CHECKSUM_PREFIX.pack(length, first_index) + payload
     )
 
 
 def encode_frame(first_index: int, records: list[bytes]) -> bytes:
-    """Returns the frame of some records, `first` the index of the first."""
+    """Returns the frame of records, the first of which has `first_index`."""
     payload = b"".join(LENGTH.pack(len(record)) + record for record in records)
     digest = checksum(len(payload), first_index, payload)
     return HEADER.pack(MAGIC, len(payload), digest, first_index) + payload
 
 
 def decode_frame(data: bytes, offset: int) -> Frame | None:
-    """Returns the frame that starts there, None when none whole does."""
+    """Returns the frame at an offset, None if there is no complete one."""
     payload_start = offset + HEADER.size
     if payload_start > len(data):
         return None
@@ -91,10 +91,14 @@
 
 
 def scan(data: bytes, path: str) -> Scan:
-    """Returns the frames of a log file and how much of its tail is torn.
+    """Returns the frames of a log file and the size of its torn tail.
+
+    Args:
+      data: the contents of the file.
+      path: the path of the file, for error messages.
 
     Raises:
-      errors.DamagedLogError: a whole frame follows one that is not whole, or
+      errors.CorruptLogError: a complete frame follows an incomplete one, or
         the indexes have a gap.
     """
     frames: list[Frame] = []
@@ -108,7 +112,8 @@
             frames[-1].records
         ):
             raise errors.CorruptLogError(
-                f"{path}: gap before the entry {frame.first_index} at byte {offset}"
+                f"{path}: entries are missing before index {frame.first_index},"
+                f" at byte {offset}"
             )
         frames.append(frame)
         offset += frame.size
@@ -116,18 +121,19 @@
 
 
 def check_torn_tail(data: bytes, offset: int, path: str) -> None:
-    """Refuses a bad frame that is not the last one.
+    """Refuses an incomplete frame unless it is the last one.
 
     Raises:
-      errors.DamagedLogError: a whole frame follows.
+      errors.CorruptLogError: a complete frame follows.
     """
-    # What follows a damaged frame was synced and perhaps acknowledged: to cut
-    # there would lose committed entries.  A torn write has nothing after it.
+    # Frames after a corrupt one were synced and may have been acknowledged, so
+    # that truncating here could lose committed entries. Nothing follows a torn
+    # write.
     next_frame = data.find(MAGIC, offset + 1)
     while next_frame >= 0:
         if decode_frame(data, next_frame) is not None:
             raise errors.CorruptLogError(
-                f"{path}: damaged at byte {offset}, a whole record follows at"
-                f" byte {next_frame}; nothing was cut"
+                f"{path}: corrupt at byte {offset}, a complete frame follows at"
+                f" byte {next_frame}; the file was not changed"
             )
         next_frame = data.find(MAGIC, next_frame + 1)
--- a/mangobay/replication.py
+++ b/mangobay/replication.py
@@ -1,4 +1,4 @@
-"""How the log of the control group's leader gets to the other hosts."""
+"""Log replication from the leader to the other control hosts."""
 
 import asyncio
 import typing
@@ -17,14 +17,14 @@
     from mangobay import consensus
 
 MAX_BATCH_BYTES = 1 << 20
-"""Entries in one request, but at least one."""
+"""Size limit of the entries in one request, which has at least one entry."""
 FollowerReply = messages.AppendReply | messages.SnapshotReply
 
 
 async def replicate(
     group: "consensus.Group", follower: progress.Follower
 ) -> None:
-    """Keeps one follower up to date for as long as this host leads."""
+    """Replicates the log to one follower while this host leads."""
     while True:
         await group.leading.wait()
         follower.wake.clear()
@@ -37,7 +37,7 @@
 def has_more_to_send(
     group: "consensus.Group", follower: progress.Follower
 ) -> bool:
-    """Returns whether the follower can take more at once."""
+    """Returns whether there is more to send without waiting."""
     if follower.outgoing_snapshot is not None:
         return not follower.outgoing_snapshot.is_fully_sent
     return follower.next_index <= group.log.last_index
@@ -46,10 +46,11 @@
 async def wait_for_work(
     group: "consensus.Group", follower: progress.Follower, answered: bool
 ) -> None:
-    """Waits until there is something to send, or for the next heartbeat."""
+    """Waits for something to send or for the next heartbeat."""
     interval = group.settings.heartbeat_interval
     if not answered:
-        # A host that refuses connections would otherwise be asked in a loop.
+        # Without the delay, a host that refuses connections would be sent
+        # requests in a busy loop.
         await asyncio.sleep(interval)
         return
     try:
@@ -62,7 +63,7 @@
 async def send_next(
     group: "consensus.Group", follower: progress.Follower
 ) -> bool:
-    """Sends what comes next; returns whether the follower answered."""
+    """Sends the next request; returns whether a valid reply came."""
     term = group.term
     sent_round = group.waiters.newest_round
     sent_at = group.now()
@@ -101,9 +102,9 @@
     sent: messages.AppendRequest | messages.SnapshotPut,
     reply: FollowerReply,
 ) -> None:
-    """Takes in what a follower of the same term said it holds."""
+    """Updates a follower's progress from its reply in the current term."""
     if follower.identity != reply.identity:
-        # Its disk was replaced: what the former one acknowledged is gone.
+        # The disk was replaced, and the entries on the old one are lost.
         follower.identity = reply.identity
         follower.reset(group.log.last_index + 1)
     follower.host = reply.host
@@ -121,7 +122,7 @@
 def make_append_request(
     group: "consensus.Group", follower: progress.Follower
 ) -> messages.AppendRequest:
-    """Returns the next entries; none makes it a heartbeat."""
+    """Returns a request with the next entries, a heartbeat if none."""
     previous_index = follower.next_index - 1
     return messages.AppendRequest(
         term=ids.Term(group.term),
@@ -138,10 +139,10 @@
 async def handle_append_request(
     group: "consensus.Group", body: messages.AppendRequest
 ) -> messages.AppendReply:
-    """Adds a leader's entries, durably; the group's lock is held.
+    """Appends a leader's entries durably; the caller holds the lock.
 
     Raises:
-      errors.StorageError: the disk failed: nothing is acknowledged.
+      errors.StorageError: the disk failed; nothing is acknowledged.
     """
     if not await election.accept_leader(group, body):
         return make_append_reply(group, False, group.log.last_index)
@@ -159,7 +160,7 @@
 def make_append_reply(
     group: "consensus.Group", matched: bool, last_index: int
 ) -> messages.AppendReply:
-    """Returns this host's answer to a leader."""
+    """Returns this host's reply to a leader."""
     return messages.AppendReply(
         term=ids.Term(group.term),
         matched=matched,
@@ -172,14 +173,14 @@
 def has_previous_entry(
     group: "consensus.Group", body: messages.AppendRequest
 ) -> bool:
-    """Whether the log holds the entry right before a leader's entries."""
+    """Returns whether the log matches the entry before a leader's entries."""
     if body.prev_index <= group.commit_index:
         return True
     return group.log.term_at(body.prev_index) == body.prev_term
 
 
 def find_conflict_hint(group: "consensus.Group", index: int) -> int:
-    """Returns the newest index that may agree: before the term that differs."""
+    """Returns the newest index that may match, before the conflicting term."""
     if index > group.log.last_index:
         return group.log.last_index
     term = group.log.term_at(index)
@@ -191,7 +192,7 @@
 async def append_entries(
     group: "consensus.Group", entries: list[messages.LogEntry]
 ) -> None:
-    """Adds the entries that the log does not hold yet; cuts what differs."""
+    """Appends the missing entries; truncates conflicting ones first."""
     log = group.log
     new = [
         entry
@@ -209,11 +210,12 @@
 
 
 async def truncate_log(group: "consensus.Group", index: int) -> None:
-    """Forgets entries that another leader's replace."""
+    """Removes entries that conflict with those of a newer leader."""
     invariants.check(
         invariants.Invariant.COMMITTED_NEVER_LOST,
         index > group.commit_index,
-        f"entry {index} would be cut, {group.commit_index} is committed",
+        f"entry {index} would be truncated, but the log is committed up to"
+        f" {group.commit_index}",
     )
     group.voters.truncate(index)
     await group.log.truncate(index)
--- a/mangobay/stepdown.py
+++ b/mangobay/stepdown.py
@@ -1,8 +1,8 @@
-"""How a leader that stops as planned makes way for another.
+"""Planned step-down of a leader.
 
-Otherwise the group would stand still until the other hosts miss its
-heartbeats.  Only timers change: the next leader needs the same votes, for a
-log that holds everything committed.
+Without it the group would have no leader until the other hosts time out. Only
+timers change: the next leader needs the same votes and a log that holds every
+committed entry.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
     from mangobay import consensus
 
 CAMPAIGN_SPREAD_SHARE = 0.25
-"""Share of an election timeout over which the followers' campaigns spread, so
-that two of them seldom split the votes."""
+"""Share of an election timeout over which the campaigns of the followers are
+spread, so that they rarely split the vote."""
 
 
 async def step_down_and_notify(group: "consensus.Group") -> None:
-    """Stops to lead and tells the others to elect a leader now.
+    """Steps down and asks the other hosts to elect a leader now.
 
-    Returns once they have answered, or after half an election timeout.
+    Returns once they have replied, or after half an election timeout.
     """
     if not group.leading.is_set():
         return
@@ -44,9 +44,9 @@
 
 
 def handle_leader_leaving(group: "consensus.Group") -> None:
-    """Forgets a leader that said farewell; campaigns soon."""
-    # A host that still counts the farewell as a sign of life would refuse
-    # its vote to whoever campaigns first.
+    """Schedules a campaign soon after a leader announced its step-down."""
+    # A host that counted this last request as a heartbeat would refuse its
+    # vote to the first candidate.
     group.leader_contact_at = -math.inf
     max_delay = CAMPAIGN_SPREAD_SHARE * group.settings.election_timeout
     group.campaign_at = group.now() + max_delay * group.rng.random()
--- a/mangobay/storage.py
+++ b/mangobay/storage.py
@@ -1,4 +1,4 @@
-"""What a control host keeps on its disk: hard state, snapshot and log."""
+"""Durable storage of a control host: hard state, snapshot and log."""
 
 import dataclasses
 import struct
@@ -23,28 +23,29 @@
 
 @dataclasses.dataclass(slots=True)
 class Record:
-    """One entry of the log, decoded and as it is on the disk."""
+    """A log entry, decoded and as encoded on the disk."""
 
     entry: messages.LogEntry
     data: bytes
 
 
 class Storage:
-    """The log of one control host, in memory and on its disk.
+    """Hard state, snapshot and log of a control host, in memory and on disk.
 
-    One task at a time may await its coroutines; `append` may be called at any
-    time.  After a failed write or sync nothing is known about the disk, so
-    every later write is refused until the process starts again.
+    Only one task at a time may await the coroutines, apart from `stage` and
+    `stage_received`; `append` may be called at any time. After a failed write
+    or sync the contents of the disk are unknown, so every later write is
+    refused until the storage is opened again.
 
     Attributes:
-      hard_state: term, vote and identity as they were last synced.
-      snapshot: the newest one.
-      snapshot_data: the same, encoded.
-      records: the entries at hand, without a gap, from `first` on.
-      first_index: index of the first of them.
-      synced_index: newest index that is durable.
-      failure: why the storage refuses to write, empty while it works.
-      disk_full: that is since the disk is full.
+      hard_state: term, vote, identity and commit index, as last synced.
+      snapshot: the newest snapshot.
+      snapshot_data: the newest snapshot, encoded.
+      records: the entries in memory, without a gap, from `first` on.
+      first_index: index of the first entry in `records`.
+      synced_index: index of the newest durable entry.
+      failure: why the storage refuses to write, empty while it does not.
+      disk_full: whether that is because the disk is full.
     """
 
     def __init__(self, disk: disk_module.Disk):
@@ -59,12 +60,12 @@
         self.disk_full = False
 
     def open(self) -> None:
-        """Reads the folder, or makes a new identity in an empty one.
+        """Loads the data directory; creates an identity in an empty one.
 
         Raises:
-          errors.DamagedLogError: a file fails its checksum.
-          errors.DiskFullError: the folder takes no writes for now.
-          errors.StorageError: the folder cannot be read or written.
+          errors.CorruptLogError: a file is corrupt or missing.
+          errors.DiskFullError: the disk is full.
+          errors.StorageError: the directory cannot be read or written.
         """
         try:
             self.disk.open()
@@ -76,7 +77,7 @@
             raise self.make_error() from error
 
     def load(self) -> None:
-        """Takes in what the folder holds."""
+        """Loads all files of the data directory."""
         body = self.read_checked(STATE_FILE)
         state = None
         if body is not None:
@@ -85,10 +86,13 @@
             )
         log = self.disk.read(LOG_FILE)
         if state is None and (log or self.disk.read(SNAPSHOT_FILE)):
-            raise errors.CorruptLogError(f"{self.disk}/{STATE_FILE}: missing")
+            raise errors.CorruptLogError(
+                f"{self.disk}/{STATE_FILE}: file is missing, but a log or snapshot"
+                " exists"
+            )
         if state is None:
-            # An empty disk is another voter: as its old self it could vote
-            # again in a term, or deny an entry that it had acknowledged.
+            # An empty disk is a new voter. Under its old identity it could
+            # vote twice in a term, or lack an entry that it acknowledged.
             identity = ids.DiskId(str(uuid.uuid4()))
             state = messages.HardState(identity=identity)
             self.replace_file(STATE_FILE, messages.encode_hard_state(state))
@@ -102,7 +106,7 @@
         self.load_log(log or b"")
 
     def load_log(self, data: bytes) -> None:
-        """Takes in the log file; cuts a torn tail."""
+        """Loads the log file; truncates a torn tail."""
         path = f"{self.disk}/{LOG_FILE}"
         scan = recordlog.scan(data, path)
         if scan.torn_bytes:
@@ -111,8 +115,8 @@
             )
             self.disk.truncate(LOG_FILE, scan.whole_bytes)
         if data:
-            # A killed process leaves bytes that it never synced; they count
-            # as held from here on and must not go with a loss of power.
+            # A killed process can leave bytes that it did not sync. Their
+            # entries count as durable from now on.
             self.disk.sync(LOG_FILE)
         self.first_index = scan.frames[0].first_index if scan.frames else 1
         self.records = [
@@ -122,26 +126,26 @@
         ]
         self.discard_replaced_entries()
         if scan.frames and not self.records:
-            # Power went between an installed snapshot and the cut of the log.
-            # Entries added behind the old ones would leave a gap, which the
-            # next start would refuse as damage.
+            # Power was lost after a snapshot was installed and before the log
+            # was compacted. Entries appended after the old ones would leave a
+            # gap, which the next start would refuse as corruption.
             self.replace_file(LOG_FILE, b"", with_checksum=False)
         if self.first_index > self.snapshot.last_index + 1:
             raise errors.CorruptLogError(
-                f"{path}: starts at {self.first_index}, the snapshot ends at"
-                f" {self.snapshot.last_index}"
+                f"{path}: log starts at index {self.first_index}, but the snapshot"
+                f" ends at index {self.snapshot.last_index}"
             )
-        # Damage in the very last frame looks like a torn write.  What was
-        # known to be committed tells them apart.
+        # Corruption in the last frame looks like a torn write. The saved
+        # commit index tells them apart.
         if self.last_index < self.hard_state.commit:
             raise errors.CorruptLogError(
-                f"{path}: ends at {self.last_index}, but {self.hard_state.commit}"
-                " was committed"
+                f"{path}: log ends at index {self.last_index}, but index"
+                f" {self.hard_state.commit} was committed"
             )
         self.synced_index = self.last_index
 
     def discard_replaced_entries(self) -> None:
-        """Forgets the log when the snapshot does not continue it."""
+        """Discards entries that conflict with or end before the snapshot."""
         last_index = self.snapshot.last_index
         if not last_index:
             return
@@ -153,20 +157,30 @@
             self.first_index = last_index + 1
 
     def read_checked(self, name: str) -> bytes | None:
-        """Returns what a file holds, None when there is no such file."""
+        """Returns the body of a file, None if there is no such file.
+
+        Raises:
+          errors.CorruptLogError: the checksum does not match.
+        """
         data = self.disk.read(name)
         if data is None:
             return None
         body = data[CHECKSUM.size :]
         digest = CHECKSUM.pack(xxhash.xxh3_64_intdigest(body))
         if digest != data[: CHECKSUM.size]:
-            raise errors.CorruptLogError(f"{self.disk}/{name}: bad checksum")
+            raise errors.CorruptLogError(
+                f"{self.disk}/{name}: checksum mismatch"
+            )
         return body
 
     def decode_file(
         self, name: str, body: bytes, decode: typing.Callable
     ) -> typing.Any:
-        """Returns the message in the body of a file."""
+        """Returns the message in the body of a file.
+
+        Raises:
+          errors.CorruptLogError: the body cannot be decoded.
+        """
         try:
             return decode(body)
         except capnp.KjException as error:
@@ -177,7 +191,7 @@
     def replace_file(
         self, name: str, body: bytes, with_checksum: bool = True
     ) -> None:
-        """Replaces a file so that a crash leaves the old one or the new."""
+        """Replaces a file atomically and durably."""
         self.write_file(name + TEMPORARY_SUFFIX, body, with_checksum)
         self.disk.rename(name + TEMPORARY_SUFFIX, name)
         self.disk.sync_directory()
@@ -185,19 +199,19 @@
     def write_file(
         self, name: str, body: bytes, with_checksum: bool = True
     ) -> None:
-        """Writes a file that is to take the place of another."""
+        """Writes and syncs a file that is renamed later."""
         prefix = (
             CHECKSUM.pack(xxhash.xxh3_64_intdigest(body))
             if with_checksum
             else b""
         )
         self.disk.write(name, prefix + body)
-        # Unsynced bytes under the final name could be found empty later.
+        # After a crash, a renamed file whose data was not synced can be empty.
         self.disk.sync(name)
 
     @property
     def last_index(self) -> int:
-        """Newest index, 0 when there is none."""
+        """Index of the newest entry, 0 if there is none."""
         return max(
             self.first_index + len(self.records) - 1, self.snapshot.last_index
         )
@@ -208,7 +222,12 @@
         return self.term_at(self.last_index) or 0
 
     def term_at(self, index: int, log_only: bool = False) -> int | None:
-        """Returns the term of an entry, None when it is not at hand."""
+        """Returns the term of an entry, None if it is not available.
+
+        Args:
+          index: index of the entry.
+          log_only: whether to ignore the last entry of the snapshot.
+        """
         if self.first_index <= index < self.first_index + len(self.records):
             return self.records[index - self.first_index].entry.term
         if index == self.snapshot.last_index and not log_only:
@@ -216,11 +235,11 @@
         return None
 
     def entry(self, index: int) -> messages.LogEntry:
-        """Returns an entry that is at hand."""
+        """Returns an entry that is in memory."""
         return self.records[index - self.first_index].entry
 
     def batch(self, start: int, max_bytes: int) -> list[messages.LogEntry]:
-        """Returns the entries from `start` on, in `most` bytes; one at least."""
+        """Returns entries from `start` on, up to `max_bytes` but at least one."""
         entries: list[messages.LogEntry] = []
         size = 0
         for record in self.records[start - self.first_index :]:
@@ -231,13 +250,13 @@
         return entries
 
     def append(self, entries: list[messages.LogEntry]) -> None:
-        """Adds entries in memory; they last after the next `flush`."""
+        """Appends entries in memory; the next `flush` makes them durable."""
         for entry in entries:
             data = messages.encode_log_entry(entry)
             self.records.append(Record(entry, data))
 
     async def flush(self) -> None:
-        """Makes every entry durable that was appended before the call.
+        """Makes all entries durable that were appended before the call.
 
         Raises:
           errors.StorageError: the disk is full or failed.
@@ -268,7 +287,7 @@
     async def save_hard_state(
         self, term: int, voted_for: ids.DiskId, commit: int
     ) -> None:
-        """Makes term and vote durable, before anyone is told of them.
+        """Makes term, vote and commit index durable.
 
         Raises:
           errors.StorageError: the disk is full or failed.
@@ -284,7 +303,7 @@
         self.hard_state = state
 
     async def truncate(self, start: int) -> None:
-        """Forgets the entries from `start` on.
+        """Removes the entries from `start` on.
 
         Raises:
           errors.StorageError: the disk is full or failed.
@@ -293,9 +312,9 @@
         await self.rewrite_log(min(self.synced_index, start - 1))
 
     async def rewrite_log(self, last_index: int) -> None:
-        """Writes the log file anew, with the entries up to `last`."""
-        # Cutting the file in place and adding the kept part of a frame again
-        # would, in a crash between the two, lose acknowledged entries.
+        """Rewrites the log file with the entries up to `last_index`."""
+        # Truncating the file in place and appending the kept part of a frame
+        # again would lose acknowledged entries in a crash between the two.
         kept = [
             record.data
             for record in self.records[
@@ -309,10 +328,11 @@
         self.synced_index = max(last_index, self.snapshot.last_index)
 
     async def stage(self, snapshot: messages.Snapshot) -> bytes:
-        """Writes a snapshot that nothing uses yet; returns it encoded.
+        """Writes a snapshot to a staging file; returns it encoded.
 
-        It may run beside other coroutines, and should: encoding and syncing
-        that of a large system takes longer than an election timeout.
+        It may run concurrently with other coroutines, and should: encoding and
+        syncing the snapshot of a large system takes longer than an election
+        timeout.
 
         Raises:
           errors.StorageError: the disk is full or failed.
@@ -326,7 +346,7 @@
         return await self.run_disk_work(encode_and_write)
 
     async def stage_received(self, data: bytes) -> messages.Snapshot:
-        """Does the same with an encoded snapshot; returns it decoded.
+        """Writes a received snapshot to a staging file; returns it decoded.
 
         Raises:
           errors.StorageError: the disk is full or failed.
@@ -346,13 +366,14 @@
         data: bytes,
         trailing: int,
     ) -> None:
-        """Makes a staged snapshot the newest and cuts the log behind it.
+        """Makes a staged snapshot the newest and compacts the log.
 
         Args:
-          name: where it is staged.
-          snapshot: the state at its `last_index`.
-          data: the same, encoded.
-          trailing: entries before it to keep, for hosts a little behind.
+          name: the staging file.
+          snapshot: the snapshot.
+          data: the snapshot, encoded.
+          trailing: number of entries before the snapshot's index to keep, for
+            hosts that are slightly behind.
 
         Raises:
           errors.StorageError: the disk is full or failed.
@@ -364,35 +385,36 @@
         first_kept = max(self.first_index, snapshot.last_index + 1 - trailing)
         del self.records[: first_kept - self.first_index]
         self.first_index = first_kept
-        # What the snapshot replaced counts as synced no more: entries that
-        # come in its place would never be written, yet be acknowledged.
+        # Entries that the snapshot replaced no longer count as synced.
+        # Otherwise new entries at their indexes would be acknowledged without
+        # being written.
         self.synced_index = min(self.synced_index, self.last_index)
         await self.rewrite_log(max(self.synced_index, snapshot.last_index))
 
     def rename_staged(self, name: str) -> None:
-        """Gives a staged file the snapshot's name."""
+        """Replaces the snapshot file by a staging file, durably."""
         self.disk.rename(name, SNAPSHOT_FILE)
         self.disk.sync_directory()
 
     def check_usable(self) -> None:
-        """Refuses to go on after a failure.
+        """Raises the error of an earlier failure, if there was one.
 
         Raises:
-          errors.DiskFullError: the first failure, of a full disk.
-          errors.StorageError: the first failure, of any other kind.
+          errors.DiskFullError: the disk was full.
+          errors.StorageError: the disk failed, or the storage was stopped.
         """
         if self.failure:
             raise self.make_error()
 
     def make_error(self) -> errors.StorageError:
-        """Returns the error that tells of the first failure."""
+        """Returns an error with the text of the recorded failure."""
         error_class = (
             errors.DiskFullError if self.disk_full else errors.StorageError
         )
         return error_class(self.failure)
 
     def record_failure(self, error: OSError, failure: str) -> None:
-        """Refuses every later write."""
+        """Records a disk failure, after which every write is refused."""
         self.failure = failure
         self.disk_full = error.errno in disk_module.FULL_ERRNOS
         logs.log_event(logs.Component.STORAGE, "disk failed", why=str(error))
@@ -400,12 +422,16 @@
     async def run_disk_work(
         self, work: typing.Callable[[], typing.Any]
     ) -> typing.Any:
-        """Runs disk work off the loop; after a failure nothing more is run."""
+        """Runs disk work in a thread; refuses it after a failure.
+
+        Raises:
+          errors.StorageError: the disk is full or failed.
+        """
         self.check_usable()
         try:
             return await self.disk.offload(work)
         except OSError as error:
-            # A sync that failed may have dropped the pages it could not
-            # write; a later one would report success without them.
+            # A failed sync may have dropped the dirty pages, and a later sync
+            # would report success without having written them.
             self.record_failure(error, f"{self.disk}: {error}")
             raise self.make_error() from error
--- a/mangobay/voters.py
+++ b/mangobay/voters.py
@@ -1,4 +1,4 @@
-"""Who votes in the control group, and what a quorum of them is."""
+"""The voters of the control group and their quorums."""
 
 import dataclasses
 import typing
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VoterConfig:
-    """The voters from one index of the log on.
+    """A voter configuration, in force from one log index on.
 
     Attributes:
-      index: where the log names them.
-      change: who they are.
+      index: index of the log entry that names the voters.
+      change: the voters.
     """
 
     index: int
@@ -21,34 +21,34 @@
 
 
 class Voters:
-    """The voters that the log names.
+    """The voter configurations that the log names.
 
-    A voter is a disk, not a host: one that comes back empty has another
-    identity, and neither its votes nor its acknowledgements count until the
-    log names it.
+    A voter is a disk, not a host. A host that returns with an empty disk has
+    another identity, and neither its votes nor its acknowledgements count
+    until the log names that identity.
 
-    While the newest change is not known to be committed, a quorum is a
-    majority of the former voters and also of the new ones.  With a majority
-    of the new ones alone, the hosts that have not seen the change could
-    elect a leader without any host that has.
+    As in Raft's joint consensus, while a change is not known to be committed,
+    a quorum needs a majority of the old voters and one of the new voters. If
+    a majority of the new voters were enough, the hosts that have not seen the
+    change could elect a leader without any host that has.
 
     Attributes:
-      configs: the changes at hand, oldest first; one is left at least of
-        those that are committed.
+      configs: the configurations in the snapshot and in the log, oldest
+        first. At least one committed configuration is retained.
     """
 
     def __init__(self) -> None:
         self.configs: list[VoterConfig] = []
 
     def add_entries(self, entries: list[messages.LogEntry]) -> None:
-        """Takes in the changes among entries added to the log."""
+        """Adds the configurations among entries appended to the log."""
         for entry in entries:
             match entry.body:
                 case messages.VoterChange() as change:
                     self.configs.append(VoterConfig(entry.index, change))
 
     def restore_snapshot(self, snapshot: messages.Snapshot) -> None:
-        """Takes in the voters of a snapshot, in place of what came before."""
+        """Replaces older configurations by that of a snapshot."""
         if not snapshot.voters.voters:
             return
         later = [
@@ -60,13 +60,13 @@
         self.configs = [base, *later]
 
     def truncate(self, index: int) -> None:
-        """Drops the changes of entries that were cut from the log."""
+        """Drops the configurations from a truncated index on."""
         self.configs = [
             config for config in self.configs if config.index < index
         ]
 
     def voters_at(self, index: int) -> messages.VoterChange:
-        """Returns the voters that the log names up to an index."""
+        """Returns the voters as of a log index."""
         changes = [
             config.change for config in self.configs if config.index <= index
         ]
@@ -75,7 +75,7 @@
     def active_voter_sets(
         self, commit_index: int
     ) -> list[messages.VoterChange]:
-        """Returns the sets of voters whose majorities make a quorum now."""
+        """Returns the sets of voters that each need a majority in a quorum."""
         pending = [
             config.change
             for config in self.configs
@@ -89,15 +89,15 @@
         return committed[-1:] + pending
 
     def newest(self) -> list[messages.Peer]:
-        """Returns the voters that the last change names."""
+        """Returns the voters of the newest configuration."""
         return self.configs[-1].change.voters if self.configs else []
 
     def has_pending_change(self, commit_index: int) -> bool:
-        """Whether a change is not known to be committed."""
+        """Returns whether the newest configuration is not yet committed."""
         return bool(self.configs) and self.configs[-1].index > commit_index
 
     def is_voter(self, identity: ids.DiskId) -> bool:
-        """Whether the last change names a disk."""
+        """Returns whether the newest configuration names a disk."""
         return any(peer.identity == identity for peer in self.newest())
 
     def quorum_value(
@@ -106,11 +106,11 @@
         """Returns the highest value that a quorum of the voters has reached.
 
         Args:
-          commit_index: newest index known to be committed.
-          value: what one voter has reached.
+          commit_index: index of the newest entry known to be committed.
+          value: returns the value of one voter.
 
         Returns:
-          The value; minus infinity when no voters are known.
+          The value, or minus infinity if no voters are known.
         """
         voter_sets = self.active_voter_sets(commit_index)
         if not voter_sets:
@@ -122,7 +122,7 @@
     def unanimous_value(
         self, value: typing.Callable[[ids.DiskId], float]
     ) -> float:
-        """Returns what every one of the newest voters has reached."""
+        """Returns the highest value that all newest voters have reached."""
         values = (value(peer.identity) for peer in self.newest())
         return min(values, default=float("-inf"))
 
@@ -130,6 +130,6 @@
 def majority_value(
     voters: list[messages.Peer], value: typing.Callable[[ids.DiskId], float]
 ) -> float:
-    """Returns the highest value that more than half of the voters reached."""
+    """Returns the highest value that a majority of voters has reached."""
     values = sorted((value(peer.identity) for peer in voters), reverse=True)
     return values[len(values) // 2]
