--- a/tests/groupfakes.py
+++ b/tests/groupfakes.py
@@ -85,13 +85,18 @@
         if self.rng.random() < 0.5:
             self.files = dict(self.durable_files)
         for file in self.files.values():
-            _, kept = self.durable_contents.get(id(file), (file, b""))
-            tail = bytes(file[len(kept) :]) if file.startswith(kept) else b""
-            file[:] = kept + tail[: self.rng.randint(0, len(tail))]
-        self.files = {n: bytearray(f) for n, f in self.files.items()}
+            _, synced = self.durable_contents.get(id(file), (file, b""))
+            tail = (
+                bytes(file[len(synced) :]) if file.startswith(synced) else b""
+            )
+            file[:] = synced + tail[: self.rng.randint(0, len(tail))]
+        self.files = {
+            name: bytearray(content) for name, content in self.files.items()
+        }
         self.durable_files = dict(self.files)
         self.durable_contents = {
-            id(f): (f, bytes(f)) for f in self.files.values()
+            id(content): (content, bytes(content))
+            for content in self.files.values()
         }
         self.full = False
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -14,7 +14,7 @@
 class TestGroup:
     """What callers rely on while nothing fails."""
 
-    async def test_what_is_proposed_reaches_every_machine(self):
+    async def test_proposals_are_applied_on_every_host(self):
         async with groupfakes.Cluster() as cluster:
             for number in range(100):
                 await cluster.commit(str(number))
@@ -26,34 +26,34 @@
             versions = [version for _, version in machines[0]]
             assert versions == [str(number) for number in range(100)]
 
-    async def test_another_host_names_the_leader(self):
+    async def test_follower_names_the_leader(self):
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
             follower = cluster.others(leader)[0]
             await cluster.wait_until(lambda: follower.group.leader)
-            with pytest.raises(errors.NotLeaderError) as told:
+            with pytest.raises(errors.NotLeaderError) as raised:
                 await follower.group.propose(messages.Noop())
-            assert told.value.leader == leader.name
-            assert told.value.address == str(leader.address)
+            assert raised.value.leader == leader.name
+            assert raised.value.address == str(leader.address)
 
-    async def test_proposals_that_come_together_share_a_sync(self):
+    async def test_concurrent_proposals_share_a_sync(self):
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.leader()
             leader.disk.sync_seconds = 0.02
-            before = leader.disk.sync_count
+            syncs_before = leader.disk.sync_count
             await asyncio.gather(
                 *(
                     leader.group.propose(messages.SheetChange(version=str(n)))
                     for n in range(30)
                 )
             )
-            assert leader.disk.sync_count - before < 10
+            assert leader.disk.sync_count - syncs_before < 10
 
 
 class TestStepDown:
     """A leader that stops as planned."""
 
-    async def test_another_leads_before_the_others_miss_it(self):
+    async def test_new_leader_is_elected_before_the_election_timeout(self):
         """The leader says farewell and stops.
 
         The others elect one of themselves at once: before the shortest
@@ -64,7 +64,7 @@
             async with groupfakes.Cluster(seed) as cluster:
                 former = await cluster.commit("before")
                 timeout = former.group.settings.election_timeout
-                began = former.group.now()
+                started_at = former.group.now()
                 await stepdown.step_down_and_notify(former.group)
                 assert not former.is_leading
                 await cluster.wait_until(
@@ -72,7 +72,7 @@
                         host.is_leading for host in c.others(f)
                     )
                 )
-                assert cluster.hosts[0].group.now() - began < timeout
+                assert cluster.hosts[0].group.now() - started_at < timeout
                 await former.crash()
                 leader = await cluster.commit("after")
                 versions = [version for _, version in leader.machine.sheets]
@@ -97,7 +97,7 @@
             )
         )
 
-    async def test_a_second_host_lost_right_after_a_repair(self):
+    async def test_second_host_is_lost_after_a_disk_replacement(self):
         """One disk is replaced, and at once another host dies for good.
 
         The repaired host must count in the place of its former self, or the
@@ -111,7 +111,7 @@
             await cluster.commit("after")
             assert [v for _, v in first.machine.sheets][0] == "before"
 
-    async def test_the_repaired_host_can_lead(self):
+    async def test_host_with_replaced_disk_can_lead(self):
         """After a repair the leader itself dies and comes back last."""
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("before")
@@ -128,7 +128,7 @@
                 assert versions == ["before", "between", "after"]
 
     @pytest.mark.parametrize("join", (True, False))
-    async def test_two_empty_disks_elect_nobody(self, join):
+    async def test_two_empty_disks_do_not_bootstrap_a_group(self, join):
         """Two of three disks are lost together; the third host is down.
 
         The two empty hosts are a majority of the addresses.  Were they to
@@ -148,10 +148,12 @@
             assert not any(host.is_leading for host in cluster.hosts)
             bodies = [r.entry.body for r in leader.group.log.records]
             assert messages.SheetChange(version="kept") in bodies
-            held = {h.group.log.last_index for h in cluster.others(leader)}
-            assert held == {0}
+            last_indexes = {
+                h.group.log.last_index for h in cluster.others(leader)
+            }
+            assert last_indexes == {0}
 
-    async def test_a_new_group_waits_for_every_host(self):
+    async def test_bootstrap_waits_for_every_host(self):
         """At the very first start one host is late; nobody may lead yet."""
         cluster = groupfakes.Cluster()
         late = cluster.hosts[0]
@@ -166,7 +168,7 @@
 class TestGrowth:
     """More control hosts than the group was founded with."""
 
-    async def test_a_group_grows_from_three_to_five(self):
+    async def test_group_grows_from_three_to_five_voters(self):
         """Two empty hosts are added to the settings; then two others die.
 
         Each is named a voter once it has caught up, one at a time, so that
@@ -191,7 +193,7 @@
 class TestCutLinks:
     """Leaders and followers behind cuts that drop silently."""
 
-    async def test_a_leader_behind_a_silent_cut_confirms_nothing(self):
+    async def test_isolated_leader_does_not_confirm_leadership(self):
         """Nothing reaches the leader any more, and no connection breaks.
 
         The others elect a new leader and commit.  The former one must not
@@ -201,27 +203,27 @@
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
             cluster.isolate(leader)
-            began = asyncio.get_running_loop().time()
-            told = await asyncio.gather(
+            started_at = asyncio.get_running_loop().time()
+            results = await asyncio.gather(
                 leader.group.confirm_leadership(),
                 leader.group.propose(messages.SheetChange(version="2")),
                 return_exceptions=True,
             )
-            waited = asyncio.get_running_loop().time() - began
-            assert isinstance(told[0], errors.NotLeaderError)
-            assert isinstance(told[1], errors.LeadershipLostError)
-            assert waited < 3 * groupfakes.ELECTION_TIMEOUT
-            later = await cluster.commit("3")
-            assert later is not leader
+            wait_seconds = asyncio.get_running_loop().time() - started_at
+            assert isinstance(results[0], errors.NotLeaderError)
+            assert isinstance(results[1], errors.LeadershipLostError)
+            assert wait_seconds < 3 * groupfakes.ELECTION_TIMEOUT
+            new_leader = await cluster.commit("3")
+            assert new_leader is not leader
             with pytest.raises(errors.NotLeaderError):
                 await leader.group.confirm_leadership()
             cluster.heal()
             await cluster.wait_until(
-                lambda: leader.machine.sheets == later.machine.sheets
+                lambda: leader.machine.sheets == new_leader.machine.sheets
             )
             assert [v for _, v in leader.machine.sheets] == ["1", "3"]
 
-    async def test_a_frozen_leader_that_wakes_confirms_nothing(self):
+    async def test_resumed_leader_does_not_confirm_leadership(self):
         """A leader is stopped, others elect and commit, then it goes on.
 
         Its clock check has not run: it still takes itself for the leader and
@@ -236,24 +238,26 @@
                 lambda: any(host.is_leading for host in cluster.others(leader))
             )
             assert leader.is_leading
-            reading = asyncio.create_task(leader.group.confirm_leadership())
-            writing = asyncio.create_task(
+            confirm_task = asyncio.create_task(
+                leader.group.confirm_leadership()
+            )
+            propose_task = asyncio.create_task(
                 leader.group.propose(messages.SheetChange(version="stale"))
             )
             await asyncio.sleep(1)
-            assert not reading.done()
+            assert not confirm_task.done()
             cluster.heal()
             with pytest.raises(errors.NotLeaderError):
-                await reading
+                await confirm_task
             with pytest.raises(errors.LeadershipLostError):
-                await writing
-            later = await cluster.commit("2")
+                await propose_task
+            new_leader = await cluster.commit("2")
             await cluster.wait_until(
-                lambda: leader.machine.sheets == later.machine.sheets
+                lambda: leader.machine.sheets == new_leader.machine.sheets
             )
             assert [v for _, v in leader.machine.sheets] == ["1", "2"]
 
-    async def test_a_cut_off_follower_deposes_nobody_when_it_is_back(self):
+    async def test_returning_follower_does_not_depose_the_leader(self):
         """A follower times out again and again behind a cut, then returns.
 
         Without pre-vote its higher term would depose the leader that all
@@ -269,7 +273,7 @@
             assert leader.is_leading
             assert leader.group.term == term
 
-    async def test_one_link_cut_deposes_nobody(self):
+    async def test_follower_without_link_to_the_leader_does_not_depose_it(self):
         """A follower hears the third host, but no longer the leader.
 
         Its log is as good as any.  Were the third host to vote for it while
@@ -286,7 +290,7 @@
             assert leader.is_leading
             await leader.group.propose(messages.SheetChange(version="2"))
 
-    async def test_a_host_far_behind_gets_a_snapshot(self):
+    async def test_host_far_behind_receives_a_snapshot(self):
         """The log was cut past what a host that was down still needs."""
         async with groupfakes.Cluster() as cluster:
             late = await leave_behind(cluster)
@@ -301,9 +305,7 @@
 class TestLargeSnapshots:
     """Snapshots that take longer than an election timeout."""
 
-    async def test_two_hosts_keep_their_quorum_while_one_takes_a_snapshot(
-        self, monkeypatch
-    ):
+    async def test_quorum_survives_a_slow_snapshot_transfer(self, monkeypatch):
         """One of three hosts is lost; another comes back far behind.
 
         The leader's only follower needs a snapshot that arrives in hundreds
@@ -332,9 +334,7 @@
                 lambda: late.machine.sheets == leader.machine.sheets
             )
 
-    async def test_all_hosts_write_a_long_snapshot_at_one_entry(
-        self, monkeypatch
-    ):
+    async def test_slow_snapshots_do_not_delay_proposals(self, monkeypatch):
         """Every host cuts its log at the same entry, for 3 s.
 
         Were it done under the lock, no host would answer or sync meanwhile,
@@ -346,18 +346,18 @@
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("0")
             term = leader.group.term
-            slowest = 0.0
+            max_seconds = 0.0
             for number in range(3 * groupfakes.SNAPSHOT_ENTRIES):
-                began = loop.time()
+                started_at = loop.time()
                 await cluster.commit(str(number))
-                slowest = max(slowest, loop.time() - began)
+                max_seconds = max(max_seconds, loop.time() - started_at)
             await asyncio.sleep(10)
-            assert slowest < groupfakes.ELECTION_TIMEOUT
+            assert max_seconds < groupfakes.ELECTION_TIMEOUT
             assert leader.group.term == term
             for host in cluster.hosts:
                 assert host.group.log.snapshot.last_index
 
-    async def test_a_snapshot_damaged_on_its_way_is_sent_again(
+    async def test_snapshot_corrupted_in_transfer_is_sent_again(
         self, monkeypatch
     ):
         """A part arrives damaged.
@@ -366,17 +366,19 @@
         nothing and asks for the first part again.
         """
         monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 64)
-        sent = snapshottransfer.make_snapshot_put
-        damaged = []
+        make_snapshot_put = snapshottransfer.make_snapshot_put
+        corrupt_offsets = []
 
-        def next_part(group, follower):
-            body = sent(group, follower)
-            if body.offset and not damaged:
-                damaged.append(body.offset)
+        def make_corrupt_part(group, follower):
+            body = make_snapshot_put(group, follower)
+            if body.offset and not corrupt_offsets:
+                corrupt_offsets.append(body.offset)
                 body.part = bytes(len(body.part))
             return body
 
-        monkeypatch.setattr(snapshottransfer, "make_snapshot_put", next_part)
+        monkeypatch.setattr(
+            snapshottransfer, "make_snapshot_put", make_corrupt_part
+        )
         async with groupfakes.Cluster() as cluster:
             late = await leave_behind(cluster)
             late.start()
@@ -384,7 +386,7 @@
             await cluster.wait_until(
                 lambda: late.machine.sheets == leader.machine.sheets
             )
-            assert damaged
+            assert corrupt_offsets
 
 
 async def leave_behind(cluster) -> groupfakes.FakeHost:
@@ -397,22 +399,22 @@
     return late
 
 
-def slow_down(monkeypatch, name) -> None:
+def slow_down(monkeypatch, method_name) -> None:
     """Makes a step of the storage take longer than an election timeout."""
-    step = getattr(storage.Storage, name)
+    method = getattr(storage.Storage, method_name)
 
-    async def slow(self, given):
+    async def slow(self, argument):
         await asyncio.sleep(5 * groupfakes.ELECTION_TIMEOUT)
-        return await step(self, given)
+        return await method(self, argument)
 
-    monkeypatch.setattr(storage.Storage, name, slow)
+    monkeypatch.setattr(storage.Storage, method_name, slow)
 
 
 class TestDisk:
     """Disks that fill up and processes that start again."""
 
     @pytest.mark.parametrize("leads", (True, False))
-    async def test_a_full_disk_claims_nothing(self, leads):
+    async def test_host_with_full_disk_acknowledges_nothing(self, leads):
         """The disk of the leader, or of a follower, fills up.
 
         The host stops, says why and acknowledges nothing; the other two go
@@ -422,12 +424,12 @@
             leader = await cluster.commit("1")
             host = leader if leads else cluster.others(leader)[0]
             host.disk.full = True
-            before = host.group.log.synced_index
+            synced_before = host.group.log.synced_index
             await cluster.commit("2")
             with pytest.raises(errors.StorageError, match="No space"):
                 await host.task
             assert not host.is_leading
-            assert host.group.log.synced_index == before
+            assert host.group.log.synced_index == synced_before
             await host.crash()
             host.start()
             last = await cluster.commit("3")
@@ -435,7 +437,7 @@
                 lambda: host.machine.sheets == last.machine.sheets
             )
 
-    async def test_a_full_disk_fails_the_proposal_at_a_lone_leader(self):
+    async def test_single_leader_with_full_disk_fails_the_proposal(self):
         """No quorum can make up for it: the caller must not hear success."""
         async with groupfakes.Cluster(size=1) as cluster:
             leader = await cluster.commit("1")
@@ -455,9 +457,9 @@
                 await asyncio.gather(
                     *(
                         leader.group.propose(
-                            messages.SheetChange(version=str(number + one))
+                            messages.SheetChange(version=str(number + offset))
                         )
-                        for one in range(20)
+                        for offset in range(20)
                     )
                 )
             for host in cluster.hosts:
@@ -485,7 +487,7 @@
                 host.group.add_follower(new.address)
         return new
 
-    async def test_one_takes_the_place_of_a_voter_that_is_gone(self):
+    async def test_joining_host_replaces_an_unreachable_voter(self):
         """A third loss stops the group, though a host was replaced in time.
 
         One of three is lost for good and an empty one comes at another
@@ -494,16 +496,16 @@
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
             leader = await cluster.leader()
-            gone, left = cluster.others(leader)
-            await gone.crash()
+            lost, other = cluster.others(leader)
+            await lost.crash()
             new = await self.make_joining(cluster)
             await cluster.wait_until(lambda: new.group.is_voter)
             assert len(new.group.voters.newest()) == 3
-            assert str(gone.address) not in leader.group.voter_addresses()
-            await left.crash()
+            assert str(lost.address) not in leader.group.voter_addresses()
+            await other.crash()
             await cluster.commit("2")
 
-    async def test_one_waits_while_every_voter_is_there(self):
+    async def test_joining_host_replaces_no_reachable_voter(self):
         """A voter that is well loses its vote to one that was only added."""
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
@@ -512,7 +514,7 @@
             assert not new.group.is_voter
             assert len(new.group.voters.newest()) == 3
 
-    async def test_a_replaced_voter_that_comes_back_elects_nobody(self):
+    async def test_returning_replaced_voter_elects_no_leader(self):
         """Two leaders accept changes, one of them elected by a former voter.
 
         A voter behind a cut is replaced; when the cut heals it still holds
@@ -521,12 +523,12 @@
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
             leader = await cluster.leader()
-            cut = cluster.others(leader)[0]
-            cluster.isolate(cut)
+            isolated = cluster.others(leader)[0]
+            cluster.isolate(isolated)
             new = await self.make_joining(cluster)
             await cluster.wait_until(lambda: new.group.is_voter)
             cluster.heal()
             await asyncio.sleep(5)
             await cluster.commit("2")
-            assert not cut.is_leading
-            assert not cut.group.is_voter
+            assert not isolated.is_leading
+            assert not isolated.group.is_voter
--- a/tests/test_consensus_random.py
+++ b/tests/test_consensus_random.py
@@ -49,8 +49,8 @@
         self.recovery_count = 0
         self.checks_before = invariants.check_counts.copy()
 
-    def start_caller(self, work) -> None:
-        task = asyncio.create_task(work)
+    def start_caller(self, coroutine) -> None:
+        task = asyncio.create_task(coroutine)
         self.caller_tasks.add(task)
 
     async def propose(self, host) -> None:
@@ -66,7 +66,7 @@
         self.newest_told_index = max(self.newest_told_index, entry.index)
 
     async def read(self, host) -> None:
-        newest, group, machine = (
+        newest_index, group, machine = (
             self.newest_told_index,
             host.group,
             host.machine,
@@ -76,15 +76,17 @@
         except errors.NotLeaderError:
             return
         self.check_counts["a confirmed host holds what callers were told"] += 1
-        assert machine.applied_index >= newest
+        assert machine.applied_index >= newest_index
 
     def check_leaders(self) -> None:
         for host in self.cluster.hosts:
             if host.is_leading:
                 self.check_counts["one leader a term"] += 1
                 group = host.group
-                seen = self.leaders.setdefault(group.term, group.identity)
-                assert seen == group.identity
+                known_leader = self.leaders.setdefault(
+                    group.term, group.identity
+                )
+                assert known_leader == group.identity
 
     async def crash(self, host) -> None:
         await host.crash(power_lost=self.rng.random() < 0.5)
@@ -123,12 +125,12 @@
         """Whether a host leads a group that every disk is a voter of."""
         group = host.group
         disks = {h.group.identity for h in self.cluster.hosts}
-        known = {p.identity for p in group.voters.newest()}
+        voters = {p.identity for p in group.voters.newest()}
         pending = group.voters.has_pending_change(group.commit_index)
         return (
             host.is_leading
             and bool(group.commit_index)
-            and known == disks
+            and voters == disks
             and not pending
         )
 
@@ -206,21 +208,21 @@
         )
         for host in self.cluster.hosts:
             self.check_counts["nothing acknowledged is lost"] += 1
-            held = [version for _, version in host.machine.sheets]
-            assert self.acknowledged <= set(held)
-            assert len(held) == len(set(held))
+            versions = [version for _, version in host.machine.sheets]
+            assert self.acknowledged <= set(versions)
+            assert len(versions) == len(set(versions))
         await asyncio.gather(*self.caller_tasks)
 
     def report(self) -> str:
-        inside = {
-            promise.value: count
-            for promise, count in (
+        invariant_checks = {
+            invariant.value: count
+            for invariant, count in (
                 invariants.check_counts - self.checks_before
             ).items()
         }
         return (
             f"faults {dict(self.fault_counts)}, checks {dict(self.check_counts)},"
-            f" inside {inside}, proposed {self.proposal_count},"
+            f" inside {invariant_checks}, proposed {self.proposal_count},"
             f" acknowledged {len(self.acknowledged)}"
         )
 
@@ -239,13 +241,13 @@
         await self.run(seed, capsys)
 
     async def run(self, seed, capsys) -> None:
-        chaos = RandomFaultRun(seed)
+        fault_run = RandomFaultRun(seed)
         try:
-            await chaos.run()
+            await fault_run.run()
         finally:
             with capsys.disabled():
-                print(f"\nseed {seed}: {chaos.report()}")
-        assert sum(chaos.fault_counts.values()) > STEPS // 3
-        assert chaos.check_counts[
+                print(f"\nseed {seed}: {fault_run.report()}")
+        assert sum(fault_run.fault_counts.values()) > STEPS // 3
+        assert fault_run.check_counts[
             "a confirmed host holds what callers were told"
         ]
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -44,25 +44,25 @@
     return groupfakes.FakeDisk(random.Random(1))
 
 
-class TestRealFolder:
+class TestRealDirectory:
     """The same on a real folder."""
 
-    async def test_log_state_and_snapshot_come_back(self, tmp_path):
-        folder = disk.Disk(str(tmp_path))
-        log = await make_synced_log(folder, 20)
+    async def test_log_state_and_snapshot_are_restored(self, tmp_path):
+        files = disk.Disk(str(tmp_path))
+        log = await make_synced_log(files, 20)
         snapshot = messages.Snapshot(last_index=15, last_term=1)
         await save_snapshot(log, snapshot, 5)
         log.append([entry(21)])
         await log.flush()
-        folder.close()
-        again = reopen(disk.Disk(str(tmp_path)))
-        assert again.hard_state == log.hard_state
-        assert again.snapshot == snapshot
-        assert again.first_index == 11
-        assert again.records == log.records
-        assert again.last_index == 21
-
-    def test_a_second_process_is_kept_out(self, tmp_path):
+        files.close()
+        reopened = reopen(disk.Disk(str(tmp_path)))
+        assert reopened.hard_state == log.hard_state
+        assert reopened.snapshot == snapshot
+        assert reopened.first_index == 11
+        assert reopened.records == log.records
+        assert reopened.last_index == 21
+
+    def test_second_process_is_refused(self, tmp_path):
         """Two processes on one folder would vote twice as one voter."""
         first = disk.Disk(str(tmp_path))
         first.open()
@@ -75,24 +75,26 @@
 class TestLog:
     """Torn, damaged and replaced parts of the log."""
 
-    async def test_a_torn_tail_is_cut(self, files):
+    async def test_torn_tail_is_truncated(self, files):
         """Power goes while the last record is written.
 
         Only a part of it is on the disk and nobody was told of it: the log
         ends before it, and what is added next is found again.
         """
         await make_synced_log(files, 3)
-        whole = len(files.files["log"])
-        for left in range(1, 40):
+        complete_bytes = len(files.files["log"])
+        for torn_bytes in range(1, 40):
             log = reopen(files)
             log.append([entry(4)])
             await log.flush()
-            del files.files["log"][whole + left :]
+            del files.files["log"][complete_bytes + torn_bytes :]
             assert reopen(files).last_index == 3
-            assert len(files.files["log"]) == whole
+            assert len(files.files["log"]) == complete_bytes
 
     @pytest.mark.parametrize("share", (0.0, 0.2, 0.5, 0.8))
-    async def test_a_damaged_middle_is_refused(self, files, share):
+    async def test_corruption_before_other_frames_is_refused(
+        self, files, share
+    ):
         """A bit rots in a record that others follow.
 
         Cutting there would lose acknowledged entries, so the host does not
@@ -106,7 +108,7 @@
             reopen(files)
         assert bytes(files.files["log"]) == before
 
-    async def test_a_damaged_end_is_refused_when_known_committed(self, files):
+    async def test_corrupt_last_frame_is_refused_if_committed(self, files):
         """The last record rots; cut as torn, a committed entry would go."""
         log = await make_synced_log(files, 5)
         await log.save_hard_state(1, ids.DiskId(""), 5)
@@ -115,20 +117,22 @@
             reopen(files)
 
     @pytest.mark.parametrize("name", ("state", "snapshot"))
-    async def test_a_damaged_file_is_refused(self, files, name):
+    async def test_corrupt_file_is_refused(self, files, name):
         log = await make_synced_log(files, 5)
         await save_snapshot(log, messages.Snapshot(last_index=5), 0)
         files.files[name][-1] ^= 1
         with pytest.raises(errors.CorruptLogError, match=name):
             reopen(files)
 
-    async def test_a_lost_state_file_is_no_new_disk(self, files):
+    async def test_missing_state_file_is_refused(self, files):
         await make_synced_log(files, 5)
         del files.files["state"]
         with pytest.raises(errors.CorruptLogError, match="state"):
             reopen(files)
 
-    async def test_entries_replaced_by_a_snapshot_are_written_anew(self, files):
+    async def test_entries_replaced_by_a_snapshot_do_not_count_as_synced(
+        self, files
+    ):
         """A follower's uncommitted tail goes with an installed snapshot.
 
         Were it still counted as synced, the entries that come in its place
@@ -144,41 +148,45 @@
         files.crash()
         assert [r.entry.index for r in reopen(files).records] == [6, 7, 8]
 
-    async def test_a_power_loss_at_any_step_keeps_what_was_synced(self, files):
+    async def test_power_loss_while_compacting_keeps_synced_entries(
+        self, files
+    ):
         """Power goes at each step of cutting the log in turn."""
         for step in range(1, 9):
-            one = groupfakes.FakeDisk(random.Random(step))
-            log = await make_synced_log(one, 9)
-            one.steps_to_power_loss = step
+            fake_disk = groupfakes.FakeDisk(random.Random(step))
+            log = await make_synced_log(fake_disk, 9)
+            fake_disk.steps_to_power_loss = step
             with pytest.raises(errors.StorageError):
                 await save_snapshot(
                     log, messages.Snapshot(last_index=6, last_term=1), 0
                 )
-            one.crash()
-            again = reopen(one)
-            assert again.last_index == 9
-            assert again.hard_state.identity == log.hard_state.identity
-
-    async def test_a_power_loss_while_a_snapshot_is_installed(self, files):
+            fake_disk.crash()
+            reopened = reopen(fake_disk)
+            assert reopened.last_index == 9
+            assert reopened.hard_state.identity == log.hard_state.identity
+
+    async def test_power_loss_while_installing_a_snapshot_leaves_no_gap(
+        self, files
+    ):
         """Power goes at each step of replacing a log that is far behind.
 
         The host starts with the old log or with the snapshot, and what it
         adds then is found again; entries behind a stale log would be a gap.
         """
         for step in range(1, 9):
-            one = groupfakes.FakeDisk(random.Random(step))
-            log = await make_synced_log(one, 9)
-            one.steps_to_power_loss = step
+            fake_disk = groupfakes.FakeDisk(random.Random(step))
+            log = await make_synced_log(fake_disk, 9)
+            fake_disk.steps_to_power_loss = step
             with pytest.raises(errors.StorageError):
                 await save_snapshot(
                     log, messages.Snapshot(last_index=20, last_term=2), 0
                 )
-            one.crash()
-            again = reopen(one)
-            assert again.last_index in (9, 20)
-            again.append([entry(again.last_index + 1, term=2)])
-            await again.flush()
-            assert reopen(one).last_index == again.last_index
+            fake_disk.crash()
+            reopened = reopen(fake_disk)
+            assert reopened.last_index in (9, 20)
+            reopened.append([entry(reopened.last_index + 1, term=2)])
+            await reopened.flush()
+            assert reopen(fake_disk).last_index == reopened.last_index
 
 
 WRITER = """
@@ -206,7 +214,7 @@
 class TestKilled:
     """A real process on a real folder, killed while it writes."""
 
-    def test_what_was_acknowledged_is_there_after_a_kill(self, tmp_path):
+    def test_acknowledged_entries_survive_a_kill(self, tmp_path):
         """SIGKILL comes wherever the process happens to be.
 
         Every index that it printed had been synced, so the next start must
@@ -216,8 +224,8 @@
             command = [sys.executable, "-c", WRITER, str(tmp_path)]
             with subprocess.Popen(command, stdout=subprocess.PIPE) as writer:
                 for _ in range(acknowledged):
-                    told = int(writer.stdout.readline())
+                    last_printed = int(writer.stdout.readline())
                 writer.kill()
-            folder = disk.Disk(str(tmp_path))
-            assert reopen(folder).last_index >= told
-            folder.close()
+            files = disk.Disk(str(tmp_path))
+            assert reopen(files).last_index >= last_printed
+            files.close()
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -10,33 +10,37 @@
     return messages.LogEntry(index=index, term=1, body=body)
 
 
-def reached(by: dict[str, int]):
-    return lambda disk: by.get(disk, 0)
+def value_of(values: dict[str, int]):
+    return lambda disk: values.get(disk, 0)
 
 
 class TestQuorum:
     """What counts as a majority before and after a change is committed."""
 
-    def test_a_pending_change_needs_both_majorities(self):
+    def test_pending_change_needs_both_majorities(self):
         """The disk b is replaced by d; only its leader and d have the entry.
 
         The hosts that have not seen the change are b and c, a majority of
         the former voters: they could elect another leader.  So a and d alone
         must not commit anything yet.
         """
-        group = voters.Voters()
-        group.add_entries([entry(1, "a", "b", "c"), entry(5, "a", "c", "d")])
-        held = {"a": 9, "d": 9}
-        assert group.quorum_value(4, reached(held)) == 0
-        assert group.quorum_value(4, reached(held | {"c": 7})) == 7
-        assert group.quorum_value(5, reached(held)) == 9
-
-    def test_a_cut_change_is_forgotten(self):
-        group = voters.Voters()
-        group.add_entries([entry(1, "a", "b", "c"), entry(5, "a", "c", "d")])
-        group.truncate(5)
-        assert group.is_voter(ids.DiskId("b"))
-        assert not group.has_pending_change(1)
-
-    def test_nobody_known_is_no_quorum(self):
-        assert voters.Voters().quorum_value(0, reached({"a": 9})) < 0
+        voter_configs = voters.Voters()
+        voter_configs.add_entries(
+            [entry(1, "a", "b", "c"), entry(5, "a", "c", "d")]
+        )
+        indexes = {"a": 9, "d": 9}
+        assert voter_configs.quorum_value(4, value_of(indexes)) == 0
+        assert voter_configs.quorum_value(4, value_of(indexes | {"c": 7})) == 7
+        assert voter_configs.quorum_value(5, value_of(indexes)) == 9
+
+    def test_truncated_change_is_discarded(self):
+        voter_configs = voters.Voters()
+        voter_configs.add_entries(
+            [entry(1, "a", "b", "c"), entry(5, "a", "c", "d")]
+        )
+        voter_configs.truncate(5)
+        assert voter_configs.is_voter(ids.DiskId("b"))
+        assert not voter_configs.has_pending_change(1)
+
+    def test_no_known_voters_are_no_quorum(self):
+        assert voters.Voters().quorum_value(0, value_of({"a": 9})) < 0
