--- a/tests/groupfakes.py
+++ b/tests/groupfakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the control group: disk, network, machine."""
+"""Fakes of the disk, network and state machine of the control group."""
 
 import asyncio
 import copy
@@ -16,7 +16,7 @@
 
 
 class FakeDisk:
-    """Files in memory that forget in a crash what was not synced."""
+    """Files in memory that lose unsynced changes in a crash."""
 
     def __init__(self, rng: random.Random):
         self.rng = rng
@@ -81,7 +81,7 @@
         return work()
 
     def crash(self) -> None:
-        """Loses the names and any part of the bytes that were not synced."""
+        """Loses any part of the names and bytes that were not synced."""
         if self.rng.random() < 0.5:
             self.files = dict(self.durable_files)
         for file in self.files.values():
@@ -102,7 +102,7 @@
 
 
 class FakeStateMachine:
-    """Remembers the index and version of every sheet."""
+    """Records the log index and version of every sheet."""
 
     def __init__(self, committed: dict[int, messages.LogEntry]) -> None:
         self.committed = committed
@@ -131,7 +131,7 @@
 
 
 class FakeNetwork:
-    """Carries messages with delay, loss and cuts, each one way."""
+    """Delivers messages with delay, loss and one-way partitions."""
 
     def __init__(self, rng: random.Random):
         self.rng = rng
@@ -155,7 +155,7 @@
         return copy.deepcopy(body)
 
     async def send_request(self, sender, receiver, body, timeout):
-        # The receiver acts on a message even when its sender gave up.
+        # The receiver handles a message even if its sender has timed out.
         task = asyncio.create_task(self.round_trip(sender, receiver, body))
         self.deliveries.add(task)
         task.add_done_callback(self.discard_delivery)
@@ -180,7 +180,7 @@
 
 
 class FakeTransport:
-    """One host's end of the network."""
+    """Transport of one host on the fake network."""
 
     def __init__(self, network: FakeNetwork, address: options.Address):
         self.network = network
@@ -193,7 +193,7 @@
 
 
 class FakeHost:
-    """A control host that can crash, start again and lose its disk."""
+    """A control host that can crash, restart and lose its disk."""
 
     def __init__(self, cluster: "Cluster", address: options.Address):
         self.cluster = cluster
@@ -250,7 +250,7 @@
 
 
 class Cluster:
-    """Some control hosts on one fake network."""
+    """Control hosts on one fake network."""
 
     def __init__(
         self, seed=1, size=3, snapshot_entries=SNAPSHOT_ENTRIES, voters=0
@@ -283,7 +283,7 @@
             task.cancel()
 
     def isolate(self, host: FakeHost) -> None:
-        """Silently drops everything from and to a host."""
+        """Drops all messages from and to a host silently."""
         for other in self.addresses:
             self.network.cut_links |= {
                 (host.address, other),
@@ -297,7 +297,7 @@
         self.network.delay_seconds = 0.003
 
     async def leader(self, timeout_seconds: float = 30) -> FakeHost:
-        """Returns a host that a quorum has confirmed."""
+        """Returns a leader that a quorum has confirmed."""
         async with asyncio.timeout(timeout_seconds):
             while True:
                 for host in self.hosts:
@@ -312,7 +312,7 @@
     async def commit(
         self, version: str, timeout_seconds: float = 30
     ) -> FakeHost:
-        """Proposes a sheet until a leader has applied it."""
+        """Proposes a sheet until a leader has applied it; returns the leader."""
         async with asyncio.timeout(timeout_seconds):
             while True:
                 leader = await self.leader(timeout_seconds)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""The control group on a fake network, in virtual time."""
+"""Tests of the control group on a fake network, in virtual time."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class TestGroup:
-    """What callers rely on while nothing fails."""
+    """Proposals without failures."""
 
     async def test_proposals_are_applied_on_every_host(self):
         async with groupfakes.Cluster() as cluster:
@@ -51,14 +51,13 @@
 
 
 class TestStepDown:
-    """A leader that stops as planned."""
+    """A leader that steps down as planned."""
 
     async def test_new_leader_is_elected_before_the_election_timeout(self):
-        """The leader says farewell and stops.
+        """A planned step-down leaves the group without a leader.
 
-        The others elect one of themselves at once: before the shortest
-        election timeout has passed.  What the former leader had committed
-        is there, and a change is accepted.
+        The other hosts elect a leader before the shortest election timeout
+        has passed. It has every committed entry and accepts a change.
         """
         for seed in range(1, 11):
             async with groupfakes.Cluster(seed) as cluster:
@@ -80,10 +79,10 @@
 
 
 class TestLostDisk:
-    """Hosts whose disks come back empty."""
+    """Hosts whose disks are replaced by empty ones."""
 
     async def replace_disk(self, cluster, host) -> None:
-        """Gives a host an empty disk and waits until that one votes."""
+        """Gives a host an empty disk and waits until that is a voter."""
         await host.crash()
         host.lose_disk()
         host.start(join=True)
@@ -98,10 +97,10 @@
         )
 
     async def test_second_host_is_lost_after_a_disk_replacement(self):
-        """One disk is replaced, and at once another host dies for good.
+        """The group loses its quorum although a lost disk was replaced.
 
-        The repaired host must count in the place of its former self, or the
-        two that are left are no quorum; it holds all that was committed.
+        One disk is replaced, and then another host is lost. The new disk must
+        be a voter in place of the old one and hold every committed entry.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("before")
@@ -112,7 +111,7 @@
             assert [v for _, v in first.machine.sheets][0] == "before"
 
     async def test_host_with_replaced_disk_can_lead(self):
-        """After a repair the leader itself dies and comes back last."""
+        """The leader is lost after a disk of another host was replaced."""
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("before")
             first, second = cluster.others(leader)
@@ -129,10 +128,11 @@
 
     @pytest.mark.parametrize("join", (True, False))
     async def test_two_empty_disks_do_not_bootstrap_a_group(self, join):
-        """Two of three disks are lost together; the third host is down.
+        """Two hosts with empty disks lose the committed entries.
 
-        The two empty hosts are a majority of the addresses.  Were they to
-        found a group, what the first group had committed would be denied.
+        Two of three disks are lost together while the third host is down. The
+        two empty hosts are a majority of the addresses, but must not bootstrap
+        a new group.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("kept")
@@ -154,7 +154,7 @@
             assert last_indexes == {0}
 
     async def test_bootstrap_waits_for_every_host(self):
-        """At the very first start one host is late; nobody may lead yet."""
+        """A group without one of its hosts elects its first leader."""
         cluster = groupfakes.Cluster()
         late = cluster.hosts[0]
         async with cluster:
@@ -166,13 +166,14 @@
 
 
 class TestGrowth:
-    """More control hosts than the group was founded with."""
+    """Groups that grow after their bootstrap."""
 
     async def test_group_grows_from_three_to_five_voters(self):
-        """Two empty hosts are added to the settings; then two others die.
+        """The group loses its quorum although two hosts were added.
 
-        Each is named a voter once it has caught up, one at a time, so that
-        three of the five are a quorum.
+        Two empty hosts are added to the settings and become voters one at a
+        time, once they have caught up. Then two others are lost, and the
+        remaining three of five are a quorum.
         """
         async with groupfakes.Cluster() as cluster:
             await cluster.commit("1")
@@ -191,14 +192,14 @@
 
 
 class TestCutLinks:
-    """Leaders and followers behind cuts that drop silently."""
+    """Partitions and frozen hosts."""
 
     async def test_isolated_leader_does_not_confirm_leadership(self):
-        """Nothing reaches the leader any more, and no connection breaks.
+        """An isolated leader serves stale state or blocks its callers.
 
-        The others elect a new leader and commit.  The former one must not
-        confirm its old state as current, and its callers must be told within
-        an election timeout or two instead of waiting for ever.
+        All messages from and to the leader are dropped silently, and the
+        others elect a new leader. The old leader must not confirm its
+        leadership, and its callers fail within a few election timeouts.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
@@ -224,15 +225,16 @@
             assert [v for _, v in leader.machine.sheets] == ["1", "3"]
 
     async def test_resumed_leader_does_not_confirm_leadership(self):
-        """A leader is stopped, others elect and commit, then it goes on.
+        """A leader that was frozen serves stale state when it resumes.
 
-        Its clock check has not run: it still takes itself for the leader and
-        holds old state.  The round of its own that a confirmation needs is
-        what tells it; a change that it takes now must not take effect.
+        The others have elected a new leader meanwhile. The quorum check has
+        not run, so that the old leader still believes that it leads. Only the
+        round of requests for a confirmation tells it otherwise, and a change
+        that it accepts must not take effect.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
-            leader.group.elected_at = float("inf")  # No check of the quorum.
+            leader.group.elected_at = float("inf")  # Disables the quorum check.
             cluster.network.frozen_hosts.add(leader.address)
             await cluster.wait_until(
                 lambda: any(host.is_leading for host in cluster.others(leader))
@@ -258,10 +260,10 @@
             assert [v for _, v in leader.machine.sheets] == ["1", "2"]
 
     async def test_returning_follower_does_not_depose_the_leader(self):
-        """A follower times out again and again behind a cut, then returns.
+        """A returning follower deposes a leader that all others hear.
 
-        Without pre-vote its higher term would depose the leader that all
-        others hear, and changes would fail for an election.
+        The follower times out repeatedly while it is isolated. Without
+        pre-vote, its higher term would cause an election.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
@@ -274,10 +276,10 @@
             assert leader.group.term == term
 
     async def test_follower_without_link_to_the_leader_does_not_depose_it(self):
-        """A follower hears the third host, but no longer the leader.
+        """A follower and the leader depose each other in turn.
 
-        Its log is as good as any.  Were the third host to vote for it while
-        it hears the leader itself, the two would depose each other in turn.
+        The link between the two is cut, and the follower's log is up to date.
+        The third host hears the leader and must not vote for the follower.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
@@ -291,7 +293,7 @@
             await leader.group.propose(messages.SheetChange(version="2"))
 
     async def test_host_far_behind_receives_a_snapshot(self):
-        """The log was cut past what a host that was down still needs."""
+        """The leader's compacted log lacks the entries that a host needs."""
         async with groupfakes.Cluster() as cluster:
             late = await leave_behind(cluster)
             leader = await cluster.leader()
@@ -306,12 +308,12 @@
     """Snapshots that take longer than an election timeout."""
 
     async def test_quorum_survives_a_slow_snapshot_transfer(self, monkeypatch):
-        """One of three hosts is lost; another comes back far behind.
+        """The leader loses its quorum while its only follower is updated.
 
-        The leader's only follower needs a snapshot that arrives in hundreds
-        of parts and takes 3 s to sync. Each part is answered like a
-        heartbeat, and so is the leader while the follower syncs: the quorum
-        is never lost, and a change made meanwhile is committed.
+        One of three hosts is lost, and another returns far behind. It needs a
+        snapshot that arrives in hundreds of parts and takes 3 s to sync. It
+        replies to every part, and to the leader while it syncs, so that a
+        change made meanwhile is committed.
         """
         monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 16)
         slow_down(monkeypatch, "stage_received")
@@ -335,11 +337,11 @@
             )
 
     async def test_slow_snapshots_do_not_delay_proposals(self, monkeypatch):
-        """Every host cuts its log at the same entry, for 3 s.
+        """Every caller waits while all hosts take a slow snapshot.
 
-        Were it done under the lock, no host would answer or sync meanwhile,
-        and every caller would wait for as long each time that the log is
-        cut. Changes go on within a heartbeat, under the same leader.
+        All hosts compact their logs at the same entry, which takes 3 s. If
+        they held the lock, none would reply or sync meanwhile. Changes are
+        committed within an election timeout, under the same leader.
         """
         slow_down(monkeypatch, "stage")
         loop = asyncio.get_running_loop()
@@ -360,10 +362,10 @@
     async def test_snapshot_corrupted_in_transfer_is_sent_again(
         self, monkeypatch
     ):
-        """A part arrives damaged.
+        """A host installs a snapshot that was corrupted in transfer.
 
-        The host finds a wrong checksum when it has every part, installs
-        nothing and asks for the first part again.
+        The host must detect the checksum mismatch once it has all parts,
+        install nothing and request the first part again.
         """
         monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 64)
         make_snapshot_put = snapshottransfer.make_snapshot_put
@@ -390,7 +392,7 @@
 
 
 async def leave_behind(cluster) -> groupfakes.FakeHost:
-    """Returns a host that is down and needs more than the log holds."""
+    """Returns a stopped host that needs entries compacted from the log."""
     leader = await cluster.commit("0")
     late = cluster.others(leader)[0]
     await late.crash()
@@ -400,7 +402,7 @@
 
 
 def slow_down(monkeypatch, method_name) -> None:
-    """Makes a step of the storage take longer than an election timeout."""
+    """Makes a storage method take longer than an election timeout."""
     method = getattr(storage.Storage, method_name)
 
     async def slow(self, argument):
@@ -411,14 +413,15 @@
 
 
 class TestDisk:
-    """Disks that fill up and processes that start again."""
+    """Full disks and restarts."""
 
     @pytest.mark.parametrize("leads", (True, False))
     async def test_host_with_full_disk_acknowledges_nothing(self, leads):
-        """The disk of the leader, or of a follower, fills up.
+        """A host with a full disk acknowledges entries that are not durable.
 
-        The host stops, says why and acknowledges nothing; the other two go
-        on.  With space again it starts and catches up.
+        The disk of the leader or of a follower fills up. The host stops with
+        an error and the other two continue. With space again it restarts and
+        catches up.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
@@ -438,7 +441,7 @@
             )
 
     async def test_single_leader_with_full_disk_fails_the_proposal(self):
-        """No quorum can make up for it: the caller must not hear success."""
+        """A proposal succeeds that no disk holds durably."""
         async with groupfakes.Cluster(size=1) as cluster:
             leader = await cluster.commit("1")
             leader.disk.full = True
@@ -450,7 +453,7 @@
             assert leader.machine.sheets[0][1] == "1"
 
     async def test_all_hosts_restart_after_a_thousand_changes(self):
-        """Power goes everywhere with a long log: every change comes back."""
+        """Changes in a long log are lost when all hosts lose power."""
         async with groupfakes.Cluster(snapshot_entries=5000) as cluster:
             leader = await cluster.leader()
             for number in range(0, 1000, 20):
@@ -475,10 +478,10 @@
 
 
 class TestJoin:
-    """Hosts that nobody was told of at the start."""
+    """Hosts that join without being in the settings of the others."""
 
     async def make_joining(self, cluster):
-        """Starts an empty host that makes itself known, as `joining` does."""
+        """Starts an empty host that joins as in the module `joining`."""
         cluster.add_hosts(1)
         new = cluster.hosts[-1]
         new.start(join=True)
@@ -488,10 +491,11 @@
         return new
 
     async def test_joining_host_replaces_an_unreachable_voter(self):
-        """A third loss stops the group, though a host was replaced in time.
+        """The group loses its quorum although a lost host was replaced.
 
-        One of three is lost for good and an empty one comes at another
-        address; it has to count before the next of the former three is lost.
+        One of three hosts is lost, and an empty one joins at another address.
+        It must become a voter, so that the loss of another of the three
+        leaves a quorum.
         """
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
@@ -506,7 +510,7 @@
             await cluster.commit("2")
 
     async def test_joining_host_replaces_no_reachable_voter(self):
-        """A voter that is well loses its vote to one that was only added."""
+        """A reachable voter is replaced by a host that joins."""
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
             new = await self.make_joining(cluster)
@@ -517,8 +521,8 @@
     async def test_returning_replaced_voter_elects_no_leader(self):
         """Two leaders accept changes, one of them elected by a former voter.
 
-        A voter behind a cut is replaced; when the cut heals it still holds
-        the former list and has campaigned in vain.
+        An isolated voter is replaced. When it returns, it still has the old
+        configuration and has campaigned without success.
         """
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
--- a/tests/test_consensus_random.py
+++ b/tests/test_consensus_random.py
@@ -1,4 +1,4 @@
-"""Random faults on the control group's real tasks, in virtual time."""
+"""Tests of the control group under random faults, in virtual time."""
 
 import asyncio
 import collections
@@ -13,7 +13,8 @@
 from mangobay.generated import messages
 
 BOOTSTRAP_STEPS = 10
-"""A group is founded only while all hosts are up: it may come to nothing."""
+"""Faults injected while the group is bootstrapped, which needs all hosts up and
+may not succeed."""
 STEPS = 120
 CI_SEEDS = range(4)
 SOAK_SEEDS = range(1000, 1000 + int(os.environ.get("MANGOBAY_SEEDS", "100")))
@@ -21,19 +22,19 @@
 
 @pytest.fixture(autouse=True)
 def small_parts(monkeypatch):
-    """Makes every snapshot arrive in several parts."""
+    """Splits every snapshot into several parts."""
     monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 64)
 
 
 class RandomFaultRun:
-    """One random run: faults, callers, and what must hold throughout.
+    """A run with random faults, concurrent callers and invariant checks.
 
     Attributes:
-      acknowledged: versions whose proposal returned.
-      newest_told_index: newest index that a caller was told of.
-      leaders: the disk that led each term.
-      fault_counts: how many of each kind were injected.
-      check_counts: how many checks were made.
+      acknowledged: versions of the proposals that returned successfully.
+      newest_told_index: newest log index that was returned to a caller.
+      leaders: the leader's disk, by term.
+      fault_counts: number of injected faults, by kind.
+      check_counts: number of checks, by kind.
     """
 
     def __init__(self, seed: int):
@@ -112,7 +113,7 @@
         self.cluster.network.delay_seconds = self.rng.choice((0.003, 0.05, 0.4))
 
     async def lose_disk(self, host) -> None:
-        """Only once the former loss is repaired: the group needs a quorum."""
+        """Loses a disk if all disks are voters, so that a quorum remains."""
         if any(
             self.leads_full_group(other) for other in self.cluster.others(host)
         ):
@@ -122,7 +123,7 @@
             self.fault_counts["disk lost"] += 1
 
     def leads_full_group(self, host) -> bool:
-        """Whether a host leads a group that every disk is a voter of."""
+        """Returns whether a host leads a group in which all disks are voters."""
         group = host.group
         disks = {h.group.identity for h in self.cluster.hosts}
         voters = {p.identity for p in group.voters.newest()}
@@ -189,14 +190,14 @@
             await self.restart_dead(0.4)
 
     async def recover_and_check(self) -> None:
-        """Everything works again: nothing a caller was told may be missing."""
+        """Ends all faults; checks that no acknowledged change is lost."""
         self.cluster.heal()
         for host in self.cluster.hosts:
             host.disk.steps_to_power_loss = -1
             host.disk.sync_seconds = 0.0
         await self.restart_dead(1)
         self.recovery_count += 1
-        version = f"settled {self.recovery_count}"
+        version = f"recovered {self.recovery_count}"
         leader = await self.cluster.commit(version, 120)
         await self.cluster.wait_until(
             lambda: all(
@@ -222,14 +223,14 @@
         }
         return (
             f"faults {dict(self.fault_counts)}, checks {dict(self.check_counts)},"
-            f" inside {invariant_checks}, proposed {self.proposal_count},"
+            f" invariant checks {invariant_checks}, proposed {self.proposal_count},"
             f" acknowledged {len(self.acknowledged)}"
         )
 
 
 @pytest.mark.looptime(noop_cycles=1)
 class TestRandomFaults:
-    """Crashes, cuts, freezes, losses of power and disks in any order."""
+    """Crashes, partitions, freezes and losses of power and disks."""
 
     @pytest.mark.parametrize("seed", CI_SEEDS)
     async def test_nothing_committed_is_lost(self, seed, capsys):
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""What a control host's disk gives back after a failure."""
+"""Tests of the storage of a control host after failures."""
 
 import random
 import subprocess
@@ -17,7 +17,7 @@
 
 
 async def make_synced_log(files, count: int) -> storage.Storage:
-    """Returns a storage that synced the entries one by one."""
+    """Returns a storage with entries that were synced one by one."""
     log = storage.Storage(files)
     log.open()
     await log.save_hard_state(1, ids.DiskId(""), 0)
@@ -28,7 +28,7 @@
 
 
 async def save_snapshot(log, snapshot, trailing: int) -> None:
-    """Stages and adopts a snapshot, as a host does that cuts its log."""
+    """Stages and installs a snapshot, as a host does to compact its log."""
     data = await log.stage(snapshot)
     await log.install_staged(storage.STAGED_FILE, snapshot, data, trailing)
 
@@ -45,7 +45,7 @@
 
 
 class TestRealDirectory:
-    """The same on a real folder."""
+    """Storage in a real directory."""
 
     async def test_log_state_and_snapshot_are_restored(self, tmp_path):
         files = disk.Disk(str(tmp_path))
@@ -63,7 +63,7 @@
         assert reopened.last_index == 21
 
     def test_second_process_is_refused(self, tmp_path):
-        """Two processes on one folder would vote twice as one voter."""
+        """Two processes in one directory vote twice with one identity."""
         first = disk.Disk(str(tmp_path))
         first.open()
         with pytest.raises(errors.StorageError, match="another process"):
@@ -73,13 +73,13 @@
 
 
 class TestLog:
-    """Torn, damaged and replaced parts of the log."""
+    """Torn, corrupt and replaced parts of the log."""
 
     async def test_torn_tail_is_truncated(self, files):
-        """Power goes while the last record is written.
+        """Power is lost while the last frame is written.
 
-        Only a part of it is on the disk and nobody was told of it: the log
-        ends before it, and what is added next is found again.
+        A part of the frame is on the disk, and no caller was told of its
+        entry. The log ends before it and accepts new entries.
         """
         await make_synced_log(files, 3)
         complete_bytes = len(files.files["log"])
@@ -95,10 +95,10 @@
     async def test_corruption_before_other_frames_is_refused(
         self, files, share
     ):
-        """A bit rots in a record that others follow.
+        """A bit flips in a frame that is followed by others.
 
-        Cutting there would lose acknowledged entries, so the host does not
-        start, names file and byte, and leaves the file as it is.
+        Truncating the log there would lose acknowledged entries. The host
+        does not start, names the file and the byte, and keeps the file.
         """
         await make_synced_log(files, 10)
         last = files.files["log"].rfind(b"mgbL")
@@ -109,7 +109,7 @@
         assert bytes(files.files["log"]) == before
 
     async def test_corrupt_last_frame_is_refused_if_committed(self, files):
-        """The last record rots; cut as torn, a committed entry would go."""
+        """Truncating a corrupt last frame loses a committed entry."""
         log = await make_synced_log(files, 5)
         await log.save_hard_state(1, ids.DiskId(""), 5)
         files.files["log"][-1] ^= 1
@@ -133,10 +133,10 @@
     async def test_entries_replaced_by_a_snapshot_do_not_count_as_synced(
         self, files
     ):
-        """A follower's uncommitted tail goes with an installed snapshot.
+        """A snapshot replaces the uncommitted last entries of a follower.
 
-        Were it still counted as synced, the entries that come in its place
-        would be acknowledged without being written, and lost in a crash.
+        If they still counted as synced, new entries at their indexes would
+        be acknowledged without being written, and lost in a crash.
         """
         log = await make_synced_log(files, 9)
         await save_snapshot(
@@ -151,7 +151,7 @@
     async def test_power_loss_while_compacting_keeps_synced_entries(
         self, files
     ):
-        """Power goes at each step of cutting the log in turn."""
+        """Power is lost at each step of a log compaction in turn."""
         for step in range(1, 9):
             fake_disk = groupfakes.FakeDisk(random.Random(step))
             log = await make_synced_log(fake_disk, 9)
@@ -168,10 +168,10 @@
     async def test_power_loss_while_installing_a_snapshot_leaves_no_gap(
         self, files
     ):
-        """Power goes at each step of replacing a log that is far behind.
+        """Power is lost at each step of replacing an outdated log.
 
-        The host starts with the old log or with the snapshot, and what it
-        adds then is found again; entries behind a stale log would be a gap.
+        The host restarts with the old log or with the snapshot. Entries that
+        it appends after that must not leave a gap in the log.
         """
         for step in range(1, 9):
             fake_disk = groupfakes.FakeDisk(random.Random(step))
@@ -212,13 +212,13 @@
 
 
 class TestKilled:
-    """A real process on a real folder, killed while it writes."""
+    """A real process that is killed while it writes."""
 
     def test_acknowledged_entries_survive_a_kill(self, tmp_path):
-        """SIGKILL comes wherever the process happens to be.
+        """A process receives SIGKILL at an arbitrary point.
 
-        Every index that it printed had been synced, so the next start must
-        find it, whether the last write or snapshot was finished or not.
+        Every index that it printed was synced before. The next start must
+        find it, whether or not the last write or snapshot was complete.
         """
         for acknowledged in (20, 75, 130):
             command = [sys.executable, "-c", WRITER, str(tmp_path)]
--- a/tests/test_voters.py
+++ b/tests/test_voters.py
@@ -1,4 +1,4 @@
-"""Quorums while the voters change."""
+"""Tests of quorums while the voters change."""
 
 from mangobay import ids, voters
 from mangobay.generated import messages
@@ -15,14 +15,14 @@
 
 
 class TestQuorum:
-    """What counts as a majority before and after a change is committed."""
+    """Quorums before and after a change is committed."""
 
     def test_pending_change_needs_both_majorities(self):
-        """The disk b is replaced by d; only its leader and d have the entry.
+        """Two leaders commit entries while a voter is replaced.
 
-        The hosts that have not seen the change are b and c, a majority of
-        the former voters: they could elect another leader.  So a and d alone
-        must not commit anything yet.
+        The disk b is replaced by d, and only the leader a and d have the
+        change. b and c are a majority of the old voters and could elect
+        another leader, so a and d alone must not commit yet.
         """
         voter_configs = voters.Voters()
         voter_configs.add_entries(
