--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -480,7 +480,7 @@
 class TestJoin:
     """Hosts that join without being in the settings of the others."""
 
-    async def make_joining(self, cluster):
+    async def start_joining_host(self, cluster):
         """Starts an empty host that joins as in the module `joining`."""
         cluster.add_hosts(1)
         new = cluster.hosts[-1]
@@ -502,7 +502,7 @@
             leader = await cluster.leader()
             lost, other = cluster.others(leader)
             await lost.crash()
-            new = await self.make_joining(cluster)
+            new = await self.start_joining_host(cluster)
             await cluster.wait_until(lambda: new.group.is_voter)
             assert len(new.group.voters.newest()) == 3
             assert str(lost.address) not in leader.group.voter_addresses()
@@ -513,7 +513,7 @@
         """A reachable voter is replaced by a host that joins."""
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
-            new = await self.make_joining(cluster)
+            new = await self.start_joining_host(cluster)
             await asyncio.sleep(10)
             assert not new.group.is_voter
             assert len(new.group.voters.newest()) == 3
@@ -529,7 +529,7 @@
             leader = await cluster.leader()
             isolated = cluster.others(leader)[0]
             cluster.isolate(isolated)
-            new = await self.make_joining(cluster)
+            new = await self.start_joining_host(cluster)
             await cluster.wait_until(lambda: new.group.is_voter)
             cluster.heal()
             await asyncio.sleep(5)
--- a/tests/test_consensus_random.py
+++ b/tests/test_consensus_random.py
@@ -31,7 +31,7 @@
 
     Attributes:
       acknowledged: versions of the proposals that returned successfully.
-      newest_told_index: newest log index that was returned to a caller.
+      newest_acknowledged_index: newest log index that was returned to a caller.
       leaders: the leader's disk, by term.
       fault_counts: number of injected faults, by kind.
       check_counts: number of checks, by kind.
@@ -41,7 +41,7 @@
         self.rng = random.Random(seed)
         self.cluster = groupfakes.Cluster(seed)
         self.acknowledged: set[str] = set()
-        self.newest_told_index = 0
+        self.newest_acknowledged_index = 0
         self.leaders: dict[int, str] = {}
         self.fault_counts: collections.Counter[str] = collections.Counter()
         self.check_counts: collections.Counter[str] = collections.Counter()
@@ -64,11 +64,13 @@
         except (errors.NotLeaderError, errors.LeadershipLostError):
             return
         self.acknowledged.add(version)
-        self.newest_told_index = max(self.newest_told_index, entry.index)
+        self.newest_acknowledged_index = max(
+            self.newest_acknowledged_index, entry.index
+        )
 
     async def read(self, host) -> None:
         newest_index, group, machine = (
-            self.newest_told_index,
+            self.newest_acknowledged_index,
             host.group,
             host.machine,
         )
@@ -135,7 +137,7 @@
             and not pending
         )
 
-    async def step(self) -> None:
+    async def inject_random_fault(self) -> None:
         host = self.rng.choice(self.cluster.hosts)
         fault = self.rng.choice(
             (
@@ -160,7 +162,7 @@
                 self.fault_counts[fault.__name__] += 1
             await fault(host)
 
-    async def restart_dead(self, share: float) -> None:
+    async def restart_stopped_hosts(self, share: float) -> None:
         for host in self.cluster.hosts:
             failed = host.task is not None and host.task.done()
             if failed:
@@ -180,14 +182,14 @@
     async def inject_faults(self, steps: int) -> None:
         """Injects faults while callers propose and read at every host."""
         for _ in range(steps):
-            await self.step()
+            await self.inject_random_fault()
             for _ in range(self.rng.randint(1, 6)):
                 await asyncio.sleep(self.rng.random() * 0.6)
                 for host in self.cluster.hosts:
                     self.start_caller(self.propose(host))
                     self.start_caller(self.read(host))
                 self.check_leaders()
-            await self.restart_dead(0.4)
+            await self.restart_stopped_hosts(0.4)
 
     async def recover_and_check(self) -> None:
         """Ends all faults; checks that no acknowledged change is lost."""
@@ -195,7 +197,7 @@
         for host in self.cluster.hosts:
             host.disk.steps_to_power_loss = -1
             host.disk.sync_seconds = 0.0
-        await self.restart_dead(1)
+        await self.restart_stopped_hosts(1)
         self.recovery_count += 1
         version = f"recovered {self.recovery_count}"
         leader = await self.cluster.commit(version, 120)
