--- a/mangobay/storage.py
+++ b/mangobay/storage.py
@@ -34,17 +34,17 @@
 
     Only one task at a time may await the coroutines, apart from `stage` and
     `stage_received`; `append` may be called at any time. After a failed write
-    or sync the contents of the disk are unknown, so every later write is
-    refused until the storage is opened again.
+    or sync the contents of the disk are unknown, so this instance refuses
+    every later write.
 
     Attributes:
       hard_state: term, vote, identity and commit index, as last synced.
       snapshot: the newest snapshot.
       snapshot_data: the newest snapshot, encoded.
-      records: the entries in memory, without a gap, from `first` on.
+      records: the entries in memory, without a gap, from `first_index` on.
       first_index: index of the first entry in `records`.
       synced_index: index of the newest durable entry.
-      failure: why the storage refuses to write, empty while it does not.
+      failure: reason for refusing writes, empty while writes are accepted.
       disk_full: whether that is because the disk is full.
     """
 
@@ -116,7 +116,8 @@
             self.disk.truncate(LOG_FILE, scan.whole_bytes)
         if data:
             # A killed process can leave bytes that it did not sync. Their
-            # entries count as durable from now on.
+            # entries count as durable from now on, so they must survive a
+            # power loss.
             self.disk.sync(LOG_FILE)
         self.first_index = scan.frames[0].first_index if scan.frames else 1
         self.records = [
--- a/tests/test_consensus_random.py
+++ b/tests/test_consensus_random.py
@@ -78,7 +78,9 @@
             await group.confirm_leadership()
         except errors.NotLeaderError:
             return
-        self.check_counts["a confirmed host holds what callers were told"] += 1
+        self.check_counts[
+            "a confirmed leader has every acknowledged entry"
+        ] += 1
         assert machine.applied_index >= newest_index
 
     def check_leaders(self) -> None:
@@ -252,5 +254,5 @@
                 print(f"\nseed {seed}: {fault_run.report()}")
         assert sum(fault_run.fault_counts.values()) > STEPS // 3
         assert fault_run.check_counts[
-            "a confirmed host holds what callers were told"
+            "a confirmed leader has every acknowledged entry"
         ]
