--- a/mangobay/replication.py
+++ b/mangobay/replication.py
@@ -1,4 +1,4 @@
-"""How the log of the control group's leader gets to the other hosts."""
+"""Log replication from the leader to the other control hosts."""
 
 import asyncio
 import typing
@@ -17,14 +17,14 @@
     from mangobay import consensus
 
 MAX_BATCH_BYTES = 1 << 20
-"""Entries in one request, but at least one."""
+"""Size limit of the entries in one request, which has at least one entry."""
 FollowerReply = messages.AppendReply | messages.SnapshotReply
 
 
 async def replicate(
     group: "consensus.Group", follower: progress.Follower
 ) -> None:
-    """Keeps one follower up to date for as long as this host leads."""
+    """Replicates the log to one follower while this host leads."""
     while True:
         await group.leading.wait()
         follower.wake.clear()
@@ -37,7 +37,7 @@
 def has_more_to_send(
     group: "consensus.Group", follower: progress.Follower
 ) -> bool:
-    """Returns whether the follower can take more at once."""
+    """Returns whether there is more to send without waiting."""
     if follower.outgoing_snapshot is not None:
         return not follower.outgoing_snapshot.is_fully_sent
     return follower.next_index <= group.log.last_index
@@ -46,10 +46,11 @@
 async def wait_for_work(
     group: "consensus.Group", follower: progress.Follower, answered: bool
 ) -> None:
-    """Waits until there is something to send, or for the next heartbeat."""
+    """Waits for something to send or for the next heartbeat."""
     interval = group.settings.heartbeat_interval
     if not answered:
-        # A host that refuses connections would otherwise be asked in a loop.
+        # Without the delay, a host that refuses connections would be sent
+        # requests in a busy loop.
         await asyncio.sleep(interval)
         return
     try:
@@ -62,11 +63,11 @@
 async def send_next(
     group: "consensus.Group", follower: progress.Follower
 ) -> bool:
-    """Sends what comes next; returns whether the follower answered."""
+    """Sends the next request; returns whether a valid reply came."""
     term = group.term
     sent_round = group.waiters.newest_round
     sent_at = group.now()
-    patience = group.settings.election_timeout / 2
+    timeout = group.settings.election_timeout / 2
     if (
         follower.outgoing_snapshot
         or group.log.term_at(follower.next_index - 1) is None
@@ -76,7 +77,7 @@
         )
     else:
         body = make_append_request(group, follower)
-    reply = await group.send_request(follower.address, body, patience)
+    reply = await group.send_request(follower.address, body, timeout)
     if not isinstance(reply, FollowerReply):
         return False
     if reply.term > group.term:
@@ -101,9 +102,9 @@
     sent: messages.AppendRequest | messages.SnapshotPut,
     reply: FollowerReply,
 ) -> None:
-    """Takes in what a follower of the same term said it holds."""
+    """Updates a follower's progress from its reply in the current term."""
     if follower.identity != reply.identity:
-        # Its disk was replaced: what the former one acknowledged is gone.
+        # The disk was replaced, and the entries on the old one are lost.
         follower.identity = reply.identity
         follower.reset(group.log.last_index + 1)
     follower.host = reply.host
@@ -121,13 +122,13 @@
 def make_append_request(
     group: "consensus.Group", follower: progress.Follower
 ) -> messages.AppendRequest:
-    """Returns the next entries; none makes it a heartbeat."""
-    previous = follower.next_index - 1
+    """Returns a request with the next entries, a heartbeat if none."""
+    previous_index = follower.next_index - 1
     return messages.AppendRequest(
         term=ids.Term(group.term),
         leader=group.host,
-        prev_index=ids.LogIndex(previous),
-        prev_term=ids.Term(group.log.term_at(previous) or 0),
+        prev_index=ids.LogIndex(previous_index),
+        prev_term=ids.Term(group.log.term_at(previous_index) or 0),
         entries=group.log.batch(follower.next_index, MAX_BATCH_BYTES),
         commit=ids.LogIndex(group.commit_index),
         identity=group.identity,
@@ -138,10 +139,10 @@
 async def handle_append_request(
     group: "consensus.Group", body: messages.AppendRequest
 ) -> messages.AppendReply:
-    """Adds a leader's entries, durably; the group's lock is held.
+    """Appends a leader's entries durably; the caller holds the lock.
 
     Raises:
-      errors.StorageError: the disk failed: nothing is acknowledged.
+      errors.StorageError: the disk failed; nothing is acknowledged.
     """
     if not await election.accept_leader(group, body):
         return make_append_reply(group, False, group.log.last_index)
@@ -149,21 +150,21 @@
         return make_append_reply(
             group, False, find_conflict_hint(group, body.prev_index)
         )
-    last = body.prev_index + len(body.entries)
+    last_index = body.prev_index + len(body.entries)
     await append_entries(group, body.entries)
-    group.commit_and_apply(min(body.commit, last))
+    group.commit_and_apply(min(body.commit, last_index))
     await membership.persist_voter_commit(group)
-    return make_append_reply(group, True, last)
+    return make_append_reply(group, True, last_index)
 
 
 def make_append_reply(
-    group: "consensus.Group", matched: bool, last: int
+    group: "consensus.Group", matched: bool, last_index: int
 ) -> messages.AppendReply:
-    """Returns this host's answer to a leader."""
+    """Returns this host's reply to a leader."""
     return messages.AppendReply(
         term=ids.Term(group.term),
         matched=matched,
-        last_index=ids.LogIndex(last),
+        last_index=ids.LogIndex(last_index),
         identity=group.identity,
         host=group.host,
     )
@@ -172,14 +173,14 @@
 def has_previous_entry(
     group: "consensus.Group", body: messages.AppendRequest
 ) -> bool:
-    """Whether the log holds the entry right before a leader's entries."""
+    """Returns whether the log matches the entry before a leader's entries."""
     if body.prev_index <= group.commit_index:
         return True
     return group.log.term_at(body.prev_index) == body.prev_term
 
 
 def find_conflict_hint(group: "consensus.Group", index: int) -> int:
-    """Returns the newest index that may agree: before the term that differs."""
+    """Returns the newest index that may match, before the conflicting term."""
     if index > group.log.last_index:
         return group.log.last_index
     term = group.log.term_at(index)
@@ -191,9 +192,13 @@
 async def append_entries(
     group: "consensus.Group", entries: list[messages.LogEntry]
 ) -> None:
-    """Adds the entries that the log does not hold yet; cuts what differs."""
+    """Appends the missing entries; truncates conflicting ones first."""
     log = group.log
-    new = [e for e in entries if e.index > group.log.snapshot.last_index]
+    new = [
+        entry
+        for entry in entries
+        if entry.index > group.log.snapshot.last_index
+    ]
     while new and log.term_at(new[0].index) == new[0].term:
         new.pop(0)
     if new and new[0].index <= log.last_index:
@@ -205,11 +210,12 @@
 
 
 async def truncate_log(group: "consensus.Group", index: int) -> None:
-    """Forgets entries that another leader's replace."""
+    """Removes entries that conflict with those of a newer leader."""
     invariants.check(
         invariants.Invariant.COMMITTED_NEVER_LOST,
         index > group.commit_index,
-        f"entry {index} would be cut, {group.commit_index} is committed",
+        f"entry {index} would be truncated, but the log is committed up to"
+        f" {group.commit_index}",
     )
     group.voters.truncate(index)
     await group.log.truncate(index)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""The control group on a fake network, in virtual time."""
+"""Tests of the control group on a fake network, in virtual time."""
 
 import asyncio
 
@@ -12,9 +12,9 @@
 
 
 class TestGroup:
-    """What callers rely on while nothing fails."""
+    """Proposals without failures."""
 
-    async def test_what_is_proposed_reaches_every_machine(self):
+    async def test_proposals_are_applied_on_every_host(self):
         async with groupfakes.Cluster() as cluster:
             for number in range(100):
                 await cluster.commit(str(number))
@@ -26,45 +26,44 @@
             versions = [version for _, version in machines[0]]
             assert versions == [str(number) for number in range(100)]
 
-    async def test_another_host_names_the_leader(self):
+    async def test_follower_names_the_leader(self):
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
             follower = cluster.others(leader)[0]
             await cluster.wait_until(lambda: follower.group.leader)
-            with pytest.raises(errors.NotLeaderError) as told:
+            with pytest.raises(errors.NotLeaderError) as raised:
                 await follower.group.propose(messages.Noop())
-            assert told.value.leader == leader.name
-            assert told.value.address == str(leader.address)
+            assert raised.value.leader == leader.name
+            assert raised.value.address == str(leader.address)
 
-    async def test_proposals_that_come_together_share_a_sync(self):
+    async def test_concurrent_proposals_share_a_sync(self):
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.leader()
             leader.disk.sync_seconds = 0.02
-            before = leader.disk.sync_count
+            syncs_before = leader.disk.sync_count
             await asyncio.gather(
                 *(
                     leader.group.propose(messages.SheetChange(version=str(n)))
                     for n in range(30)
                 )
             )
-            assert leader.disk.sync_count - before < 10
+            assert leader.disk.sync_count - syncs_before < 10
 
 
 class TestStepDown:
-    """A leader that stops as planned."""
+    """A leader that steps down as planned."""
 
-    async def test_another_leads_before_the_others_miss_it(self):
-        """The leader says farewell and stops.
+    async def test_new_leader_is_elected_before_the_election_timeout(self):
+        """A planned step-down leaves the group without a leader.
 
-        The others elect one of themselves at once: before the shortest
-        election timeout has passed.  What the former leader had committed
-        is there, and a change is accepted.
+        The other hosts elect a leader before the shortest election timeout
+        has passed. It has every committed entry and accepts a change.
         """
         for seed in range(1, 11):
             async with groupfakes.Cluster(seed) as cluster:
                 former = await cluster.commit("before")
                 timeout = former.group.settings.election_timeout
-                began = former.group.now()
+                started_at = former.group.now()
                 await stepdown.step_down_and_notify(former.group)
                 assert not former.is_leading
                 await cluster.wait_until(
@@ -72,7 +71,7 @@
                         host.is_leading for host in c.others(f)
                     )
                 )
-                assert cluster.hosts[0].group.now() - began < timeout
+                assert cluster.hosts[0].group.now() - started_at < timeout
                 await former.crash()
                 leader = await cluster.commit("after")
                 versions = [version for _, version in leader.machine.sheets]
@@ -80,10 +79,10 @@
 
 
 class TestLostDisk:
-    """Hosts whose disks come back empty."""
+    """Hosts whose disks are replaced by empty ones."""
 
     async def replace_disk(self, cluster, host) -> None:
-        """Gives a host an empty disk and waits until that one votes."""
+        """Gives a host an empty disk and waits until that is a voter."""
         await host.crash()
         host.lose_disk()
         host.start(join=True)
@@ -97,11 +96,11 @@
             )
         )
 
-    async def test_a_second_host_lost_right_after_a_repair(self):
-        """One disk is replaced, and at once another host dies for good.
+    async def test_second_host_is_lost_after_a_disk_replacement(self):
+        """The group loses its quorum although a lost disk was replaced.
 
-        The repaired host must count in the place of its former self, or the
-        two that are left are no quorum; it holds all that was committed.
+        One disk is replaced, and then another host is lost. The new disk must
+        be a voter in place of the old one and hold every committed entry.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("before")
@@ -111,8 +110,8 @@
             await cluster.commit("after")
             assert [v for _, v in first.machine.sheets][0] == "before"
 
-    async def test_the_repaired_host_can_lead(self):
-        """After a repair the leader itself dies and comes back last."""
+    async def test_host_with_replaced_disk_can_lead(self):
+        """The leader is lost after a disk of another host was replaced."""
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("before")
             first, second = cluster.others(leader)
@@ -128,11 +127,12 @@
                 assert versions == ["before", "between", "after"]
 
     @pytest.mark.parametrize("join", (True, False))
-    async def test_two_empty_disks_elect_nobody(self, join):
-        """Two of three disks are lost together; the third host is down.
+    async def test_two_empty_disks_do_not_bootstrap_a_group(self, join):
+        """Two hosts with empty disks lose the committed entries.
 
-        The two empty hosts are a majority of the addresses.  Were they to
-        found a group, what the first group had committed would be denied.
+        Two of three disks are lost together while the third host is down. The
+        two empty hosts are a majority of the addresses, but must not bootstrap
+        a new group.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("kept")
@@ -148,11 +148,13 @@
             assert not any(host.is_leading for host in cluster.hosts)
             bodies = [r.entry.body for r in leader.group.log.records]
             assert messages.SheetChange(version="kept") in bodies
-            held = {h.group.log.last_index for h in cluster.others(leader)}
-            assert held == {0}
+            last_indexes = {
+                h.group.log.last_index for h in cluster.others(leader)
+            }
+            assert last_indexes == {0}
 
-    async def test_a_new_group_waits_for_every_host(self):
-        """At the very first start one host is late; nobody may lead yet."""
+    async def test_bootstrap_waits_for_every_host(self):
+        """A group without one of its hosts elects its first leader."""
         cluster = groupfakes.Cluster()
         late = cluster.hosts[0]
         async with cluster:
@@ -164,13 +166,14 @@
 
 
 class TestGrowth:
-    """More control hosts than the group was founded with."""
+    """Groups that grow after their bootstrap."""
 
-    async def test_a_group_grows_from_three_to_five(self):
-        """Two empty hosts are added to the settings; then two others die.
+    async def test_group_grows_from_three_to_five_voters(self):
+        """The group loses its quorum although two hosts were added.
 
-        Each is named a voter once it has caught up, one at a time, so that
-        three of the five are a quorum.
+        Two empty hosts are added to the settings and become voters one at a
+        time, once they have caught up. Then two others are lost, and the
+        remaining three of five are a quorum.
         """
         async with groupfakes.Cluster() as cluster:
             await cluster.commit("1")
@@ -189,75 +192,78 @@
 
 
 class TestCutLinks:
-    """Leaders and followers behind cuts that drop silently."""
+    """Partitions and frozen hosts."""
 
-    async def test_a_leader_behind_a_silent_cut_confirms_nothing(self):
-        """Nothing reaches the leader any more, and no connection breaks.
+    async def test_isolated_leader_does_not_confirm_leadership(self):
+        """An isolated leader serves stale state or blocks its callers.
 
-        The others elect a new leader and commit.  The former one must not
-        confirm its old state as current, and its callers must be told within
-        an election timeout or two instead of waiting for ever.
+        All messages from and to the leader are dropped silently, and the
+        others elect a new leader. The old leader must not confirm its
+        leadership, and its callers fail within a few election timeouts.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
             cluster.isolate(leader)
-            began = asyncio.get_running_loop().time()
-            told = await asyncio.gather(
+            started_at = asyncio.get_running_loop().time()
+            results = await asyncio.gather(
                 leader.group.confirm_leadership(),
                 leader.group.propose(messages.SheetChange(version="2")),
                 return_exceptions=True,
             )
-            waited = asyncio.get_running_loop().time() - began
-            assert isinstance(told[0], errors.NotLeaderError)
-            assert isinstance(told[1], errors.LeadershipLostError)
-            assert waited < 3 * groupfakes.ELECTION_TIMEOUT
-            later = await cluster.commit("3")
-            assert later is not leader
+            wait_seconds = asyncio.get_running_loop().time() - started_at
+            assert isinstance(results[0], errors.NotLeaderError)
+            assert isinstance(results[1], errors.LeadershipLostError)
+            assert wait_seconds < 3 * groupfakes.ELECTION_TIMEOUT
+            new_leader = await cluster.commit("3")
+            assert new_leader is not leader
             with pytest.raises(errors.NotLeaderError):
                 await leader.group.confirm_leadership()
             cluster.heal()
             await cluster.wait_until(
-                lambda: leader.machine.sheets == later.machine.sheets
+                lambda: leader.machine.sheets == new_leader.machine.sheets
             )
             assert [v for _, v in leader.machine.sheets] == ["1", "3"]
 
-    async def test_a_frozen_leader_that_wakes_confirms_nothing(self):
-        """A leader is stopped, others elect and commit, then it goes on.
+    async def test_resumed_leader_does_not_confirm_leadership(self):
+        """A leader that was frozen serves stale state when it resumes.
 
-        Its clock check has not run: it still takes itself for the leader and
-        holds old state.  The round of its own that a confirmation needs is
-        what tells it; a change that it takes now must not take effect.
+        The others have elected a new leader meanwhile. The quorum check has
+        not run, so that the old leader still believes that it leads. Only the
+        round of requests for a confirmation tells it otherwise, and a change
+        that it accepts must not take effect.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
-            leader.group.elected_at = float("inf")  # No check of the quorum.
+            leader.group.elected_at = float("inf")  # Disables the quorum check.
             cluster.network.frozen_hosts.add(leader.address)
             await cluster.wait_until(
                 lambda: any(host.is_leading for host in cluster.others(leader))
             )
             assert leader.is_leading
-            reading = asyncio.create_task(leader.group.confirm_leadership())
-            writing = asyncio.create_task(
+            confirm_task = asyncio.create_task(
+                leader.group.confirm_leadership()
+            )
+            propose_task = asyncio.create_task(
                 leader.group.propose(messages.SheetChange(version="stale"))
             )
             await asyncio.sleep(1)
-            assert not reading.done()
+            assert not confirm_task.done()
             cluster.heal()
             with pytest.raises(errors.NotLeaderError):
-                await reading
+                await confirm_task
             with pytest.raises(errors.LeadershipLostError):
-                await writing
-            later = await cluster.commit("2")
+                await propose_task
+            new_leader = await cluster.commit("2")
             await cluster.wait_until(
-                lambda: leader.machine.sheets == later.machine.sheets
+                lambda: leader.machine.sheets == new_leader.machine.sheets
             )
             assert [v for _, v in leader.machine.sheets] == ["1", "2"]
 
-    async def test_a_cut_off_follower_deposes_nobody_when_it_is_back(self):
-        """A follower times out again and again behind a cut, then returns.
+    async def test_returning_follower_does_not_depose_the_leader(self):
+        """A returning follower deposes a leader that all others hear.
 
-        Without pre-vote its higher term would depose the leader that all
-        others hear, and changes would fail for an election.
+        The follower times out repeatedly while it is isolated. Without
+        pre-vote, its higher term would cause an election.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
@@ -269,11 +275,11 @@
             assert leader.is_leading
             assert leader.group.term == term
 
-    async def test_one_link_cut_deposes_nobody(self):
-        """A follower hears the third host, but no longer the leader.
+    async def test_follower_without_link_to_the_leader_does_not_depose_it(self):
+        """A follower and the leader depose each other in turn.
 
-        Its log is as good as any.  Were the third host to vote for it while
-        it hears the leader itself, the two would depose each other in turn.
+        The link between the two is cut, and the follower's log is up to date.
+        The third host hears the leader and must not vote for the follower.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
@@ -286,8 +292,8 @@
             assert leader.is_leading
             await leader.group.propose(messages.SheetChange(version="2"))
 
-    async def test_a_host_far_behind_gets_a_snapshot(self):
-        """The log was cut past what a host that was down still needs."""
+    async def test_host_far_behind_receives_a_snapshot(self):
+        """The leader's compacted log lacks the entries that a host needs."""
         async with groupfakes.Cluster() as cluster:
             late = await leave_behind(cluster)
             leader = await cluster.leader()
@@ -301,15 +307,13 @@
 class TestLargeSnapshots:
     """Snapshots that take longer than an election timeout."""
 
-    async def test_two_hosts_keep_their_quorum_while_one_takes_a_snapshot(
-        self, monkeypatch
-    ):
-        """One of three hosts is lost; another comes back far behind.
+    async def test_quorum_survives_a_slow_snapshot_transfer(self, monkeypatch):
+        """The leader loses its quorum while its only follower is updated.
 
-        The leader's only follower needs a snapshot that arrives in hundreds
-        of parts and takes 3 s to sync. Each part is answered like a
-        heartbeat, and so is the leader while the follower syncs: the quorum
-        is never lost, and a change made meanwhile is committed.
+        One of three hosts is lost, and another returns far behind. It needs a
+        snapshot that arrives in hundreds of parts and takes 3 s to sync. It
+        replies to every part, and to the leader while it syncs, so that a
+        change made meanwhile is committed.
         """
         monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 16)
         slow_down(monkeypatch, "stage_received")
@@ -332,51 +336,51 @@
                 lambda: late.machine.sheets == leader.machine.sheets
             )
 
-    async def test_all_hosts_write_a_long_snapshot_at_one_entry(
-        self, monkeypatch
-    ):
-        """Every host cuts its log at the same entry, for 3 s.
+    async def test_slow_snapshots_do_not_delay_proposals(self, monkeypatch):
+        """Every caller waits while all hosts take a slow snapshot.
 
-        Were it done under the lock, no host would answer or sync meanwhile,
-        and every caller would wait for as long each time that the log is
-        cut. Changes go on within a heartbeat, under the same leader.
+        All hosts compact their logs at the same entry, which takes 3 s. If
+        they held the lock, none would reply or sync meanwhile. Changes are
+        committed within an election timeout, under the same leader.
         """
         slow_down(monkeypatch, "stage")
         loop = asyncio.get_running_loop()
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("0")
             term = leader.group.term
-            slowest = 0.0
+            max_seconds = 0.0
             for number in range(3 * groupfakes.SNAPSHOT_ENTRIES):
-                began = loop.time()
+                started_at = loop.time()
                 await cluster.commit(str(number))
-                slowest = max(slowest, loop.time() - began)
+                max_seconds = max(max_seconds, loop.time() - started_at)
             await asyncio.sleep(10)
-            assert slowest < groupfakes.ELECTION_TIMEOUT
+            assert max_seconds < groupfakes.ELECTION_TIMEOUT
             assert leader.group.term == term
             for host in cluster.hosts:
                 assert host.group.log.snapshot.last_index
 
-    async def test_a_snapshot_damaged_on_its_way_is_sent_again(
+    async def test_snapshot_corrupted_in_transfer_is_sent_again(
         self, monkeypatch
     ):
-        """A part arrives damaged.
+        """A host installs a snapshot that was corrupted in transfer.
 
-        The host finds a wrong checksum when it has every part, installs
-        nothing and asks for the first part again.
+        The host must detect the checksum mismatch once it has all parts,
+        install nothing and request the first part again.
         """
         monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 64)
-        sent = snapshottransfer.make_snapshot_put
-        damaged = []
+        make_snapshot_put = snapshottransfer.make_snapshot_put
+        corrupt_offsets = []
 
-        def next_part(group, follower):
-            body = sent(group, follower)
-            if body.offset and not damaged:
-                damaged.append(body.offset)
+        def make_corrupt_part(group, follower):
+            body = make_snapshot_put(group, follower)
+            if body.offset and not corrupt_offsets:
+                corrupt_offsets.append(body.offset)
                 body.part = bytes(len(body.part))
             return body
 
-        monkeypatch.setattr(snapshottransfer, "make_snapshot_put", next_part)
+        monkeypatch.setattr(
+            snapshottransfer, "make_snapshot_put", make_corrupt_part
+        )
         async with groupfakes.Cluster() as cluster:
             late = await leave_behind(cluster)
             late.start()
@@ -384,11 +388,11 @@
             await cluster.wait_until(
                 lambda: late.machine.sheets == leader.machine.sheets
             )
-            assert damaged
+            assert corrupt_offsets
 
 
 async def leave_behind(cluster) -> groupfakes.FakeHost:
-    """Returns a host that is down and needs more than the log holds."""
+    """Returns a stopped host that needs entries compacted from the log."""
     leader = await cluster.commit("0")
     late = cluster.others(leader)[0]
     await late.crash()
@@ -397,37 +401,38 @@
     return late
 
 
-def slow_down(monkeypatch, name) -> None:
-    """Makes a step of the storage take longer than an election timeout."""
-    step = getattr(storage.Storage, name)
+def slow_down(monkeypatch, method_name) -> None:
+    """Makes a storage method take longer than an election timeout."""
+    method = getattr(storage.Storage, method_name)
 
-    async def slow(self, given):
+    async def slow(self, argument):
         await asyncio.sleep(5 * groupfakes.ELECTION_TIMEOUT)
-        return await step(self, given)
+        return await method(self, argument)
 
-    monkeypatch.setattr(storage.Storage, name, slow)
+    monkeypatch.setattr(storage.Storage, method_name, slow)
 
 
 class TestDisk:
-    """Disks that fill up and processes that start again."""
+    """Full disks and restarts."""
 
     @pytest.mark.parametrize("leads", (True, False))
-    async def test_a_full_disk_claims_nothing(self, leads):
-        """The disk of the leader, or of a follower, fills up.
+    async def test_host_with_full_disk_acknowledges_nothing(self, leads):
+        """A host with a full disk acknowledges entries that are not durable.
 
-        The host stops, says why and acknowledges nothing; the other two go
-        on.  With space again it starts and catches up.
+        The disk of the leader or of a follower fills up. The host stops with
+        an error and the other two continue. With space again it restarts and
+        catches up.
         """
         async with groupfakes.Cluster() as cluster:
             leader = await cluster.commit("1")
             host = leader if leads else cluster.others(leader)[0]
             host.disk.full = True
-            before = host.group.log.synced_index
+            synced_before = host.group.log.synced_index
             await cluster.commit("2")
             with pytest.raises(errors.StorageError, match="No space"):
                 await host.task
             assert not host.is_leading
-            assert host.group.log.synced_index == before
+            assert host.group.log.synced_index == synced_before
             await host.crash()
             host.start()
             last = await cluster.commit("3")
@@ -435,8 +440,8 @@
                 lambda: host.machine.sheets == last.machine.sheets
             )
 
-    async def test_a_full_disk_fails_the_proposal_at_a_lone_leader(self):
-        """No quorum can make up for it: the caller must not hear success."""
+    async def test_single_leader_with_full_disk_fails_the_proposal(self):
+        """A proposal succeeds that no disk holds durably."""
         async with groupfakes.Cluster(size=1) as cluster:
             leader = await cluster.commit("1")
             leader.disk.full = True
@@ -448,16 +453,16 @@
             assert leader.machine.sheets[0][1] == "1"
 
     async def test_all_hosts_restart_after_a_thousand_changes(self):
-        """Power goes everywhere with a long log: every change comes back."""
+        """Changes in a long log are lost when all hosts lose power."""
         async with groupfakes.Cluster(snapshot_entries=5000) as cluster:
             leader = await cluster.leader()
             for number in range(0, 1000, 20):
                 await asyncio.gather(
                     *(
                         leader.group.propose(
-                            messages.SheetChange(version=str(number + one))
+                            messages.SheetChange(version=str(number + offset))
                         )
-                        for one in range(20)
+                        for offset in range(20)
                     )
                 )
             for host in cluster.hosts:
@@ -473,10 +478,10 @@
 
 
 class TestJoin:
-    """Hosts that nobody was told of at the start."""
+    """Hosts that join without being in the settings of the others."""
 
-    async def make_joining(self, cluster):
-        """Starts an empty host that makes itself known, as `joining` does."""
+    async def start_joining_host(self, cluster):
+        """Starts an empty host that joins as in the module `joining`."""
         cluster.add_hosts(1)
         new = cluster.hosts[-1]
         new.start(join=True)
@@ -485,48 +490,49 @@
                 host.group.add_follower(new.address)
         return new
 
-    async def test_one_takes_the_place_of_a_voter_that_is_gone(self):
-        """A third loss stops the group, though a host was replaced in time.
+    async def test_joining_host_replaces_an_unreachable_voter(self):
+        """The group loses its quorum although a lost host was replaced.
 
-        One of three is lost for good and an empty one comes at another
-        address; it has to count before the next of the former three is lost.
+        One of three hosts is lost, and an empty one joins at another address.
+        It must become a voter, so that the loss of another of the three
+        leaves a quorum.
         """
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
             leader = await cluster.leader()
-            gone, left = cluster.others(leader)
-            await gone.crash()
-            new = await self.make_joining(cluster)
+            lost, other = cluster.others(leader)
+            await lost.crash()
+            new = await self.start_joining_host(cluster)
             await cluster.wait_until(lambda: new.group.is_voter)
             assert len(new.group.voters.newest()) == 3
-            assert str(gone.address) not in leader.group.voter_addresses()
-            await left.crash()
+            assert str(lost.address) not in leader.group.voter_addresses()
+            await other.crash()
             await cluster.commit("2")
 
-    async def test_one_waits_while_every_voter_is_there(self):
-        """A voter that is well loses its vote to one that was only added."""
+    async def test_joining_host_replaces_no_reachable_voter(self):
+        """A reachable voter is replaced by a host that joins."""
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
-            new = await self.make_joining(cluster)
+            new = await self.start_joining_host(cluster)
             await asyncio.sleep(10)
             assert not new.group.is_voter
             assert len(new.group.voters.newest()) == 3
 
-    async def test_a_replaced_voter_that_comes_back_elects_nobody(self):
+    async def test_returning_replaced_voter_elects_no_leader(self):
         """Two leaders accept changes, one of them elected by a former voter.
 
-        A voter behind a cut is replaced; when the cut heals it still holds
-        the former list and has campaigned in vain.
+        An isolated voter is replaced. When it returns, it still has the old
+        configuration and has campaigned without success.
         """
         async with groupfakes.Cluster(voters=3) as cluster:
             await cluster.commit("1")
             leader = await cluster.leader()
-            cut = cluster.others(leader)[0]
-            cluster.isolate(cut)
-            new = await self.make_joining(cluster)
+            isolated = cluster.others(leader)[0]
+            cluster.isolate(isolated)
+            new = await self.start_joining_host(cluster)
             await cluster.wait_until(lambda: new.group.is_voter)
             cluster.heal()
             await asyncio.sleep(5)
             await cluster.commit("2")
-            assert not cut.is_leading
-            assert not cut.group.is_voter
+            assert not isolated.is_leading
+            assert not isolated.group.is_voter
--- a/tests/test_consensus_random.py
+++ b/tests/test_consensus_random.py
@@ -1,4 +1,4 @@
-"""Random faults on the control group's real tasks, in virtual time."""
+"""Tests of the control group under random faults, in virtual time."""
 
 import asyncio
 import collections
@@ -13,7 +13,8 @@
 from mangobay.generated import messages
 
 BOOTSTRAP_STEPS = 10
-"""A group is founded only while all hosts are up: it may come to nothing."""
+"""Faults injected while the group is bootstrapped, which needs all hosts up and
+may not succeed."""
 STEPS = 120
 CI_SEEDS = range(4)
 SOAK_SEEDS = range(1000, 1000 + int(os.environ.get("MANGOBAY_SEEDS", "100")))
@@ -21,26 +22,26 @@
 
 @pytest.fixture(autouse=True)
 def small_parts(monkeypatch):
-    """Makes every snapshot arrive in several parts."""
+    """Splits every snapshot into several parts."""
     monkeypatch.setattr(snapshottransfer, "MAX_PART_BYTES", 64)
 
 
 class RandomFaultRun:
-    """One random run: faults, callers, and what must hold throughout.
+    """A run with random faults, concurrent callers and invariant checks.
 
     Attributes:
-      acknowledged: versions whose proposal returned.
-      newest_told_index: newest index that a caller was told of.
-      leaders: the disk that led each term.
-      fault_counts: how many of each kind were injected.
-      check_counts: how many checks were made.
+      acknowledged: versions of the proposals that returned successfully.
+      newest_acknowledged_index: newest log index that was returned to a caller.
+      leaders: the leader's disk, by term.
+      fault_counts: number of injected faults, by kind.
+      check_counts: number of checks, by kind.
     """
 
     def __init__(self, seed: int):
         self.rng = random.Random(seed)
         self.cluster = groupfakes.Cluster(seed)
         self.acknowledged: set[str] = set()
-        self.newest_told_index = 0
+        self.newest_acknowledged_index = 0
         self.leaders: dict[int, str] = {}
         self.fault_counts: collections.Counter[str] = collections.Counter()
         self.check_counts: collections.Counter[str] = collections.Counter()
@@ -49,8 +50,8 @@
         self.recovery_count = 0
         self.checks_before = invariants.check_counts.copy()
 
-    def start_caller(self, work) -> None:
-        task = asyncio.create_task(work)
+    def start_caller(self, coroutine) -> None:
+        task = asyncio.create_task(coroutine)
         self.caller_tasks.add(task)
 
     async def propose(self, host) -> None:
@@ -63,11 +64,13 @@
         except (errors.NotLeaderError, errors.LeadershipLostError):
             return
         self.acknowledged.add(version)
-        self.newest_told_index = max(self.newest_told_index, entry.index)
+        self.newest_acknowledged_index = max(
+            self.newest_acknowledged_index, entry.index
+        )
 
     async def read(self, host) -> None:
-        newest, group, machine = (
-            self.newest_told_index,
+        newest_index, group, machine = (
+            self.newest_acknowledged_index,
             host.group,
             host.machine,
         )
@@ -75,16 +78,20 @@
             await group.confirm_leadership()
         except errors.NotLeaderError:
             return
-        self.check_counts["a confirmed host holds what callers were told"] += 1
-        assert machine.applied_index >= newest
+        self.check_counts[
+            "a confirmed leader has every acknowledged entry"
+        ] += 1
+        assert machine.applied_index >= newest_index
 
     def check_leaders(self) -> None:
         for host in self.cluster.hosts:
             if host.is_leading:
                 self.check_counts["one leader a term"] += 1
                 group = host.group
-                seen = self.leaders.setdefault(group.term, group.identity)
-                assert seen == group.identity
+                known_leader = self.leaders.setdefault(
+                    group.term, group.identity
+                )
+                assert known_leader == group.identity
 
     async def crash(self, host) -> None:
         await host.crash(power_lost=self.rng.random() < 0.5)
@@ -110,7 +117,7 @@
         self.cluster.network.delay_seconds = self.rng.choice((0.003, 0.05, 0.4))
 
     async def lose_disk(self, host) -> None:
-        """Only once the former loss is repaired: the group needs a quorum."""
+        """Loses a disk if all disks are voters, so that a quorum remains."""
         if any(
             self.leads_full_group(other) for other in self.cluster.others(host)
         ):
@@ -120,19 +127,19 @@
             self.fault_counts["disk lost"] += 1
 
     def leads_full_group(self, host) -> bool:
-        """Whether a host leads a group that every disk is a voter of."""
+        """Returns whether a host leads a group in which all disks are voters."""
         group = host.group
         disks = {h.group.identity for h in self.cluster.hosts}
-        known = {p.identity for p in group.voters.newest()}
+        voters = {p.identity for p in group.voters.newest()}
         pending = group.voters.has_pending_change(group.commit_index)
         return (
             host.is_leading
             and bool(group.commit_index)
-            and known == disks
+            and voters == disks
             and not pending
         )
 
-    async def step(self) -> None:
+    async def inject_random_fault(self) -> None:
         host = self.rng.choice(self.cluster.hosts)
         fault = self.rng.choice(
             (
@@ -157,7 +164,7 @@
                 self.fault_counts[fault.__name__] += 1
             await fault(host)
 
-    async def restart_dead(self, share: float) -> None:
+    async def restart_stopped_hosts(self, share: float) -> None:
         for host in self.cluster.hosts:
             failed = host.task is not None and host.task.done()
             if failed:
@@ -177,24 +184,24 @@
     async def inject_faults(self, steps: int) -> None:
         """Injects faults while callers propose and read at every host."""
         for _ in range(steps):
-            await self.step()
+            await self.inject_random_fault()
             for _ in range(self.rng.randint(1, 6)):
                 await asyncio.sleep(self.rng.random() * 0.6)
                 for host in self.cluster.hosts:
                     self.start_caller(self.propose(host))
                     self.start_caller(self.read(host))
                 self.check_leaders()
-            await self.restart_dead(0.4)
+            await self.restart_stopped_hosts(0.4)
 
     async def recover_and_check(self) -> None:
-        """Everything works again: nothing a caller was told may be missing."""
+        """Ends all faults; checks that no acknowledged change is lost."""
         self.cluster.heal()
         for host in self.cluster.hosts:
             host.disk.steps_to_power_loss = -1
             host.disk.sync_seconds = 0.0
-        await self.restart_dead(1)
+        await self.restart_stopped_hosts(1)
         self.recovery_count += 1
-        version = f"settled {self.recovery_count}"
+        version = f"recovered {self.recovery_count}"
         leader = await self.cluster.commit(version, 120)
         await self.cluster.wait_until(
             lambda: all(
@@ -206,28 +213,28 @@
         )
         for host in self.cluster.hosts:
             self.check_counts["nothing acknowledged is lost"] += 1
-            held = [version for _, version in host.machine.sheets]
-            assert self.acknowledged <= set(held)
-            assert len(held) == len(set(held))
+            versions = [version for _, version in host.machine.sheets]
+            assert self.acknowledged <= set(versions)
+            assert len(versions) == len(set(versions))
         await asyncio.gather(*self.caller_tasks)
 
     def report(self) -> str:
-        inside = {
-            promise.value: count
-            for promise, count in (
+        invariant_checks = {
+            invariant.value: count
+            for invariant, count in (
                 invariants.check_counts - self.checks_before
             ).items()
         }
         return (
             f"faults {dict(self.fault_counts)}, checks {dict(self.check_counts)},"
-            f" inside {inside}, proposed {self.proposal_count},"
+            f" invariant checks {invariant_checks}, proposed {self.proposal_count},"
             f" acknowledged {len(self.acknowledged)}"
         )
 
 
 @pytest.mark.looptime(noop_cycles=1)
 class TestRandomFaults:
-    """Crashes, cuts, freezes, losses of power and disks in any order."""
+    """Crashes, partitions, freezes and losses of power and disks."""
 
     @pytest.mark.parametrize("seed", CI_SEEDS)
     async def test_nothing_committed_is_lost(self, seed, capsys):
@@ -239,13 +246,13 @@
         await self.run(seed, capsys)
 
     async def run(self, seed, capsys) -> None:
-        chaos = RandomFaultRun(seed)
+        fault_run = RandomFaultRun(seed)
         try:
-            await chaos.run()
+            await fault_run.run()
         finally:
             with capsys.disabled():
-                print(f"\nseed {seed}: {chaos.report()}")
-        assert sum(chaos.fault_counts.values()) > STEPS // 3
-        assert chaos.check_counts[
-            "a confirmed host holds what callers were told"
+                print(f"\nseed {seed}: {fault_run.report()}")
+        assert sum(fault_run.fault_counts.values()) > STEPS // 3
+        assert fault_run.check_counts[
+            "a confirmed leader has every acknowledged entry"
         ]
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""What a control host's disk gives back after a failure."""
+"""Tests of the storage of a control host after failures."""
 
 import random
 import subprocess
@@ -17,7 +17,7 @@
 
 
 async def make_synced_log(files, count: int) -> storage.Storage:
-    """Returns a storage that synced the entries one by one."""
+    """Returns a storage with entries that were synced one by one."""
     log = storage.Storage(files)
     log.open()
     await log.save_hard_state(1, ids.DiskId(""), 0)
@@ -28,7 +28,7 @@
 
 
 async def save_snapshot(log, snapshot, trailing: int) -> None:
-    """Stages and adopts a snapshot, as a host does that cuts its log."""
+    """Stages and installs a snapshot, as a host does to compact its log."""
     data = await log.stage(snapshot)
     await log.install_staged(storage.STAGED_FILE, snapshot, data, trailing)
 
@@ -44,26 +44,26 @@
     return groupfakes.FakeDisk(random.Random(1))
 
 
-class TestRealFolder:
-    """The same on a real folder."""
+class TestRealDirectory:
+    """Storage in a real directory."""
 
-    async def test_log_state_and_snapshot_come_back(self, tmp_path):
-        folder = disk.Disk(str(tmp_path))
-        log = await make_synced_log(folder, 20)
+    async def test_log_state_and_snapshot_are_restored(self, tmp_path):
+        files = disk.Disk(str(tmp_path))
+        log = await make_synced_log(files, 20)
         snapshot = messages.Snapshot(last_index=15, last_term=1)
         await save_snapshot(log, snapshot, 5)
         log.append([entry(21)])
         await log.flush()
-        folder.close()
-        again = reopen(disk.Disk(str(tmp_path)))
-        assert again.hard_state == log.hard_state
-        assert again.snapshot == snapshot
-        assert again.first_index == 11
-        assert again.records == log.records
-        assert again.last_index == 21
-
-    def test_a_second_process_is_kept_out(self, tmp_path):
-        """Two processes on one folder would vote twice as one voter."""
+        files.close()
+        reopened = reopen(disk.Disk(str(tmp_path)))
+        assert reopened.hard_state == log.hard_state
+        assert reopened.snapshot == snapshot
+        assert reopened.first_index == 11
+        assert reopened.records == log.records
+        assert reopened.last_index == 21
+
+    def test_second_process_is_refused(self, tmp_path):
+        """Two processes in one directory vote twice with one identity."""
         first = disk.Disk(str(tmp_path))
         first.open()
         with pytest.raises(errors.StorageError, match="another process"):
@@ -73,30 +73,32 @@
 
 
 class TestLog:
-    """Torn, damaged and replaced parts of the log."""
+    """Torn, corrupt and replaced parts of the log."""
 
-    async def test_a_torn_tail_is_cut(self, files):
-        """Power goes while the last record is written.
+    async def test_torn_tail_is_truncated(self, files):
+        """Power is lost while the last frame is written.
 
-        Only a part of it is on the disk and nobody was told of it: the log
-        ends before it, and what is added next is found again.
+        A part of the frame is on the disk, and no caller was told of its
+        entry. The log ends before it and accepts new entries.
         """
         await make_synced_log(files, 3)
-        whole = len(files.files["log"])
-        for left in range(1, 40):
+        complete_bytes = len(files.files["log"])
+        for torn_bytes in range(1, 40):
             log = reopen(files)
             log.append([entry(4)])
             await log.flush()
-            del files.files["log"][whole + left :]
+            del files.files["log"][complete_bytes + torn_bytes :]
             assert reopen(files).last_index == 3
-            assert len(files.files["log"]) == whole
+            assert len(files.files["log"]) == complete_bytes
 
     @pytest.mark.parametrize("share", (0.0, 0.2, 0.5, 0.8))
-    async def test_a_damaged_middle_is_refused(self, files, share):
-        """A bit rots in a record that others follow.
+    async def test_corruption_before_other_frames_is_refused(
+        self, files, share
+    ):
+        """A bit flips in a frame that is followed by others.
 
-        Cutting there would lose acknowledged entries, so the host does not
-        start, names file and byte, and leaves the file as it is.
+        Truncating the log there would lose acknowledged entries. The host
+        does not start, names the file and the byte, and keeps the file.
         """
         await make_synced_log(files, 10)
         last = files.files["log"].rfind(b"mgbL")
@@ -106,8 +108,8 @@
             reopen(files)
         assert bytes(files.files["log"]) == before
 
-    async def test_a_damaged_end_is_refused_when_known_committed(self, files):
-        """The last record rots; cut as torn, a committed entry would go."""
+    async def test_corrupt_last_frame_is_refused_if_committed(self, files):
+        """Truncating a corrupt last frame loses a committed entry."""
         log = await make_synced_log(files, 5)
         await log.save_hard_state(1, ids.DiskId(""), 5)
         files.files["log"][-1] ^= 1
@@ -115,24 +117,26 @@
             reopen(files)
 
     @pytest.mark.parametrize("name", ("state", "snapshot"))
-    async def test_a_damaged_file_is_refused(self, files, name):
+    async def test_corrupt_file_is_refused(self, files, name):
         log = await make_synced_log(files, 5)
         await save_snapshot(log, messages.Snapshot(last_index=5), 0)
         files.files[name][-1] ^= 1
         with pytest.raises(errors.CorruptLogError, match=name):
             reopen(files)
 
-    async def test_a_lost_state_file_is_no_new_disk(self, files):
+    async def test_missing_state_file_is_refused(self, files):
         await make_synced_log(files, 5)
         del files.files["state"]
         with pytest.raises(errors.CorruptLogError, match="state"):
             reopen(files)
 
-    async def test_entries_replaced_by_a_snapshot_are_written_anew(self, files):
-        """A follower's uncommitted tail goes with an installed snapshot.
+    async def test_entries_replaced_by_a_snapshot_do_not_count_as_synced(
+        self, files
+    ):
+        """A snapshot replaces the uncommitted last entries of a follower.
 
-        Were it still counted as synced, the entries that come in its place
-        would be acknowledged without being written, and lost in a crash.
+        If they still counted as synced, new entries at their indexes would
+        be acknowledged without being written, and lost in a crash.
         """
         log = await make_synced_log(files, 9)
         await save_snapshot(
@@ -144,41 +148,45 @@
         files.crash()
         assert [r.entry.index for r in reopen(files).records] == [6, 7, 8]
 
-    async def test_a_power_loss_at_any_step_keeps_what_was_synced(self, files):
-        """Power goes at each step of cutting the log in turn."""
+    async def test_power_loss_while_compacting_keeps_synced_entries(
+        self, files
+    ):
+        """Power is lost at each step of a log compaction in turn."""
         for step in range(1, 9):
-            one = groupfakes.FakeDisk(random.Random(step))
-            log = await make_synced_log(one, 9)
-            one.steps_to_power_loss = step
+            fake_disk = groupfakes.FakeDisk(random.Random(step))
+            log = await make_synced_log(fake_disk, 9)
+            fake_disk.steps_to_power_loss = step
             with pytest.raises(errors.StorageError):
                 await save_snapshot(
                     log, messages.Snapshot(last_index=6, last_term=1), 0
                 )
-            one.crash()
-            again = reopen(one)
-            assert again.last_index == 9
-            assert again.hard_state.identity == log.hard_state.identity
-
-    async def test_a_power_loss_while_a_snapshot_is_installed(self, files):
-        """Power goes at each step of replacing a log that is far behind.
-
-        The host starts with the old log or with the snapshot, and what it
-        adds then is found again; entries behind a stale log would be a gap.
+            fake_disk.crash()
+            reopened = reopen(fake_disk)
+            assert reopened.last_index == 9
+            assert reopened.hard_state.identity == log.hard_state.identity
+
+    async def test_power_loss_while_installing_a_snapshot_leaves_no_gap(
+        self, files
+    ):
+        """Power is lost at each step of replacing an outdated log.
+
+        The host restarts with the old log or with the snapshot. Entries that
+        it appends after that must not leave a gap in the log.
         """
         for step in range(1, 9):
-            one = groupfakes.FakeDisk(random.Random(step))
-            log = await make_synced_log(one, 9)
-            one.steps_to_power_loss = step
+            fake_disk = groupfakes.FakeDisk(random.Random(step))
+            log = await make_synced_log(fake_disk, 9)
+            fake_disk.steps_to_power_loss = step
             with pytest.raises(errors.StorageError):
                 await save_snapshot(
                     log, messages.Snapshot(last_index=20, last_term=2), 0
                 )
-            one.crash()
-            again = reopen(one)
-            assert again.last_index in (9, 20)
-            again.append([entry(again.last_index + 1, term=2)])
-            await again.flush()
-            assert reopen(one).last_index == again.last_index
+            fake_disk.crash()
+            reopened = reopen(fake_disk)
+            assert reopened.last_index in (9, 20)
+            reopened.append([entry(reopened.last_index + 1, term=2)])
+            await reopened.flush()
+            assert reopen(fake_disk).last_index == reopened.last_index
 
 
 WRITER = """
@@ -204,20 +212,20 @@
 
 
 class TestKilled:
-    """A real process on a real folder, killed while it writes."""
+    """A real process that is killed while it writes."""
 
-    def test_what_was_acknowledged_is_there_after_a_kill(self, tmp_path):
-        """SIGKILL comes wherever the process happens to be.
+    def test_acknowledged_entries_survive_a_kill(self, tmp_path):
+        """A process receives SIGKILL at an arbitrary point.
 
-        Every index that it printed had been synced, so the next start must
-        find it, whether the last write or snapshot was finished or not.
+        Every index that it printed was synced before. The next start must
+        find it, whether or not the last write or snapshot was complete.
         """
         for acknowledged in (20, 75, 130):
             command = [sys.executable, "-c", WRITER, str(tmp_path)]
             with subprocess.Popen(command, stdout=subprocess.PIPE) as writer:
                 for _ in range(acknowledged):
-                    told = int(writer.stdout.readline())
+                    last_printed = int(writer.stdout.readline())
                 writer.kill()
-            folder = disk.Disk(str(tmp_path))
-            assert reopen(folder).last_index >= told
-            folder.close()
+            files = disk.Disk(str(tmp_path))
+            assert reopen(files).last_index >= last_printed
+            files.close()
