--- a/mangobay/connections.py
+++ b/mangobay/connections.py
@@ -116,8 +116,8 @@
 
     def send_hello(self) -> None:
         """Sends this process's Hello."""
-        mine = dataclasses.replace(self.local_hello, protocol=PROTOCOL_VERSION)
-        self.send(messages.Envelope(body=mine))
+        hello = dataclasses.replace(self.local_hello, protocol=PROTOCOL_VERSION)
+        self.send(messages.Envelope(body=hello))
 
     def handle_hello(self, body: messages.EnvelopeBody) -> None:
         """Takes the peer's first message.
@@ -174,31 +174,31 @@
     def eof_received(self) -> bool:
         """Ends the connection: a peer that sends no more asks nothing."""
         if self.handshake_done.done() and self.decoder.has_partial_frame:
-            why = "the stream ended in a frame"
-            logs.log_event(logs.Component.PEER, "not understood", why=why)
+            reason = "the stream ended in a frame"
+            logs.log_event(logs.Component.PEER, "not understood", why=reason)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Breaks what waits for an answer."""
-        why = str(exc) if exc else "closed"
+        reason = str(exc) if exc else "closed"
         if not self.handshake_done.done():
-            self.handshake_done.set_exception(errors.PeerClosedError(why))
-        self.close(why)
+            self.handshake_done.set_exception(errors.PeerClosedError(reason))
+        self.close(reason)
         if not self.disconnected.done():
             self.disconnected.set_result(None)
 
     def dispatch(self, envelope: messages.Envelope) -> None:
         """Hands one message to whom it is for."""
         match envelope.body:
-            case first if not self.handshake_done.done():
-                self.handle_hello(first)
+            case body if not self.handshake_done.done():
+                self.handle_hello(body)
             case messages.Hello():
                 raise errors.PeerProtocolError("a second Hello")
             case messages.Cancel():
                 self.cancel_handler(envelope.stream)
             case messages.Ping(answers=False):
-                answer = messages.Ping(answers=True)
-                self.send(messages.Envelope(stream=PING_STREAM, body=answer))
+                pong = messages.Ping(answers=True)
+                self.send(messages.Envelope(stream=PING_STREAM, body=pong))
             case messages.Ping():
                 pass
             case _ if envelope.stream in self.pending_requests:
@@ -236,18 +236,18 @@
     ) -> None:
         """Answers one request; its task is cancelled by the peer's Cancel."""
         try:
-            answer = await self.handler(self.peer_hello, body)
+            reply = await self.handler(self.peer_hello, body)
         except errors.MangobayError as error:
-            answer = messages.Failure(text=str(error))
+            reply = messages.Failure(text=str(error))
         except Exception as error:  # noqa: BLE001
             logs.log_event(
                 logs.Component.PEER, "request failed", why=repr(error)
             )
-            answer = messages.Failure(text="internal fault")
+            reply = messages.Failure(text="internal fault")
         finally:
             self.handler_tasks.pop(stream, None)
         try:
-            self.send(messages.Envelope(stream=stream, body=answer))
+            self.send(messages.Envelope(stream=stream, body=reply))
         except errors.FrameTooLargeError as error:
             failure = messages.Failure(text=str(error))
             self.send(messages.Envelope(stream=stream, body=failure))
@@ -279,7 +279,7 @@
             self.track_call(stream, body)
         timer = self.loop.call_later(timeout, fail_with_timeout, future)
         try:
-            answer = await future
+            reply = await future
         except (TimeoutError, asyncio.CancelledError):
             self.send(messages.Envelope(stream=stream, body=messages.Cancel()))
             raise
@@ -289,9 +289,9 @@
             self.untrack_call(stream)
             if self.unresponsive and not self.pending_requests:
                 self.close(UNRESPONSIVE_MESSAGE)
-        if isinstance(answer, messages.Failure):
-            raise errors.PeerBrokenError(answer.text)
-        return answer
+        if isinstance(reply, messages.Failure):
+            raise errors.PeerBrokenError(reply.text)
+        return reply
 
     def track_call(self, stream: int, call: messages.Call) -> None:
         """Notes a call; as long as there are some, silence is looked for.
@@ -328,11 +328,11 @@
         if self.closed or self.unresponsive:
             self.liveness_check.discard(self)
             return
-        quiet = self.loop.time() - self.last_received_at
-        if quiet >= UNRESPONSIVE_AFTER_SECONDS:
+        silent_seconds = self.loop.time() - self.last_received_at
+        if silent_seconds >= UNRESPONSIVE_AFTER_SECONDS:
             self.mark_unresponsive()
             return
-        if quiet >= PING_AFTER_SECONDS and not self.ping_sent:
+        if silent_seconds >= PING_AFTER_SECONDS and not self.ping_sent:
             self.ping_sent = True
             ping = messages.Envelope(stream=PING_STREAM, body=messages.Ping())
             self.send(ping)
@@ -381,8 +381,8 @@
         """
         if self.closed or self.transport.is_closing():
             raise errors.PeerUnreachableError("the connection is closed")
-        backlog = self.transport.get_write_buffer_size()
-        if backlog > self.limits.max_unsent_bytes:
+        unsent_bytes = self.transport.get_write_buffer_size()
+        if unsent_bytes > self.limits.max_unsent_bytes:
             raise errors.PeerUnreachableError("the peer does not read")
 
     def send(self, envelope: messages.Envelope) -> None:
@@ -397,8 +397,8 @@
         if self.transport.is_closing():
             return
         self.transport.write(frame)
-        backlog = self.transport.get_write_buffer_size()
-        if self.handler and backlog > 4 * self.limits.max_unsent_bytes:
+        unsent_bytes = self.transport.get_write_buffer_size()
+        if self.handler and unsent_bytes > 4 * self.limits.max_unsent_bytes:
             # Answers that a peer asks for and never reads would fill the
             # memory of this process; without the connection they go nowhere.
             self.close("the peer does not read its answers")
--- a/mangobay/controlclient.py
+++ b/mangobay/controlclient.py
@@ -133,40 +133,38 @@
         if service not in self.interests.wanted:
             self.interests.wanted.add(service)
             self.change_event.set()
-        patience = self.config.patience * FETCH_TIMEOUT_FACTOR
+        timeout = self.config.patience * FETCH_TIMEOUT_FACTOR
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout):
                 while not self.interests.is_resolved(service):
                     await self.reply_event.wait()
         except TimeoutError:
             raise errors.ControlUnavailableError(
-                f"no control host told of service {service} in {patience:g} s"
+                f"no control host told of service {service} in {timeout:g} s"
             ) from None
 
     async def run(self) -> None:
         """Renews the lease until cancelled."""
         while True:
-            asked_at = clock.now()
+            sent_at = clock.now()
             renewed = await self.renew_once()
             self.log_lease_change()
             if renewed:
                 self.consecutive_failures = 0
-                await asyncio.sleep(
-                    asked_at + MIN_RENEWAL_SECONDS - clock.now()
-                )
+                await asyncio.sleep(sent_at + MIN_RENEWAL_SECONDS - clock.now())
             else:
                 self.consecutive_failures += 1
                 await asyncio.sleep(self.backoff())
 
     def log_lease_change(self) -> None:
         """Logs when the control group went out of reach, or came back."""
-        held = self.lease.is_valid()
-        if held == self.had_lease:
+        has_lease = self.lease.is_valid()
+        if has_lease == self.had_lease:
             return
-        self.had_lease = held
+        self.had_lease = has_lease
         logs.log_event(
             logs.Component.LEASE,
-            "regained" if held else "lost",
+            "regained" if has_lease else "lost",
             control=str(self.current_address),
             routes_version=self.routes.value.version,
             failures=self.consecutive_failures,
@@ -179,11 +177,11 @@
         Never longer than an answer is waited for: callers that meet a node
         without routes are refused until it has asked again.
         """
-        longest = INITIAL_BACKOFF_SECONDS * 2 ** min(
+        max_seconds = INITIAL_BACKOFF_SECONDS * 2 ** min(
             self.consecutive_failures, 16
         )
-        longest = min(longest, self.config.patience)
-        return self.rng.uniform(0, longest)
+        max_seconds = min(max_seconds, self.config.patience)
+        return self.rng.uniform(0, max_seconds)
 
     def reply_timeout(self) -> float:
         """Returns the seconds to wait for an answer that is not held.
@@ -209,15 +207,15 @@
           whether the next renewal may follow without a pause.
         """
         renewal = self.make_renewal()
-        asked_at = clock.now()
+        sent_at = clock.now()
         try:
-            answer = await self.send_renewal(renewal)
+            reply = await self.send_renewal(renewal)
             self.record_reply_time(
-                clock.now() - asked_at - renewal.hold_ms / 1000
+                clock.now() - sent_at - renewal.hold_ms / 1000
             )
-            if answer is None:
+            if reply is None:
                 return True
-            return self.process_reply(renewal, asked_at, answer)
+            return self.process_reply(renewal, sent_at, reply)
         except (errors.PeerError, TimeoutError) as error:
             if isinstance(error, TimeoutError):
                 self.timeout_doublings += 1
@@ -248,28 +246,32 @@
             return await self.transport.send_request(
                 self.current_address, renewal, timeout
             )
-        asking = asyncio.create_task(
+        request_task = asyncio.create_task(
             self.transport.send_request(self.current_address, renewal, timeout)
         )
-        changing = asyncio.create_task(self.change_event.wait())
+        change_task = asyncio.create_task(self.change_event.wait())
         try:
             await asyncio.wait(
-                {asking, changing}, return_when=asyncio.FIRST_COMPLETED
+                {request_task, change_task}, return_when=asyncio.FIRST_COMPLETED
             )
-            return asking.result() if asking.done() else None
+            return request_task.result() if request_task.done() else None
         finally:
-            changing.cancel()
-            asking.cancel()
+            change_task.cancel()
+            request_task.cancel()
 
     def make_renewal(self) -> messages.LeaseRenew:
         """Returns what this node reports and asks."""
         self.drop_services(self.interests.drop_idle())
-        new = self.interests.new_interests()
+        new_interests = self.interests.new_interests()
         # Held by a host that is silent too, it would delay news for longer.
-        sure = self.lease.is_valid() and not self.consecutive_failures
-        wait = sure and not new and not self.change_event.is_set()
+        is_connected = self.lease.is_valid() and not self.consecutive_failures
+        may_hold = (
+            is_connected
+            and not new_interests
+            and not self.change_event.is_set()
+        )
         self.change_event.clear()
-        hold = self.config.renew_interval if wait else 0
+        hold_seconds = self.config.renew_interval if may_hold else 0
         return messages.LeaseRenew(
             host=self.identity.host,
             incarnation=self.identity.incarnation,
@@ -278,9 +280,9 @@
             serves=self.announced_services,
             leaving=self.is_leaving,
             revision=self.tables.value.revision,
-            interests=sorted(self.interests.known.union(new)),
-            new_interests=new,
-            hold_ms=int(hold * 1000),
+            interests=sorted(self.interests.known.union(new_interests)),
+            new_interests=new_interests,
+            hold_ms=int(hold_seconds * 1000),
             views=[
                 self.make_view_ack(view) for view in self.views.value.values()
             ],
@@ -303,9 +305,10 @@
 
     def make_view_ack(self, view: messages.ServiceView) -> messages.ViewAck:
         """Returns what this node says of a view that it acts by."""
-        me = self.identity
+        identity = self.identity
         member = not self.keyless and any(
-            item.host == me.host and item.incarnation == me.incarnation
+            item.host == identity.host
+            and item.incarnation == identity.incarnation
             for item in view.members
         )
         return messages.ViewAck(
@@ -318,7 +321,7 @@
     def process_reply(
         self,
         renewal: messages.LeaseRenew,
-        asked_at: float,
+        sent_at: float,
         reply: messages.EnvelopeBody,
     ) -> bool:
         """Takes in an answer; returns whether it granted a lease."""
@@ -346,29 +349,29 @@
         self.update_interests(renewal, grant)
         self.apply_routes(grant.routes)
         self.update_addresses(grant.control_addresses)
-        self.lease.extend(asked_at, grant.ttl_ms / 1000)
+        self.lease.extend(sent_at, grant.ttl_ms / 1000)
         if grant.drain != self.draining.value:
             self.draining.on_next(grant.drain)
         return True
 
     def apply_table_update(self, update: messages.TableUpdate) -> None:
         """Swaps the table for one of a newer revision."""
-        old = self.tables.value
-        revision = old.revision
-        if update.revision == old.revision:
+        current = self.tables.value
+        current_revision = current.revision
+        if update.revision == current.revision:
             if not update.changed:
                 return
             # A new interest brings rows of the revision that is in force
             # already, which `updated` would take for nothing new.
             update = dataclasses.replace(
-                update, base=0, changed=[*old.operations(), *update.changed]
+                update, base=0, changed=[*current.operations(), *update.changed]
             )
-            old = operationtable.OperationTable()
-        new = old.updated(update)
+            current = operationtable.OperationTable()
+        new = current.updated(update)
         invariants.check(
             invariants.Invariant.REVISION_NEVER_DOWN,
-            new.revision >= revision,
-            f"table {revision} would be replaced by {new.revision}",
+            new.revision >= current_revision,
+            f"table {current_revision} would be replaced by {new.revision}",
         )
         self.tables.on_next(new)
 
@@ -389,19 +392,19 @@
         """
         if not addresses:
             return
-        told = [options.parse_address(text) for text in addresses]
-        known = [host for host in self.config.hosts if host not in told]
-        self.addresses = [*told, *known]
+        voters = [options.parse_address(text) for text in addresses]
+        configured = [host for host in self.config.hosts if host not in voters]
+        self.addresses = [*voters, *configured]
 
     def apply_views(
         self,
-        whole: list[messages.ServiceView],
+        full_views: list[messages.ServiceView],
         steps: list[messages.ViewSteps],
     ) -> None:
         """Swaps the views for newer ones; none goes back to an older."""
         merged = views.merge_views(
             self.views.value,
-            whole,
+            full_views,
             steps,
             lambda view: self.make_view_ack(view).member,
         )
@@ -412,13 +415,13 @@
         self, renewal: messages.LeaseRenew, grant: messages.LeaseGrant
     ) -> None:
         """Notes which services control told of; answers who waits for it."""
-        told = {row.service for row in grant.table.changed}
-        told.update(view.service for view in grant.views)
-        told.update(steps.service for steps in grant.view_steps)
-        told.update(item.name for item in renewal.serves)
+        known_services = {row.service for row in grant.table.changed}
+        known_services.update(view.service for view in grant.views)
+        known_services.update(steps.service for steps in grant.view_steps)
+        known_services.update(item.name for item in renewal.serves)
         self.interests.resolve(
             [ids.ServiceName(name) for name in renewal.new_interests],
-            told,
+            known_services,
             self.config.renew_interval,
         )
         self.reply_event.set()
@@ -438,10 +441,10 @@
 
     def switch_to_next(self) -> None:
         """Asks the next control host of the settings next."""
-        hosts = self.addresses
+        addresses = self.addresses
         position = (
-            hosts.index(self.current_address)
-            if self.current_address in hosts
+            addresses.index(self.current_address)
+            if self.current_address in addresses
             else -1
         )
-        self.current_address = hosts[(position + 1) % len(hosts)]
+        self.current_address = addresses[(position + 1) % len(addresses)]
--- a/mangobay/eager.py
+++ b/mangobay/eager.py
@@ -24,7 +24,7 @@
     if asyncio.current_task(loop) is not None:
         return loop.create_task(coroutine)
 
-    def step_now(
+    def run_now(
         callback: collections.abc.Callable[..., object],
         *args: object,
         context: contextvars.Context,
@@ -33,5 +33,5 @@
         context.run(callback, *args)
 
     # A task schedules its first step when it is made, by this method.
-    loop.call_soon = step_now
+    loop.call_soon = run_now
     return asyncio.Task(coroutine, loop=loop)
--- a/mangobay/errors.py
+++ b/mangobay/errors.py
@@ -206,8 +206,10 @@
     """No control host could answer; each with what went wrong."""
 
     def __init__(self, failures: dict):
-        told = "; ".join(f"{host}: {why}" for host, why in failures.items())
-        super().__init__(f"no control host answered: {told}")
+        details = "; ".join(
+            f"{host}: {reason}" for host, reason in failures.items()
+        )
+        super().__init__(f"no control host answered: {details}")
 
 
 class LogFileError(MangobayError):
--- a/mangobay/findings.py
+++ b/mangobay/findings.py
@@ -24,5 +24,5 @@
 
 def suggest(word: str, known: collections.abc.Iterable[str]) -> str:
     """Returns `; did you mean X?` for the known word most like it, or ""."""
-    close = difflib.get_close_matches(word.lower(), list(known), n=1)
-    return f"; did you mean {close[0]}?" if close else ""
+    matches = difflib.get_close_matches(word.lower(), list(known), n=1)
+    return f"; did you mean {matches[0]}?" if matches else ""
--- a/mangobay/httpserver.py
+++ b/mangobay/httpserver.py
@@ -206,13 +206,13 @@
         self.socket_server.close()
         self.close_when_answered()
         loop = asyncio.get_running_loop()
-        patience = loop.time() + grace
-        while self.pending_responses and loop.time() < patience:
+        deadline = loop.time() + grace
+        while self.pending_responses and loop.time() < deadline:
             await asyncio.sleep(CLOSE_POLL_SECONDS)
-        cut = self.pending_responses
+        aborted = self.pending_responses
         self.server.pre_shutdown()
         await self.server.shutdown(CANCEL_TIMEOUT_SECONDS)
-        return cut
+        return aborted
 
 
 async def read_body(
@@ -229,15 +229,15 @@
         raise too_large_error(max_bytes)
     if request.headers.get("Expect", "").lower() == "100-continue":
         request.transport.write(leanhttp.CONTINUE_RESPONSE)
-    parts = []
+    chunks = []
     size = 0
     try:
         async with asyncio.timeout(timeout):
-            async for part in request.content.iter_any():
-                size += len(part)
+            async for chunk in request.content.iter_any():
+                size += len(chunk)
                 if size > max_bytes:
                     raise too_large_error(max_bytes)
-                parts.append(part)
+                chunks.append(chunk)
     except TimeoutError:
         raise calls.RequestError(
             messages.Reason.MALFORMED, f"no whole body in {timeout:g} s"
@@ -246,7 +246,7 @@
         raise calls.RequestError(
             messages.Reason.MALFORMED, "the body ended early"
         ) from None
-    return b"".join(parts)
+    return b"".join(chunks)
 
 
 def too_large_error(max_bytes: int) -> calls.RequestError:
@@ -261,9 +261,9 @@
 ) -> web.Response:
     """Returns the HTTP answer that says what a reply says."""
     if reply.outcome is not messages.Outcome.ANSWERED:
-        shown = problems.from_reply(reply, rng, detail)
+        problem = problems.from_reply(reply, rng, detail)
         return web.Response(
-            status=shown.status, headers=shown.headers, body=shown.body
+            status=problem.status, headers=problem.headers, body=problem.body
         )
     headers = multidict.CIMultiDict(
         [(header.name, header.value) for header in reply.headers]
--- a/mangobay/listening.py
+++ b/mangobay/listening.py
@@ -20,8 +20,10 @@
         return await opening
     except OSError as error:
         # asyncio's own text names the address a second time.
-        why = os.strerror(error.errno) if error.errno else error
-        raise errors.StartError(f"cannot listen on {address}: {why}") from None
+        reason = os.strerror(error.errno) if error.errno else error
+        raise errors.StartError(
+            f"cannot listen on {address}: {reason}"
+        ) from None
 
 
 def bound_address(
--- a/mangobay/logs.py
+++ b/mangobay/logs.py
@@ -53,8 +53,8 @@
             self.dropped_lines += 1
             return
         if self.dropped_lines:
-            note = f'{{"message_type": "log: dropped", "lines": {self.dropped_lines}}}'
-            data = note.encode() + b"\n" + data
+            notice = f'{{"message_type": "log: dropped", "lines": {self.dropped_lines}}}'
+            data = notice.encode() + b"\n" + data
             self.dropped_lines = 0
         self.backlog += data
         self.flush()
@@ -64,11 +64,11 @@
         if not self.backlog:
             return
         try:
-            taken = os.write(self.fd, self.backlog)
+            written = os.write(self.fd, self.backlog)
         except BlockingIOError:
             # The lines stay in the backlog, whose length is bounded.
             return
-        self.backlog = self.backlog[taken:]
+        self.backlog = self.backlog[written:]
 
 
 def open_log(path: str) -> None:
@@ -80,8 +80,8 @@
     if path == STDOUT_PATH:
         eliot.to_file(NonBlockingStream(sys.stdout.fileno()))
         return
-    target = open(path, "a", encoding="utf-8") if path else sys.stderr  # noqa: SIM115
-    eliot.to_file(target)
+    stream = open(path, "a", encoding="utf-8") if path else sys.stderr  # noqa: SIM115
+    eliot.to_file(stream)
 
 
 def log_event(component: Component, event: str, **facts) -> None:
--- a/mangobay/options.py
+++ b/mangobay/options.py
@@ -110,12 +110,12 @@
     Raises:
       ValueError: it is no time.
     """
-    figure, scale = text, 1.0
+    digits, scale = text, 1.0
     if text.endswith("ms"):
-        figure, scale = text.removesuffix("ms"), 0.001
+        digits, scale = text.removesuffix("ms"), 0.001
     elif text.endswith("s"):
-        figure = text.removesuffix("s")
-    return parse_number(figure, float, "a number") * scale
+        digits = text.removesuffix("s")
+    return parse_number(digits, float, "a number") * scale
 
 
 def parse_boolean(text: str) -> bool:
--- a/mangobay/peers.py
+++ b/mangobay/peers.py
@@ -162,12 +162,14 @@
                 connection = await self.open_connection(address)
         except (OSError, errors.PeerError) as error:
             peer.consecutive_failures += 1
-            wait = min(
+            backoff = min(
                 INITIAL_BACKOFF_SECONDS
                 * 2 ** min(peer.consecutive_failures - 1, 8),
                 MAX_BACKOFF_SECONDS,
             )
-            peer.backoff_until = loop.time() + wait * self.rng.uniform(0.5, 1)
+            peer.backoff_until = loop.time() + backoff * self.rng.uniform(
+                0.5, 1
+            )
             if peer.consecutive_failures == 1:
                 logs.log_event(
                     logs.Component.PEER,
@@ -212,9 +214,9 @@
         side ends them: it knows that no request is on its way.
         """
         loop = asyncio.get_running_loop()
-        oldest = loop.time() - self.limits.idle_timeout
+        idle_since = loop.time() - self.limits.idle_timeout
         for address, peer in list(self.peers.items()):
-            if peer.is_idle(oldest):
+            if peer.is_idle(idle_since):
                 if peer.connection is not None:
                     peer.connection.close("idle")
                 del self.peers[address]
@@ -226,16 +228,16 @@
         """Ends every connection."""
         if self.sweep_timer is not None:
             self.sweep_timer.cancel()
-        ending: list[asyncio.Future] = []
+        pending: list[asyncio.Future] = []
         for peer in self.peers.values():
             if peer.connect_task is not None:
                 peer.connect_task.cancel()
-                ending.append(peer.connect_task)
+                pending.append(peer.connect_task)
             if peer.connection is not None:
                 peer.connection.close()
-                ending.append(peer.connection.disconnected)
-        if ending:
-            await asyncio.wait(ending, timeout=CLOSE_TIMEOUT_SECONDS)
+                pending.append(peer.connection.disconnected)
+        if pending:
+            await asyncio.wait(pending, timeout=CLOSE_TIMEOUT_SECONDS)
         self.peers.clear()
 
 
@@ -345,9 +347,9 @@
         for each frame.
         """
         loop = asyncio.get_running_loop()
-        oldest = loop.time() - self.limits.frame_timeout
+        latest_start = loop.time() - self.limits.frame_timeout
         for connection in list(self.connections):
-            if 0 < connection.partial_frame_since < oldest:
+            if 0 < connection.partial_frame_since < latest_start:
                 connection.close("a frame took too long")
         self.sweep_timer = loop.call_later(
             self.limits.frame_timeout / 2, self.close_stalled_connections
@@ -355,7 +357,9 @@
 
     def count_running_requests(self) -> int:
         """Returns how many requests are being answered."""
-        return sum(len(each.handler_tasks) for each in self.connections)
+        return sum(
+            len(connection.handler_tasks) for connection in self.connections
+        )
 
     @property
     def pending_responses(self) -> int:
@@ -370,15 +374,15 @@
             return
         self.server.close()
         self.sweep_timer.cancel()
-        running = [
+        tasks = [
             task
-            for each in self.connections
-            for task in each.handler_tasks.values()
+            for connection in self.connections
+            for task in connection.handler_tasks.values()
         ]
-        if running and grace:
-            await asyncio.wait(running, timeout=grace)
-        ending = [connection.disconnected for connection in self.connections]
+        if tasks and grace:
+            await asyncio.wait(tasks, timeout=grace)
+        pending = [connection.disconnected for connection in self.connections]
         for connection in list(self.connections):
             connection.close("leaving")
-        if ending:
-            await asyncio.wait(ending, timeout=CLOSE_TIMEOUT_SECONDS)
+        if pending:
+            await asyncio.wait(pending, timeout=CLOSE_TIMEOUT_SECONDS)
--- a/mangobay/tls.py
+++ b/mangobay/tls.py
@@ -48,10 +48,10 @@
           errors.StartError: a file cannot be read.
         """
         try:
-            found = [os.stat(path) for path in self.paths]
+            stats = [os.stat(path) for path in self.paths]
         except OSError as error:
             raise errors.StartError(f"TLS: {error}") from None
-        return [(stat.st_mtime_ns, stat.st_ino) for stat in found]
+        return [(stat.st_mtime_ns, stat.st_ino) for stat in stats]
 
     def make_context(self, protocol: int) -> ssl.SSLContext:
         """Returns a context that demands a certificate of the authority.
@@ -146,8 +146,8 @@
     """Returns the values of one name in a certificate's subject."""
     return [
         value
-        for part in certificate.get("subject", ())
-        for name, value in part
+        for rdn in certificate.get("subject", ())
+        for name, value in rdn
         if name == attribute
     ]
 
@@ -162,10 +162,10 @@
       certificate: as `ssl.SSLSocket.getpeercert` gives it.
       host: that the peer says it is.
     """
-    common = subject_values(certificate, COMMON_NAME)
-    others = [
+    common_names = subject_values(certificate, COMMON_NAME)
+    dns_names = [
         value
-        for kind, value in certificate.get("subjectAltName", ())
-        if kind == DNS_NAME_TYPE
+        for name_type, value in certificate.get("subjectAltName", ())
+        if name_type == DNS_NAME_TYPE
     ]
-    return host in common or host in others
+    return host in common_names or host in dns_names
--- a/mangobay/wire.py
+++ b/mangobay/wire.py
@@ -36,11 +36,11 @@
     if len(data) >= MIN_COMPRESSED_BYTES and isinstance(
         envelope.body, COMPRESSED_BODIES
     ):
-        deflated = messages.Deflated(
+        compressed = messages.Deflated(
             envelope=zlib.compress(data, COMPRESSION_LEVEL)
         )
         data = messages.encode_envelope(
-            messages.Envelope(stream=envelope.stream, body=deflated)
+            messages.Envelope(stream=envelope.stream, body=compressed)
         )
     if len(data) > max_bytes:
         raise errors.FrameTooLargeError(
@@ -113,8 +113,8 @@
         """Puts the bytes together; not for each part of a long frame."""
         if self.offset < len(self.buffer):
             self.chunks.insert(0, self.buffer[self.offset :])
-        whole = len(self.chunks) == 1
-        self.buffer = self.chunks[0] if whole else b"".join(self.chunks)
+        is_single = len(self.chunks) == 1
+        self.buffer = self.chunks[0] if is_single else b"".join(self.chunks)
         self.chunks.clear()
         self.offset = 0
 
@@ -134,13 +134,13 @@
     try:
         envelope = messages.decode_envelope(data)
         if isinstance(envelope.body, messages.Deflated):
-            whole = decompress(envelope.body.envelope, max_bytes)
-            envelope = messages.decode_envelope(whole)
+            decompressed = decompress(envelope.body.envelope, max_bytes)
+            envelope = messages.decode_envelope(decompressed)
             if isinstance(envelope.body, messages.Deflated):
                 raise ValueError("compressed twice")
     except (capnp.KjException, ValueError, zlib.error) as error:
-        text = str(error).partition("\n")[0]
-        raise errors.PeerProtocolError(f"not an envelope: {text}") from None
+        message = str(error).partition("\n")[0]
+        raise errors.PeerProtocolError(f"not an envelope: {message}") from None
     return envelope
 
 
@@ -151,8 +151,8 @@
       ValueError: it is longer than limit bytes, or not whole.
       zlib.error: it was not compressed by zlib.
     """
-    stream = zlib.decompressobj()
-    whole = stream.decompress(data, max_bytes)
-    if not stream.eof:
+    decompressor = zlib.decompressobj()
+    decompressed = decompressor.decompress(data, max_bytes)
+    if not decompressor.eof:
         raise ValueError(f"compressed, and not whole within {max_bytes} bytes")
-    return whole
+    return decompressed
