--- a/tests/test_controlclient.py
+++ b/tests/test_controlclient.py
@@ -63,7 +63,7 @@
 class TestRenewal:
     """How the lease, the table and the views are kept."""
 
-    async def test_a_change_is_in_force_well_before_the_next_renewal(
+    async def test_change_takes_effect_before_the_next_renewal(
         self, client, group
     ):
         async with controlfakes.running_task(client):
@@ -79,13 +79,13 @@
             assert client.tables.value.revision == entry.index
             assert client.views.value["quotes"].active
 
-    async def test_an_idle_node_renews_at_its_interval(self, client, transport):
+    async def test_idle_node_renews_at_the_interval(self, client, transport):
         async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(20)
             assert 18 <= len(transport.requests) <= 30
 
-    async def test_without_control_the_last_table_stays(
+    async def test_last_table_stays_without_control_hosts(
         self, client, group, transport
     ):
         """Every control host becomes unreachable.
@@ -101,17 +101,17 @@
                 )
             )
             await asyncio.sleep(1)
-            tables = dict(transport.lease_tables)
+            lease_tables = dict(transport.lease_tables)
             transport.lease_tables.clear()
             await asyncio.sleep(10)
             assert not client.lease.is_valid()
             assert client.tables.value.revision == entry.index
             assert "quotes" in client.views.value
-            transport.lease_tables.update(tables)
+            transport.lease_tables.update(lease_tables)
             await asyncio.sleep(3)
             assert client.lease.is_valid()
 
-    async def test_a_lost_answer_is_asked_for_again(
+    async def test_renewal_is_repeated_after_lost_replies(
         self, client, group, transport
     ):
         """Answers get lost on the way back to the node.
@@ -133,27 +133,27 @@
             await asyncio.sleep(2)
             assert client.tables.value.revision == entry.index
 
-    async def test_two_control_hosts_that_fall_silent_delay_no_change(
+    async def test_two_unresponsive_control_hosts_delay_no_change(
         self, group, transport
     ):
         """A node acts by an older configuration for three seconds and more."""
         third = options.Address("127.0.0.1", 3)
         hosts = (FIRST, SECOND, third)
-        table = transport.lease_tables[FIRST]
-        transport.lease_tables.update(dict.fromkeys(hosts, table))
-        silent = set()
-        ask = transport.send_request
+        lease_table = transport.lease_tables[FIRST]
+        transport.lease_tables.update(dict.fromkeys(hosts, lease_table))
+        unresponsive = set()
+        send_request = transport.send_request
 
-        async def ask_some(address, body, timeout):
+        async def send_unless_unresponsive(address, body, timeout):
             loop = asyncio.get_running_loop()
-            ends = loop.time() + timeout
-            answer = await ask(address, body, timeout)
-            if address in silent:
-                await asyncio.sleep(ends - loop.time())
+            deadline = loop.time() + timeout
+            reply = await send_request(address, body, timeout)
+            if address in unresponsive:
+                await asyncio.sleep(deadline - loop.time())
                 raise TimeoutError
-            return answer
+            return reply
 
-        transport.send_request = ask_some
+        transport.send_request = send_unless_unresponsive
         config = routingfakes.section(
             "control", hosts=hosts, renew_interval=1.0, patience=0.5
         )
@@ -161,8 +161,8 @@
         async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(1.5)
-            silent.add(client.current_address)
-            silent.add(hosts[hosts.index(client.current_address) - 2])
+            unresponsive.add(client.current_address)
+            unresponsive.add(hosts[hosts.index(client.current_address) - 2])
             entry = group.append(
                 controlfakes.make_sheet_change(
                     "1", controlfakes.make_operation("sign")
@@ -171,7 +171,7 @@
             await asyncio.sleep(STABLE_SECONDS)
             assert client.tables.value.revision == entry.index
 
-    async def test_a_leader_slower_than_patience_still_grants(
+    async def test_leader_slower_than_the_timeout_still_grants(
         self, client, group, transport, monkeypatch
     ):
         """Everything restarted at once; the leader takes 1.5 s an answer.
@@ -183,11 +183,13 @@
         """
         renew = transport.lease_tables[FIRST].renew
 
-        async def slowly(body):
+        async def renew_slowly(body):
             await asyncio.sleep(1.5)
             return await renew(body)
 
-        monkeypatch.setattr(transport.lease_tables[FIRST], "renew", slowly)
+        monkeypatch.setattr(
+            transport.lease_tables[FIRST], "renew", renew_slowly
+        )
         entry = group.append(
             controlfakes.make_sheet_change(
                 "1", controlfakes.make_operation("sign")
@@ -195,14 +197,16 @@
         )
         async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
-            held = 0
+            valid_count = 0
             for _ in range(100):
                 await asyncio.sleep(0.2)
-                held += client.lease.is_valid()
+                valid_count += client.lease.is_valid()
             assert client.tables.value.revision == entry.index
-            assert held > 50
+            assert valid_count > 50
 
-    async def test_a_follower_names_the_leader(self, group, transport):
+    async def test_client_switches_to_the_leader_a_follower_names(
+        self, group, transport
+    ):
         follower = controlfakes.FakeGroup(statemachine.ConfigStateMachine())
         follower.leading.clear()
         follower.leader_address = str(FIRST)
@@ -215,7 +219,7 @@
         assert client.current_address == FIRST
         assert await client.renew_once()
 
-    async def test_a_grant_of_a_host_that_lags_reverts_nothing(
+    async def test_grant_of_a_lagging_host_is_ignored(
         self, client, group, transport
     ):
         """A control host that missed a change grants with its old state.
@@ -236,20 +240,18 @@
             transport.lease_tables = {
                 SECOND: leases.LeaseTable(lagging.machine, lagging, 4.0, 1.0)
             }
-            broken = invariants.violation_counts.total()
+            violations = invariants.violation_counts.total()
             await asyncio.sleep(10)
             assert not client.lease.is_valid()
             assert client.tables.value.revision == entry.index
             assert client.views.value["quotes"].version < 50
-            assert invariants.violation_counts.total() == broken
+            assert invariants.violation_counts.total() == violations
 
 
 class TestInterest:
     """Services that a node asks about when a call needs them."""
 
-    async def test_a_service_is_known_once_control_told_of_it(
-        self, client, group
-    ):
+    async def test_fetched_services_are_in_the_table(self, client, group):
         async with controlfakes.running_task(client):
             group.append(
                 controlfakes.make_sheet_change(
@@ -264,7 +266,7 @@
             assert sorted(names) == ["rank", "sign"]
             assert client.tables.value.revision == 1
 
-    async def test_unknown_names_are_dropped(self, client, transport):
+    async def test_unknown_services_are_not_followed(self, client, transport):
         """An outsider asks for a thousand services that do not exist.
 
         Kept as interests, they would fill every renewal and the leader's
@@ -278,11 +280,11 @@
                 len(client.interests.unknown_until)
                 <= interests.MAX_UNKNOWN_SERVICES
             )
-            asked = len(transport.requests)
+            request_count = len(transport.requests)
             await client.fetch_service("none-1099")
-            assert len(transport.requests) == asked
+            assert len(transport.requests) == request_count
 
-    async def test_a_service_unused_for_long_is_not_followed_any_more(
+    async def test_unused_service_is_no_longer_followed(
         self, client, group, transport
     ):
         """A service was called once, weeks ago, and its rows change later.
@@ -293,9 +295,9 @@
         """
         first = controlfakes.make_operation("rank", service="prices", tries=1)
         later = controlfakes.make_operation("rank", service="prices", tries=2)
-        stock = controlfakes.make_operation("list", service="stock")
+        other = controlfakes.make_operation("list", service="stock")
         group.append(controlfakes.make_member_join("b", "prices"))
-        entry = group.append(controlfakes.make_sheet_change("1", first, stock))
+        entry = group.append(controlfakes.make_sheet_change("1", first, other))
         async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await client.fetch_service("prices")
@@ -310,11 +312,13 @@
                 controlfakes.make_sheet_change("2", later, base=entry.index)
             )
             await client.fetch_service("prices")
-            found = client.tables.value.services["prices"].operations["rank"]
-            assert found.tries == 2
+            operation = client.tables.value.services["prices"].operations[
+                "rank"
+            ]
+            assert operation.tries == 2
             assert "prices" in client.views.value
 
-    async def test_a_flood_of_new_names_does_not_end_the_lease(
+    async def test_flood_of_new_names_does_not_end_the_lease(
         self, client, transport
     ):
         """Outsiders ask for a new service every millisecond.
@@ -325,18 +329,16 @@
         """
         async with controlfakes.running_task(client):
             await asyncio.sleep(1)
-            asking = []
+            fetch_tasks = []
             for number in range(6000):
-                asking.append(
+                fetch_tasks.append(
                     asyncio.create_task(client.fetch_service(f"none-{number}"))
                 )
                 await asyncio.sleep(0.001)
             assert client.lease.is_valid()
-            await asyncio.gather(*asking, return_exceptions=True)
+            await asyncio.gather(*fetch_tasks, return_exceptions=True)
 
-    async def test_without_control_nothing_is_said_of_a_service(
-        self, client, transport
-    ):
+    async def test_fetch_fails_without_control_hosts(self, client, transport):
         async with controlfakes.running_task(client):
             transport.lease_tables.clear()
             with pytest.raises(errors.ControlUnavailableError):
@@ -347,58 +349,60 @@
     """Views that a node is told of as differences."""
 
     @pytest.mark.parametrize("keyless", [True, False])
-    async def test_a_node_that_is_told_steps_holds_the_newest_views(
+    async def test_view_steps_yield_the_newest_views(
         self, client, group, transport, keyless
     ):
         """Guards against a view that drifts from that of the control group."""
-        dice = random.Random(11)
+        rng = random.Random(11)
         client.keyless = keyless
-        told = []
+        grants = []
         renew = transport.lease_tables[FIRST].renew
 
-        async def listen(renewal):
+        async def renew_and_record(renewal):
             grant = await renew(renewal)
-            told.append(grant)
+            grants.append(grant)
             return grant
 
-        transport.lease_tables[FIRST].renew = listen
+        transport.lease_tables[FIRST].renew = renew_and_record
         async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(1)
-            for turn in range(200):
-                host = f"h{dice.randrange(20)}"
+            for run in range(200):
+                host = f"h{rng.randrange(20)}"
                 member = controlfakes.make_member_join(
-                    host, "quotes", incarnation=str(turn)
+                    host, "quotes", incarnation=str(run)
                 )
-                if dice.random() < 0.3 and host in group.machine.members:
+                if rng.random() < 0.3 and host in group.machine.members:
                     record = group.machine.members[host]
                     member = messages.MemberChange(
                         member=record.member, gone=True
                     )
                 group.append(member)
-                await asyncio.sleep(dice.choice((0.0, 0.0, 0.01, 0.3)))
+                await asyncio.sleep(rng.choice((0.0, 0.0, 0.01, 0.3)))
             await asyncio.sleep(1)
-            held = client.views.value["quotes"]
+            current = client.views.value["quotes"]
             newest = group.machine.views["quotes"]
-            assert held.version == newest.version
-            assert held.members == newest.members
+            assert current.version == newest.version
+            assert current.members == newest.members
             formers = [] if keyless else newest.formers
-            assert held.formers == formers
-            assert held.lineage_whole == (newest.lineage_whole and not keyless)
-            steps = [item for grant in told for item in grant.view_steps]
+            assert current.formers == formers
+            assert current.lineage_whole == (
+                newest.lineage_whole and not keyless
+            )
+            steps = [item for grant in grants for item in grant.view_steps]
             assert len(steps) > 20
 
-    async def test_steps_from_another_view_are_left_alone(self, client, group):
+    async def test_steps_from_another_version_are_ignored(self, client, group):
         """Guards against steps on top of the wrong view by a late answer."""
         async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(1)
-            before = client.views.value["quotes"]
+            view_before = client.views.value["quotes"]
             step = messages.ViewStep(
                 version=99, member=messages.Member(host="z")
             )
-            late = messages.ViewSteps(
-                service="quotes", base=before.version + 1, steps=[step]
+            late_steps = messages.ViewSteps(
+                service="quotes", base=view_before.version + 1, steps=[step]
             )
-            client.apply_views([], [late])
-            assert client.views.value["quotes"] == before
+            client.apply_views([], [late_steps])
+            assert client.views.value["quotes"] == view_before
--- a/tests/test_eager.py
+++ b/tests/test_eager.py
@@ -18,7 +18,7 @@
 class TestStartTask:
     """What a task does before it is returned."""
 
-    async def test_work_that_never_waits_is_done_at_once(self):
+    async def test_coroutine_without_waits_completes_at_once(self):
         async def work():
             return asyncio.current_task()
 
@@ -27,67 +27,67 @@
         )
         assert await task is task
 
-    async def test_work_that_waits_goes_on_later(self):
-        seen = []
-        gate = asyncio.Event()
+    async def test_coroutine_that_waits_resumes_later(self):
+        steps = []
+        release = asyncio.Event()
 
         async def work():
-            seen.append("first")
+            steps.append("first")
             async with asyncio.timeout(5):
-                await gate.wait()
-            seen.append("second")
+                await release.wait()
+            steps.append("second")
 
-        def begin(loop):
+        def start(loop):
             task = eager.start_task(loop, work())
-            assert seen == ["first"]
+            assert steps == ["first"]
             return task
 
-        task = await run_in_callback(begin)
+        task = await run_in_callback(start)
         assert not task.done()
-        gate.set()
+        release.set()
         await task
-        assert seen == ["first", "second"]
+        assert steps == ["first", "second"]
 
-    async def test_what_it_schedules_runs_as_ever(self):
+    async def test_callbacks_of_the_first_step_run_later(self):
         """Guards against callbacks that run inside the first step."""
-        seen = []
+        steps = []
 
         async def work():
-            asyncio.get_running_loop().call_soon(seen.append, "later")
-            seen.append("now")
+            asyncio.get_running_loop().call_soon(steps.append, "later")
+            steps.append("now")
             await asyncio.sleep(0)
 
         await (
             await run_in_callback(lambda loop: eager.start_task(loop, work()))
         )
-        assert seen == ["now", "later"]
+        assert steps == ["now", "later"]
 
-    async def test_errors_and_cancelling(self):
+    async def test_errors_and_cancellation(self):
         async def fail():
             raise ValueError("no")
 
         async def wait():
             await asyncio.Event().wait()
 
-        failed = await run_in_callback(
+        failing_task = await run_in_callback(
             lambda loop: eager.start_task(loop, fail())
         )
         with pytest.raises(ValueError, match="no"):
-            await failed
-        waiting = await run_in_callback(
+            await failing_task
+        waiting_task = await run_in_callback(
             lambda loop: eager.start_task(loop, wait())
         )
-        waiting.cancel()
+        waiting_task.cancel()
         with pytest.raises(asyncio.CancelledError):
-            await waiting
+            await waiting_task
 
-    async def test_within_a_task_it_starts_in_the_next_turn(self):
-        seen = []
+    async def test_within_a_task_it_starts_in_the_next_iteration(self):
+        steps = []
 
         async def work():
-            seen.append("started")
+            steps.append("started")
 
         task = eager.start_task(asyncio.get_running_loop(), work())
-        assert seen == []
+        assert steps == []
         await task
-        assert seen == ["started"]
+        assert steps == ["started"]
--- a/tests/test_httpserver.py
+++ b/tests/test_httpserver.py
@@ -36,65 +36,63 @@
 
 @pytest.fixture
 async def listener(handler):
-    made = httpserver.Listener(
+    opened = httpserver.Listener(
         options.Address("127.0.0.1", 0),
         handler,
         max_connections=10,
         head_timeout=nodes.WAIT_SECONDS,
     )
-    await made.start()
-    yield made
-    await made.close(0.1)
+    await opened.start()
+    yield opened
+    await opened.close(0.1)
 
 
 async def connect_slowly(listener):
     """Returns reader and writer of a caller with a small receive buffer."""
-    opened = socket.socket()
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-    opened.setblocking(False)
+    client_socket = socket.socket()
+    client_socket.setsockopt(
+        socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
+    )
+    client_socket.setblocking(False)
     loop = asyncio.get_running_loop()
-    await loop.sock_connect(opened, tuple(listener.address))
+    await loop.sock_connect(client_socket, tuple(listener.address))
     return await asyncio.open_connection(
-        sock=opened, limit=RECEIVE_BUFFER_BYTES
+        sock=client_socket, limit=RECEIVE_BUFFER_BYTES
     )
 
 
 class TestClose:
     """What is still due when a listener is closed."""
 
-    async def test_an_answer_that_is_read_slowly_is_waited_for(
-        self, listener, handler
-    ):
+    async def test_close_waits_for_a_slow_reader(self, listener, handler):
         """The process ends, and the rest of a whole answer is lost."""
         reader, writer = await connect_slowly(listener)
         writer.write(GET_REQUEST % 1)
         handler.release_event.set()
         await nodes.wait_until(lambda: handler.paths and not listener.busy)
-        closing = asyncio.create_task(listener.close(nodes.WAIT_SECONDS))
+        close_task = asyncio.create_task(listener.close(nodes.WAIT_SECONDS))
         await asyncio.sleep(0.2)
-        assert not closing.done()
+        assert not close_task.done()
         assert listener.pending_responses
-        got = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
-        assert got.endswith(LARGE_BODY)
-        assert await closing == 0
+        received = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
+        assert received.endswith(LARGE_BODY)
+        assert await close_task == 0
         writer.close()
 
-    async def test_requests_behind_one_in_flight_are_answered(
-        self, listener, handler
-    ):
+    async def test_pipelined_requests_are_answered(self, listener, handler):
         """They were read, and their connection ends with no answer."""
         reader, writer = await asyncio.open_connection(*listener.address)
         writer.write(GET_REQUEST % 1 + GET_REQUEST % 2)
         await nodes.wait_until(lambda: handler.paths)
-        closing = asyncio.create_task(listener.close(nodes.WAIT_SECONDS))
+        close_task = asyncio.create_task(listener.close(nodes.WAIT_SECONDS))
         await asyncio.sleep(0.1)
         handler.release_event.set()
-        got = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
-        assert got.count(b"HTTP/1.1 200") == 2
-        await closing
+        received = await asyncio.wait_for(reader.read(), nodes.WAIT_SECONDS)
+        assert received.count(b"HTTP/1.1 200") == 2
+        await close_task
         writer.close()
 
-    async def test_a_caller_that_never_reads_does_not_hold_it(
+    async def test_caller_that_never_reads_does_not_block_close(
         self, listener, handler
     ):
         """One caller keeps the process from ending."""
--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -12,33 +12,33 @@
 class TestPeriodicCheck:
     """When things are looked at."""
 
-    async def test_each_is_looked_at_as_long_as_it_is_there(self):
-        seen = []
-        made = periodic.PeriodicCheck(1.0, seen.append)
-        made.add("a")
+    async def test_items_are_checked_until_discarded(self):
+        checked = []
+        check = periodic.PeriodicCheck(1.0, checked.append)
+        check.add("a")
         await asyncio.sleep(0.5)
-        made.add("b")
+        check.add("b")
         await asyncio.sleep(1.0)
-        assert sorted(seen) == ["a", "b"]
-        made.discard("a")
+        assert sorted(checked) == ["a", "b"]
+        check.discard("a")
         await asyncio.sleep(1.0)
-        assert sorted(seen) == ["a", "b", "b"]
+        assert sorted(checked) == ["a", "b", "b"]
 
-    async def test_without_things_no_timer_wakes_the_process(self):
+    async def test_no_timer_runs_without_items(self):
         """Guards against wakes that grow with peers and listeners."""
-        made = periodic.PeriodicCheck(1.0, lambda item: None)
-        made.add("a")
-        made.add("b")
-        assert made.timer is not None
-        made.discard("a")
-        made.discard("b")
-        assert made.timer is None
-        made.discard("b")
-
-    async def test_what_leaves_while_it_is_looked_at(self):
-        made = periodic.PeriodicCheck(1.0, lambda item: made.discard(item))
-        made.add("a")
-        made.add("b")
+        check = periodic.PeriodicCheck(1.0, lambda item: None)
+        check.add("a")
+        check.add("b")
+        assert check.timer is not None
+        check.discard("a")
+        check.discard("b")
+        assert check.timer is None
+        check.discard("b")
+
+    async def test_items_may_be_discarded_during_a_check(self):
+        check = periodic.PeriodicCheck(1.0, lambda item: check.discard(item))
+        check.add("a")
+        check.add("b")
         await asyncio.sleep(1.5)
-        assert not made.items
-        assert made.timer is None
+        assert not check.items
+        assert check.timer is None
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -39,33 +39,33 @@
 
 
 def write_identity(
-    folder: pathlib.Path,
+    directory: pathlib.Path,
     authority: str,
     host: str = HELLO.host,
     unit: str = "",
 ) -> tls.Identity:
     """Writes a new authority, and a certificate and key signed by it."""
-    folder.mkdir(exist_ok=True)
+    directory.mkdir(exist_ok=True)
     signer = ec.generate_private_key(ec.SECP256R1())
     key = ec.generate_private_key(ec.SECP256R1())
     pem = serialization.Encoding.PEM
     root = make_certificate(authority, signer, authority, signer)
     leaf = make_certificate(host, key, authority, signer, unit)
-    (folder / "authority").write_bytes(root.public_bytes(pem))
-    (folder / "certificate").write_bytes(leaf.public_bytes(pem))
-    (folder / "key").write_bytes(
+    (directory / "authority").write_bytes(root.public_bytes(pem))
+    (directory / "certificate").write_bytes(leaf.public_bytes(pem))
+    (directory / "key").write_bytes(
         key.private_bytes(
             pem,
             serialization.PrivateFormat.PKCS8,
             serialization.NoEncryption(),
         )
     )
-    return read_identity(folder)
+    return read_identity(directory)
 
 
-def read_identity(folder: pathlib.Path) -> tls.Identity:
+def read_identity(directory: pathlib.Path) -> tls.Identity:
     names = ("certificate", "key", "authority")
-    return tls.Identity(*(str(folder / name) for name in names))
+    return tls.Identity(*(str(directory / name) for name in names))
 
 
 async def reply_yes(hello, body):
@@ -74,32 +74,32 @@
 
 
 async def send_call(address, identity) -> messages.Reply:
-    asking = peers.PeerClient(HELLO, identity=identity)
+    client = peers.PeerClient(HELLO, identity=identity)
     try:
-        return await asking.send_request(address, messages.Call(), WAIT_SECONDS)
+        return await client.send_request(address, messages.Call(), WAIT_SECONDS)
     finally:
-        await asking.close()
+        await client.close()
 
 
 @pytest.fixture
 async def listener(tmp_path):
     identity = write_identity(tmp_path / "ours", "authority")
-    there = peers.Listener(LOOPBACK, HELLO, reply_yes, identity=identity)
-    await there.start()
-    yield there
-    await there.close()
+    opened = peers.Listener(LOOPBACK, HELLO, reply_yes, identity=identity)
+    await opened.start()
+    yield opened
+    await opened.close()
 
 
 class TestIdentity:
     """Who may speak."""
 
-    async def test_a_certificate_of_the_authority_is_answered(
+    async def test_certificate_of_the_authority_is_accepted(
         self, listener, tmp_path
     ):
-        ours = read_identity(tmp_path / "ours")
-        assert (await send_call(listener.address, ours)).body == b"yes"
+        identity = read_identity(tmp_path / "ours")
+        assert (await send_call(listener.address, identity)).body == b"yes"
 
-    async def test_a_peer_that_fails_the_check_gets_nothing(
+    async def test_untrusted_or_missing_certificate_is_rejected(
         self, listener, tmp_path
     ):
         """A stranger connects with a certificate of its own, or with none.
@@ -107,75 +107,77 @@
         The handshake fails before a message is read.  The stranger sees a
         closed connection, and no request reaches the handler.
         """
-        strange = write_identity(tmp_path / "theirs", "authority")
-        for identity in (strange, None):
+        untrusted = write_identity(tmp_path / "theirs", "authority")
+        for identity in (untrusted, None):
             with pytest.raises(errors.PeerUnreachableError):
                 await send_call(listener.address, identity)
 
     @pytest.mark.parametrize("liar", ["asking", "answering"])
-    async def test_a_host_cannot_speak_as_another(self, tmp_path, liar):
+    async def test_host_cannot_claim_another_host(self, tmp_path, liar):
         """One host's certificate and key are stolen, or mixed up.
 
         With them a process says that it is another host.  Whether it asks or
         answers, the other side ends the connection at the Hello: no request
         is sent to it, and none of its requests is answered.
         """
-        ours = write_identity(tmp_path / "ours", "authority")
+        identity = write_identity(tmp_path / "ours", "authority")
         claimed = messages.Hello(host="another", role="node")
-        await self.expect_rejection(ours, claimed, liar)
+        await self.expect_rejection(identity, claimed, liar)
 
     @pytest.mark.parametrize("liar", ["asking", "answering"])
-    async def test_a_node_cannot_speak_as_control(self, tmp_path, liar):
+    async def test_node_cannot_claim_the_control_role(self, tmp_path, liar):
         """A node's certificate is used to vote, or to grant leases.
 
         It names the host rightly but was not made for a control host, so the
         other side ends the connection at the Hello.
         """
-        ours = write_identity(tmp_path / "ours", "authority")
+        identity = write_identity(tmp_path / "ours", "authority")
         claimed = messages.Hello(host=HELLO.host, role=tls.CONTROL_ROLE)
-        await self.expect_rejection(ours, claimed, liar)
+        await self.expect_rejection(identity, claimed, liar)
 
-    async def test_a_control_hosts_certificate_is_answered(self, tmp_path):
-        ours = write_identity(
+    async def test_control_certificate_permits_the_control_role(self, tmp_path):
+        identity = write_identity(
             tmp_path / "ours", "authority", unit=tls.CONTROL_ROLE
         )
         hello = messages.Hello(host=HELLO.host, role=tls.CONTROL_ROLE)
-        there = peers.Listener(LOOPBACK, hello, reply_yes, identity=ours)
-        await there.start()
+        listener = peers.Listener(LOOPBACK, hello, reply_yes, identity=identity)
+        await listener.start()
         try:
-            assert (await send_call(there.address, ours)).body == b"yes"
+            assert (await send_call(listener.address, identity)).body == b"yes"
         finally:
-            await there.close()
+            await listener.close()
 
-    async def expect_rejection(self, ours, claimed, liar) -> None:
-        mine, theirs = HELLO, claimed
+    async def expect_rejection(self, identity, claimed, liar) -> None:
+        client_hello, listener_hello = HELLO, claimed
         if liar == "asking":
-            mine, theirs = claimed, HELLO
-        asked = []
+            client_hello, listener_hello = claimed, HELLO
+        handled_hellos = []
 
-        async def answer_and_note(hello, body):
-            asked.append(hello)
+        async def record_and_reply(hello, body):
+            handled_hellos.append(hello)
             return await reply_yes(hello, body)
 
-        there = peers.Listener(LOOPBACK, theirs, answer_and_note, identity=ours)
-        await there.start()
-        asking = peers.PeerClient(mine, identity=ours)
+        listener = peers.Listener(
+            LOOPBACK, listener_hello, record_and_reply, identity=identity
+        )
+        await listener.start()
+        client = peers.PeerClient(client_hello, identity=identity)
         try:
             with pytest.raises(errors.PeerUnreachableError):
-                await asking.send_request(
-                    there.address, messages.Call(), WAIT_SECONDS
+                await client.send_request(
+                    listener.address, messages.Call(), WAIT_SECONDS
                 )
         finally:
-            await asking.close()
-            await there.close()
-        assert not asked
+            await client.close()
+            await listener.close()
+        assert not handled_hellos
 
-    def test_a_name_beside_the_common_name_counts(self):
+    def test_subject_alternative_names_match(self):
         certificate = {"subjectAltName": (("DNS", "a"), ("DNS", "b"))}
         assert tls.matches_host(certificate, "b")
         assert not tls.matches_host(certificate, "c")
 
-    async def test_replaced_files_are_in_force_without_a_restart(
+    async def test_replaced_files_take_effect_without_restart(
         self, listener, tmp_path
     ):
         """The authority and its certificates are renewed under a running node.
@@ -190,14 +192,14 @@
             await send_call(listener.address, old)
         assert (await send_call(listener.address, new)).body == b"yes"
 
-    async def test_half_replaced_files_leave_the_old_ones_in_use(
+    async def test_invalid_new_files_keep_the_old_ones_in_use(
         self, listener, tmp_path
     ):
-        ours = read_identity(tmp_path / "ours")
+        identity = read_identity(tmp_path / "ours")
         (tmp_path / "ours" / "key").write_text("not a key")
         os.utime(tmp_path / "ours" / "key", ns=(1, 1))
-        assert (await send_call(listener.address, ours)).body == b"yes"
+        assert (await send_call(listener.address, identity)).body == b"yes"
 
-    def test_files_that_cannot_be_used_are_one_clear_error(self, tmp_path):
+    def test_missing_files_are_a_start_error(self, tmp_path):
         with pytest.raises(errors.StartError, match="TLS"):
             read_identity(tmp_path)
