--- a/tests/test_controlclient.py
+++ b/tests/test_controlclient.py
@@ -1,4 +1,4 @@
-"""The node's side of the control group."""
+"""Tests of the node's client of the control group."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 FIRST = options.Address("127.0.0.1", 1)
 SECOND = options.Address("127.0.0.1", 2)
 STABLE_SECONDS = 3.0
-"""After a disturbance, in which nodes may lag."""
+"""Time after a fault within which nodes must be up to date again."""
 CONFIG = routingfakes.section(
     "control", hosts=(FIRST, SECOND), renew_interval=1.0, patience=0.5
 )
@@ -90,8 +90,8 @@
     ):
         """Every control host becomes unreachable.
 
-        The lease ends ttl after the last renewal was sent; the table and
-        the views stay, so that idempotent calls still find their way.
+        The lease expires ttl after the last renewal was sent.  The table and
+        the views stay in use, so that idempotent calls are still routed.
         """
         async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
@@ -114,10 +114,10 @@
     async def test_renewal_is_repeated_after_lost_replies(
         self, client, group, transport
     ):
-        """Answers get lost on the way back to the node.
+        """Replies to the node are lost.
 
-        The node gives up after its patience and asks again with the revision
-        it has, so the rows come again; it counts no lease for lost answers.
+        The node times out and renews again with the revision that it has, so
+        it gets the rows again.  Lost replies extend no lease.
         """
         async with controlfakes.running_task(client):
             transport.loses_replies = True
@@ -136,7 +136,7 @@
     async def test_two_unresponsive_control_hosts_delay_no_change(
         self, group, transport
     ):
-        """A node acts by an older configuration for three seconds and more."""
+        """Guards against a node that keeps an old table for seconds."""
         third = options.Address("127.0.0.1", 3)
         hosts = (FIRST, SECOND, third)
         lease_table = transport.lease_tables[FIRST]
@@ -174,12 +174,12 @@
     async def test_leader_slower_than_the_timeout_still_grants(
         self, client, group, transport, monkeypatch
     ):
-        """Everything restarted at once; the leader takes 1.5 s an answer.
+        """After a restart of the whole system, each reply takes 1.5 s.
 
-        Given up after 0.5 s and sent again for ever, no renewal would be
-        answered, though the leader works without a pause. The node waits
-        longer after each silence and gets its table and its lease, though part
-        of that is spent on the way.
+        With a fixed timeout of 0.5 s, no renewal would ever get a reply,
+        although the leader works all the time.  The node waits longer after
+        each timeout, and gets its table and a lease, of which a part has
+        passed by then.
         """
         renew = transport.lease_tables[FIRST].renew
 
@@ -222,10 +222,10 @@
     async def test_grant_of_a_lagging_host_is_ignored(
         self, client, group, transport
     ):
-        """A control host that missed a change grants with its old state.
+        """A control host that missed a change grants a lease with an old table.
 
-        The node has revision 1 in force and is told revision 0. It takes
-        neither table nor lease from that host and asks another.
+        The node has revision 1 and is sent revision 0.  It uses neither the
+        table nor the lease, and switches to another host.
         """
         async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
@@ -249,7 +249,7 @@
 
 
 class TestInterest:
-    """Services that a node asks about when a call needs them."""
+    """Services that a node fetches when a call needs them."""
 
     async def test_fetched_services_are_in_the_table(self, client, group):
         async with controlfakes.running_task(client):
@@ -267,10 +267,10 @@
             assert client.tables.value.revision == 1
 
     async def test_unknown_services_are_not_followed(self, client, transport):
-        """An outsider asks for a thousand services that do not exist.
+        """An outside client requests a thousand services that do not exist.
 
-        Kept as interests, they would fill every renewal and the leader's
-        memory. Each is asked for once, then dropped and remembered briefly.
+        As interests they would fill every renewal and the leader's memory.
+        Each is fetched once, then dropped and remembered for a short time.
         """
         async with controlfakes.running_task(client):
             for number in range(1100):
@@ -287,11 +287,11 @@
     async def test_unused_service_is_no_longer_followed(
         self, client, group, transport
     ):
-        """A service was called once, weeks ago, and its rows change later.
+        """A service was called once, long ago, and its rows change later.
 
-        Followed for ever, each such service would cost every renewal and
-        push. It is dropped with rows and view; called again, the first call
-        goes by the rows in force then. What is served or used stays.
+        Followed forever, each such service would enlarge every renewal and
+        reply.  It is dropped with its rows and view, and the next call uses
+        the rows in force at that time.  Services that are served or used stay.
         """
         first = controlfakes.make_operation("rank", service="prices", tries=1)
         later = controlfakes.make_operation("rank", service="prices", tries=2)
@@ -321,11 +321,11 @@
     async def test_flood_of_new_names_does_not_end_the_lease(
         self, client, transport
     ):
-        """Outsiders ask for a new service every millisecond.
+        """Outside clients request a new service every millisecond.
 
-        Each is news that a held renewal is given up for. If the next one
-        could be given up too, none would ever be answered and the lease
-        would end; renewals that are not held are left to be answered.
+        Each cancels a renewal that the leader holds.  If the following renewal
+        could be cancelled too, none would ever get a reply and the lease would
+        expire; so renewals that are not held are not cancelled.
         """
         async with controlfakes.running_task(client):
             await asyncio.sleep(1)
@@ -346,13 +346,13 @@
 
 
 class TestViewSteps:
-    """Views that a node is told of as differences."""
+    """Views that a node receives as differences."""
 
     @pytest.mark.parametrize("keyless", [True, False])
     async def test_view_steps_yield_the_newest_views(
         self, client, group, transport, keyless
     ):
-        """Guards against a view that drifts from that of the control group."""
+        """Guards against a view that differs from the control group's."""
         rng = random.Random(11)
         client.keyless = keyless
         grants = []
@@ -393,7 +393,7 @@
             assert len(steps) > 20
 
     async def test_steps_from_another_version_are_ignored(self, client, group):
-        """Guards against steps on top of the wrong view by a late answer."""
+        """Guards against a late reply that applies steps to the wrong view."""
         async with controlfakes.running_task(client):
             client.serves = [messages.ServedService(name="quotes", slots=70)]
             await asyncio.sleep(1)
--- a/tests/test_eager.py
+++ b/tests/test_eager.py
@@ -1,4 +1,4 @@
-"""Tasks whose first step runs at once."""
+"""Tests of tasks whose first step runs when they are created."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def run_in_callback(function):
-    """Runs a function in a callback of the loop; returns its result."""
+    """Returns a future of a function's result; the loop calls the function."""
     loop = asyncio.get_running_loop()
     result = loop.create_future()
     loop.call_soon(lambda: result.set_result(function(loop)))
@@ -16,7 +16,7 @@
 
 
 class TestStartTask:
-    """What a task does before it is returned."""
+    """What a task does before start_task returns it."""
 
     async def test_coroutine_without_waits_completes_at_once(self):
         async def work():
@@ -49,7 +49,7 @@
         assert steps == ["first", "second"]
 
     async def test_callbacks_of_the_first_step_run_later(self):
-        """Guards against callbacks that run inside the first step."""
+        """Guards against callbacks that run within the first step."""
         steps = []
 
         async def work():
--- a/tests/test_httpserver.py
+++ b/tests/test_httpserver.py
@@ -1,4 +1,4 @@
-"""HTTP listeners."""
+"""Tests of HTTP listeners."""
 
 import asyncio
 import socket
@@ -10,14 +10,14 @@
 from mangobay import httpserver, options
 
 RECEIVE_BUFFER_BYTES = 4096
-"""Receive buffer of a caller that reads slowly."""
+"""Receive buffer size of a caller that reads slowly."""
 LARGE_BODY = bytes(8_000_000)
-"""An answer that the kernel's buffers cannot hold."""
+"""Response body that exceeds the kernel's buffers."""
 GET_REQUEST = b"GET /%d HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 class BlockingHandler:
-    """Answers with a large body once it is released."""
+    """Responds with a large body once it is released."""
 
     def __init__(self):
         self.paths = []
@@ -48,7 +48,7 @@
 
 
 async def connect_slowly(listener):
-    """Returns reader and writer of a caller with a small receive buffer."""
+    """Returns reader and writer of a connection with a small receive buffer."""
     client_socket = socket.socket()
     client_socket.setsockopt(
         socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES
@@ -62,10 +62,10 @@
 
 
 class TestClose:
-    """What is still due when a listener is closed."""
+    """Responses that are pending when a listener is closed."""
 
     async def test_close_waits_for_a_slow_reader(self, listener, handler):
-        """The process ends, and the rest of a whole answer is lost."""
+        """Guards against a response that is cut off when the process ends."""
         reader, writer = await connect_slowly(listener)
         writer.write(GET_REQUEST % 1)
         handler.release_event.set()
@@ -80,7 +80,7 @@
         writer.close()
 
     async def test_pipelined_requests_are_answered(self, listener, handler):
-        """They were read, and their connection ends with no answer."""
+        """Guards against requests that were read but get no response."""
         reader, writer = await asyncio.open_connection(*listener.address)
         writer.write(GET_REQUEST % 1 + GET_REQUEST % 2)
         await nodes.wait_until(lambda: handler.paths)
@@ -95,7 +95,7 @@
     async def test_caller_that_never_reads_does_not_block_close(
         self, listener, handler
     ):
-        """One caller keeps the process from ending."""
+        """Guards against one caller that keeps the process from ending."""
         _, writer = await connect_slowly(listener)
         writer.write(GET_REQUEST % 1)
         handler.release_event.set()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Connections between processes, over loopback."""
+"""Tests of connections between processes, over loopback."""
 
 import asyncio
 import socket
@@ -17,7 +17,13 @@
 
 
 class ScriptedHandler:
-    """A handler whose answers the test holds back by operation name."""
+    """A handler that delays its replies until the test releases them.
+
+    Attributes:
+      release_events: events to wait for, by operation name.
+      cancelled: operations whose handling was cancelled.
+      request_arrived: set once any request has arrived.
+    """
 
     def __init__(self):
         self.release_events: dict[str, asyncio.Event] = {}
@@ -70,16 +76,16 @@
 
 
 class TestConnecting:
-    """The way to a host that just starts."""
+    """Connecting to a host that is just starting."""
 
     async def test_lost_first_packet_does_not_delay_connecting(
         self, handler, client
     ):
-        """After a power failure nodes stay without routes for a second.
+        """Guards against nodes that lack routes for a second after a restart.
 
-        They ask before the control host can answer; the packet is lost, and
-        the kernel sends it again after a second.  Here the queue of a
-        listener is full at first, which drops the packet as well.
+        A node connects before the control host listens, the first packet is
+        lost, and the kernel resends it only after a second.  Here the accept
+        queue of a listener is full at first, which also drops the packet.
         """
         loop = asyncio.get_running_loop()
         with socket.socket() as full_socket:
@@ -107,7 +113,7 @@
 
 
 async def send_until_answered(client, address):
-    """Asks again and again, as whoever needs an answer does."""
+    """Repeats a request until there is a reply."""
     while True:
         try:
             return await client.send_request(address, call("now"), WAIT_SECONDS)
@@ -116,7 +122,7 @@
 
 
 async def serve_first_request(reader, writer):
-    """Answers the first request of a connection."""
+    """Sends a Hello, and replies to the calls of a connection."""
     decoder = wire.FrameDecoder()
     while data := await reader.read(1000):
         decoder.feed(data)
@@ -131,10 +137,10 @@
 
 
 class TestUnresponsivePeer:
-    """A peer that does not answer, on a connection that stands."""
+    """A peer that does not respond on an open connection."""
 
     async def stop_reading(self, handler, listener, client):
-        """Makes the peer's only connection silent."""
+        """Makes the listener stop reading its only connection."""
         assert (
             await client.send_request(
                 listener.address, call("first"), WAIT_SECONDS
@@ -146,10 +152,10 @@
     async def test_idempotent_call_to_unresponsive_peer_fails_early(
         self, handler, listener, client
     ):
-        """Readers of one host wait for seconds, again and again.
+        """Guards against calls that wait for a broken connection repeatedly.
 
-        The way to another host has gone silent without a reset: each request
-        waits there until its deadline, and each new one goes there too.
+        The connection has stopped working without a reset.  Each request on it
+        would wait until its deadline, and new requests would use it too.
         """
         await self.stop_reading(handler, listener, client)
         loop = asyncio.get_running_loop()
@@ -167,9 +173,10 @@
     async def test_non_idempotent_call_keeps_waiting(
         self, handler, listener, client
     ):
-        """A caller is told that its booking may have run, though it did well.
+        """Guards against an unknown outcome of a call that succeeds.
 
-        The peer stands still for longer than others wait, wakes, and answers.
+        The peer is suspended for longer than idempotent calls wait, resumes
+        and replies.
         """
         handler.release_events["book"] = asyncio.Event()
         request_task = asyncio.create_task(
@@ -205,10 +212,10 @@
 
 
 class TestLivenessCheck:
-    """What looking for silence costs."""
+    """Cost of the liveness check."""
 
     async def test_calls_to_many_peers_share_a_timer(self, handler, client):
-        """Guards against a wake for each call in a fleet of any size."""
+        """Guards against a timer per connection, which would waste CPU time."""
         listeners = [
             peers.Listener(LOOPBACK, HELLO, handler) for _ in range(20)
         ]
@@ -234,15 +241,14 @@
 
 
 class TestIdleConnections:
-    """Connections that nobody asks on."""
+    """Connections without requests."""
 
     async def test_idle_connection_is_closed_and_reopened(
         self, handler, listener
     ):
-        """One peer is asked once; an answer of another comes very late.
+        """An idle connection is closed; one with a pending request stays.
 
-        The connection to the first is ended after a while and the next
-        request makes a new one.  The second, on which somebody waits, stays.
+        The next request to the first peer opens a new connection.
         """
         busy_listener = peers.Listener(LOOPBACK, HELLO, handler)
         await busy_listener.start()
@@ -268,15 +274,14 @@
 
 
 class TestSendRequest:
-    """One connection, many streams."""
+    """Requests on one connection with many streams."""
 
     async def test_out_of_order_replies_reach_their_requests(
         self, handler, listener, client
     ):
-        """Two callers share a connection; the first one's answer is slow.
+        """Two callers share a connection, and the first reply is slow.
 
-        The second answer overtakes the first on the wire.  Each caller must
-        see its own answer, whatever the order.
+        The second reply arrives first.  Each caller must get its own reply.
         """
         handler.release_events["slow"] = asyncio.Event()
         slow_task = asyncio.create_task(
@@ -293,10 +298,9 @@
     async def test_late_reply_to_cancelled_request_is_dropped(
         self, listener, client
     ):
-        """The caller gives up, and the answer crosses the Cancel.
+        """A reply that was sent before the Cancel arrived must be dropped.
 
-        The answer arrives on a stream nobody waits on.  It must vanish, not
-        reach the next caller and not end the connection.
+        It must neither reach the next caller nor close the connection.
         """
         await client.send_request(listener.address, call("first"), WAIT_SECONDS)
         connection = client.peers[listener.address].connection
@@ -314,10 +318,10 @@
     async def test_cancelling_a_request_cancels_its_handler(
         self, handler, listener, client
     ):
-        """A caller hangs up while its call runs on the peer.
+        """A caller disconnects while its call runs on the peer.
 
-        The asking task is cancelled, Cancel goes out, and the task that
-        answers there is cancelled: its slot is free again.
+        The requesting task is cancelled and sends Cancel, which cancels the
+        handler on the peer and so frees its slot.
         """
         handler.release_events["held"] = asyncio.Event()
         request_task = asyncio.create_task(
@@ -341,10 +345,10 @@
     async def test_connection_lost_after_sending_is_not_unreachable(
         self, handler, listener, client
     ):
-        """The peer dies while it runs a call.
+        """The peer fails while it runs a call.
 
-        The caller must not take this for a call that was not run: sent
-        requests break, and only what comes after is unreachable.
+        The caller must not treat the call as not run: requests that were sent
+        raise PeerBrokenError, and only later ones PeerUnreachableError.
         """
         handler.release_events["held"] = asyncio.Event()
         request_task = asyncio.create_task(
@@ -380,12 +384,12 @@
 
 
 class TestFirstStep:
-    """Work that starts in the moment in which its request is read."""
+    """Handlers, which start as soon as their request is read."""
 
     async def test_handler_that_closes_its_connection_is_cancelled(
         self, client
     ):
-        """Guards against work that goes on though nobody can stop it."""
+        """Guards against a handler that continues after its connection closed."""
         cancelled = asyncio.Event()
 
         async def close_and_wait(hello, body):
@@ -409,7 +413,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """A transport that keeps what is written."""
+    """A transport that records what is written."""
 
     def __init__(self):
         super().__init__()
@@ -429,14 +433,14 @@
 
 
 class FakeSocket:
-    """A socket whose options nobody looks at."""
+    """A socket that ignores its options."""
 
     def setsockopt(self, *option):
         del option
 
 
 class TestWrites:
-    """When frames leave."""
+    """Writing and reading of frames."""
 
     async def test_each_frame_is_written_at_once(self):
         transport = FakeTransport()
@@ -478,7 +482,7 @@
 
 
 class TestListener:
-    """What a stranger gets."""
+    """Connections that a listener accepts."""
 
     @pytest.mark.parametrize(
         "data",
@@ -510,10 +514,9 @@
             each.close()
 
     async def test_incomplete_frame_closes_the_connection(self, handler):
-        """A peer sends half a frame and then a byte now and then.
+        """Guards against a peer that holds a connection and a buffer for hours.
 
-        It would hold a connection and a buffer for hours.  The listener
-        ends it, and the next process connects as usual.
+        It sends only a part of a frame; the listener closes the connection.
         """
         limits = peers.Limits(frame_timeout=0.05)
         listener = peers.Listener(LOOPBACK, HELLO, handler, limits=limits)
--- a/tests/test_periodic.py
+++ b/tests/test_periodic.py
@@ -1,4 +1,4 @@
-"""One timer for many things."""
+"""Tests of periodic checks with one timer."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class TestPeriodicCheck:
-    """When things are looked at."""
+    """When items are checked."""
 
     async def test_items_are_checked_until_discarded(self):
         checked = []
@@ -25,7 +25,7 @@
         assert sorted(checked) == ["a", "b", "b"]
 
     async def test_no_timer_runs_without_items(self):
-        """Guards against wakes that grow with peers and listeners."""
+        """Guards against timers that wake the process for nothing."""
         check = periodic.PeriodicCheck(1.0, lambda item: None)
         check.add("a")
         check.add("b")
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between processes."""
+"""Tests of mutual TLS between processes."""
 
 import datetime
 import os
@@ -91,7 +91,7 @@
 
 
 class TestIdentity:
-    """Who may speak."""
+    """Which certificates are accepted."""
 
     async def test_certificate_of_the_authority_is_accepted(
         self, listener, tmp_path
@@ -102,10 +102,10 @@
     async def test_untrusted_or_missing_certificate_is_rejected(
         self, listener, tmp_path
     ):
-        """A stranger connects with a certificate of its own, or with none.
+        """A client has a certificate of another authority, or none.
 
-        The handshake fails before a message is read.  The stranger sees a
-        closed connection, and no request reaches the handler.
+        The handshake fails before a message is read, and no request reaches
+        the handler.
         """
         untrusted = write_identity(tmp_path / "theirs", "authority")
         for identity in (untrusted, None):
@@ -114,11 +114,11 @@
 
     @pytest.mark.parametrize("liar", ["asking", "answering"])
     async def test_host_cannot_claim_another_host(self, tmp_path, liar):
-        """One host's certificate and key are stolen, or mixed up.
+        """A process uses the certificate and key of another host.
 
-        With them a process says that it is another host.  Whether it asks or
-        answers, the other side ends the connection at the Hello: no request
-        is sent to it, and none of its requests is answered.
+        Whether it connects or listens, the other side closes the connection at
+        the Hello: no request is sent to it, and none of its requests is
+        handled.
         """
         identity = write_identity(tmp_path / "ours", "authority")
         claimed = messages.Hello(host="another", role="node")
@@ -126,10 +126,10 @@
 
     @pytest.mark.parametrize("liar", ["asking", "answering"])
     async def test_node_cannot_claim_the_control_role(self, tmp_path, liar):
-        """A node's certificate is used to vote, or to grant leases.
+        """Guards against the use of a node's certificate to vote or grant leases.
 
-        It names the host rightly but was not made for a control host, so the
-        other side ends the connection at the Hello.
+        It names the right host but was not issued for a control host, so the
+        other side closes the connection at the Hello.
         """
         identity = write_identity(tmp_path / "ours", "authority")
         claimed = messages.Hello(host=HELLO.host, role=tls.CONTROL_ROLE)
@@ -180,10 +180,9 @@
     async def test_replaced_files_take_effect_without_restart(
         self, listener, tmp_path
     ):
-        """The authority and its certificates are renewed under a running node.
+        """The authority and its certificates are replaced while a node runs.
 
-        Who still shows the old certificate is refused from then on, and who
-        shows a new one is answered.
+        Old certificates are rejected from then on, and new ones accepted.
         """
         old = read_identity(tmp_path / "ours")
         old.reload_if_changed = lambda: None
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames on a stream."""
+"""Tests of the framing of peer messages."""
 
 import zlib
 
@@ -9,7 +9,7 @@
 
 
 def make_decoder(*received, max_bytes=wire.DEFAULT_MAX_FRAME_BYTES):
-    """Returns frames to which the bytes have come."""
+    """Returns a decoder that has received some bytes."""
     decoder = wire.FrameDecoder(max_bytes)
     for data in received:
         decoder.feed(data)
@@ -28,7 +28,7 @@
 
 
 class TestFrameDecoder:
-    """What comes out of a stream."""
+    """Decoding of frames."""
 
     def test_encoded_frames_are_decoded(self):
         decoder = make_decoder(
@@ -80,10 +80,10 @@
 
 
 class TestCompression:
-    """Long messages of the control group."""
+    """Compression of large messages of the control group."""
 
     def make_grant(self, member_count):
-        """Returns the envelope of a grant that tells of a large view."""
+        """Returns the envelope of a grant with a view of many members."""
         view = messages.ServiceView(
             service="stock",
             members=[
@@ -101,7 +101,7 @@
         )
 
     def test_full_view_is_compressed(self):
-        """Guards against control traffic that fills ways between regions."""
+        """Guards against control traffic that saturates links between regions."""
         grant = self.make_grant(200)
         frame = wire.encode_frame(grant)
         assert len(frame) < len(messages.encode_envelope(grant)) / 4
@@ -118,7 +118,7 @@
             )
 
     def test_decompressed_size_is_bounded(self):
-        """Guards against a few bytes that fill the memory of their reader."""
+        """Guards against small frames that exhaust the receiver's memory."""
         frame = wire.encode_frame(self.make_grant(200))
         with pytest.raises(
             errors.PeerProtocolError, match="is incomplete or exceeds"
@@ -133,7 +133,7 @@
             make_decoder(frame).next_envelope()
 
     def test_nested_compression_is_rejected(self):
-        """Guards against a chain of envelopes that each grow."""
+        """Guards against nested envelopes that grow at each level."""
         frame = wire.encode_frame(self.make_grant(200))
         inner = zlib.compress(frame[wire.LENGTH_PREFIX.size :])
         body = messages.Deflated(envelope=inner)
