--- a/mangobay/controlclient.py
+++ b/mangobay/controlclient.py
@@ -34,8 +34,7 @@
 MAX_TIMEOUT_DOUBLINGS = 3
 """Maximum number of times that the reply timeout is doubled.
 
-It is doubled after each timeout, and halved after each reply that came in well
-below the timeout.
+Each timeout adds a doubling, and each reply well below the timeout removes one.
 """
 
 MIN_RENEWAL_SECONDS = 0.02
@@ -83,7 +82,8 @@
       interests: services whose operations and view this node follows.
       current_address: the control host that the next renewal is sent to.
       consecutive_failures: failed renewals in a row.
-      timeout_doublings: how many times the reply timeout is doubled.
+      timeout_doublings: how many times the reply timeout is doubled, up to
+        MAX_TIMEOUT_DOUBLINGS.
       change_event: set if the node has changes to report.
       reply_event: set for a moment after each granted renewal.
       announced_services: what the backend server on this host announced.
@@ -222,7 +222,7 @@
         )
 
     def record_reply_time(self, seconds: float) -> None:
-        """Halves a doubled timeout after a reply well below it."""
+        """Removes a doubling of the timeout after a reply well below it."""
         if seconds < self.reply_timeout() / 4:
             self.timeout_doublings = max(self.timeout_doublings - 1, 0)
 
--- a/mangobay/errors.py
+++ b/mangobay/errors.py
@@ -110,7 +110,7 @@
 
 
 class NotLeaderError(MangobayError):
-    """This control host is not the leader, or cannot confirm that it is.
+    """This control host is not the leader or cannot confirm that it is.
 
     Attributes:
       leader: the host to ask instead; empty if unknown.
@@ -136,8 +136,7 @@
 
     def __init__(self, index: int):
         super().__init__(
-            f"lost the leadership before entry {index} was committed; send it"
-            " again"
+            f"lost the lead before entry {index} was committed; send it again"
         )
         self.index = index
 
--- a/mangobay/httpserver.py
+++ b/mangobay/httpserver.py
@@ -280,7 +280,7 @@
     """Returns the HTTP response for a reply.
 
     Args:
-      reply: the reply; without an answer it becomes a problem response.
+      reply: the reply; one other than `answered` becomes a problem response.
       rng: source of the jitter in Retry-After.
       detail: detail of the problem.
     """
--- a/mangobay/peers.py
+++ b/mangobay/peers.py
@@ -150,10 +150,10 @@
             peer.connect_task = asyncio.create_task(self.connect(address, peer))
         try:
             # The shield keeps the connection attempt running for other waiting
-            # requests when one is cancelled.  `asyncio.wait_for` would lose a
-            # cancellation that arrives in the loop iteration in which the
-            # attempt ends: a node told to stop at that moment would wait
-            # forever for its task that renews the lease.
+            # requests when one is cancelled or times out.  `asyncio.wait_for`
+            # would lose a cancellation that arrives in the loop iteration in
+            # which the attempt ends: a node that is stopped at that moment
+            # would wait forever for its task that renews the lease.
             async with asyncio.timeout(timeout):
                 return await asyncio.shield(peer.connect_task)
         except TimeoutError:
--- a/mangobay/tls.py
+++ b/mangobay/tls.py
@@ -50,7 +50,7 @@
         self.listening_context.sni_callback = self.choose_context
 
     def read_file_stamps(self) -> list[tuple[int, int]]:
-        """Returns modification times and inodes, which tell a replaced file.
+        """Returns modification times and inodes, which change with the files.
 
         Raises:
           errors.StartError: a file cannot be read.
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -112,8 +112,8 @@
             with pytest.raises(errors.PeerUnreachableError):
                 await send_call(listener.address, identity)
 
-    @pytest.mark.parametrize("liar", ["asking", "answering"])
-    async def test_host_cannot_claim_another_host(self, tmp_path, liar):
+    @pytest.mark.parametrize("impostor", ["client", "listener"])
+    async def test_host_cannot_claim_another_host(self, tmp_path, impostor):
         """A process uses the certificate and key of another host.
 
         Whether it connects or listens, the other side closes the connection at
@@ -122,10 +122,10 @@
         """
         identity = write_identity(tmp_path / "ours", "authority")
         claimed = messages.Hello(host="another", role="node")
-        await self.expect_rejection(identity, claimed, liar)
+        await self.expect_rejection(identity, claimed, impostor)
 
-    @pytest.mark.parametrize("liar", ["asking", "answering"])
-    async def test_node_cannot_claim_the_control_role(self, tmp_path, liar):
+    @pytest.mark.parametrize("impostor", ["client", "listener"])
+    async def test_node_cannot_claim_the_control_role(self, tmp_path, impostor):
         """Guards against the use of a node's certificate to vote or grant leases.
 
         It names the right host but was not issued for a control host, so the
@@ -133,7 +133,7 @@
         """
         identity = write_identity(tmp_path / "ours", "authority")
         claimed = messages.Hello(host=HELLO.host, role=tls.CONTROL_ROLE)
-        await self.expect_rejection(identity, claimed, liar)
+        await self.expect_rejection(identity, claimed, impostor)
 
     async def test_control_certificate_permits_the_control_role(self, tmp_path):
         identity = write_identity(
@@ -147,9 +147,9 @@
         finally:
             await listener.close()
 
-    async def expect_rejection(self, identity, claimed, liar) -> None:
+    async def expect_rejection(self, identity, claimed, impostor) -> None:
         client_hello, listener_hello = HELLO, claimed
-        if liar == "asking":
+        if impostor == "client":
             client_hello, listener_hello = claimed, HELLO
         handled_hellos = []
 
