--- a/bench/fleet/backends.py
+++ b/bench/fleet/backends.py
@@ -22,7 +22,7 @@
 
 
 class Server:
-    """One backend server; implements `serving.Sender`.
+    """One backend server; implements `execution.BackendClient`.
 
     Attributes:
       call: makes calls through the node on this host.
--- a/mangobay/operationtable.py
+++ b/mangobay/operationtable.py
@@ -166,7 +166,7 @@
         """Returns the table after an update, sharing unchanged services.
 
         Raises:
-          errors.UpdateBaseError: The update is based on another revision.
+          errors.RevisionMismatchError: The update is based on another revision.
           errors.InvariantError: The update leads to an older revision.
         """
         invariants.check(
