--- a/mangobay/connections.py
+++ b/mangobay/connections.py
@@ -279,7 +279,7 @@
             logs.log_event(
                 logs.Component.PEER, "request failed", why=repr(error)
             )
-            reply = messages.Failure(text="internal error")
+            reply = messages.Failure(text="internal fault")
         finally:
             self.handler_tasks.pop(stream, None)
         try:
--- a/mangobay/consensus.py
+++ b/mangobay/consensus.py
@@ -179,9 +179,7 @@
     def stop(self) -> None:
         """Steps down, blocks further writes and cancels background tasks."""
         self.step_down()
-        self.log.failure = (
-            self.log.failure or "the control group is stopped on this host"
-        )
+        self.log.failure = self.log.failure or "the group has stopped"
         for task in self.background_tasks:
             task.cancel()
 
@@ -245,7 +243,7 @@
             case messages.SnapshotPut():
                 return await snapshottransfer.handle_snapshot_put(self, body)
         raise errors.PeerProtocolError(
-            f"{type(body).__name__} is not a consensus request"
+            f"{type(body).__name__} is no message for the group"
         )
 
     async def send_request(
@@ -396,7 +394,7 @@
         invariants.check(
             invariants.Invariant.ONE_LEADER_A_TERM,
             term != known_term or identity == known_leader,
-            f"term {term} has two leaders, disks {known_leader} and {identity}",
+            f"term {term} is led by {known_leader} and by {identity}",
         )
         if term > known_term:
             self.leader_of_term = (term, identity)
--- a/mangobay/joining.py
+++ b/mangobay/joining.py
@@ -110,9 +110,7 @@
     try:
         group.add_follower(options.parse_address(body.address))
     except ValueError as error:
-        raise errors.PeerProtocolError(
-            f"join request has no valid address: {error}"
-        ) from None
+        raise errors.PeerProtocolError(f"no address: {error}") from None
     addresses = set(group.voter_addresses())
     if group.leader_address:
         addresses.add(group.leader_address)
--- a/mangobay/wire.py
+++ b/mangobay/wire.py
@@ -50,8 +50,7 @@
         )
     if len(data) > max_bytes:
         raise errors.FrameTooLargeError(
-            f"message of {len(data)} bytes exceeds the limit of {max_bytes}"
-            " bytes"
+            f"a message of {len(data)} bytes is above the limit of {max_bytes}"
         )
     return LENGTH_PREFIX.pack(len(data)) + data
 
